--- a/src/daemon/node.hpp
+++ b/src/daemon/node.hpp
@@ -97,6 +97,7 @@
   const lead::Election& election() const { return election_; }
   agents::Agents& agents() { return agents_; }
   jobs::Registry& registry() { return registry_; }
+  const sched::Scheduler& scheduler() const { return scheduler_; }
 
  private:
   // Where an answer goes: a request of this node's own, or one that a peer handed on.
--- a/src/emulator/parts.hpp
+++ b/src/emulator/parts.hpp
@@ -10,6 +10,7 @@
 inline constexpr double kSeenWithin =
     20;  // of a zone's end of contact, with as few machines as some tests have
 inline constexpr double kReport = 3, kLease = 20, kCancel = 30, kGangWait = 25, kGangPeer = 8;
+inline constexpr double kFreeCheckEvery = 0.25;  // of what is free to start; a walk over all machines
 inline constexpr double kUnanswered = 75;  // after which a job counts as forgotten, troubles being over
 inline std::string node_name(std::size_t i) { return "node-" + std::to_string(i); }
 
@@ -48,6 +49,7 @@
   double told_cancelled = -1;
   bool told_done = false;
   std::set<std::uint32_t> done, begun;
+  std::map<std::uint32_t, std::uint64_t> done_heard;  // by task, the token of the leader that heard of its end
   std::vector<UserJob*> needs, needed_by;
   double came = 0, accepted_at = -1, began_at = -1, over_at = -1;
   double beside_room_since = -1;  // a task of it waits though some machine could take it
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -56,6 +56,7 @@
   ++verdict_.started;
   if (job.began_at < 0) job.began_at = t_;
   verdict_.started_again += !job.begun.insert(task.index).second;
+  check_after_done(task, job);
   check_other_cells(task, job);
   const wire::JobSpec& s = job.spec;
   std::map<std::size_t, int> zones;
@@ -99,7 +100,52 @@
   }
 }
 
+// Whatever a leader decides next may start what is free to start, so this fails before `ran_twice` does.
+void World::check_free_to_start() {
+  if (t_ < free_checked_at_ + kFreeCheckEvery) return;
+  free_checked_at_ = t_;
+  for (const auto& c : ctls_) {
+    if (!c->node || !c->node->entitled() || node_time(*c) >= c->node->authority_until()) continue;
+    for (const auto& [name, h] : hosts_) {
+      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease) continue;
+      for (const TaskOn& x : h->tasks) {
+        if (!x.job || x.phase == "exited") continue;
+        const jobs::Job* job = c->node->registry().find(x.job->spec.ref);
+        if (!job || x.index >= job->tasks.size() || job->tasks[x.index].state != jobs::TaskState::pending)
+          continue;
+        if (c->node->scheduler().gates().open(*job)) return broke("free_to_start", x.name + " is on " + name);
+      }
+    }
+  }
+}
+
+void World::done_heard(Host& h, const Value& report, const ports::Answer& answer) {
+  const std::uint64_t token = wire::count(answer.body, "mandate").value_or(0);
+  for (const Value& shown : report["shards"]) {
+    if (!shown.contains("cause") || shown["cause"] != "done") continue;
+    const auto parsed = wire::parse_task(shown["shard"].get<std::string>());
+    UserJob* job = parsed ? described(parsed->ref) : nullptr;
+    if (!job || !job->done_heard.emplace(parsed->index, token).second) continue;
+    if (plan_.sabotage == "again_after_done") {
+      const std::uint64_t attempt = shown["try"].get<std::uint64_t>() + (std::uint64_t{1} << 20);
+      order(h, {{"verb", "start"}, {"shard", shown["shard"]}, {"try", attempt}});
+    }
+  }
+}
+
+// A leader never starts what it was told is done. A later one may, if the result was not recorded before the
+// earlier one ended.
+void World::check_after_done(const TaskOn& task, const UserJob& job) {
+  const auto heard = job.done_heard.find(task.index);
+  if (heard == job.done_heard.end()) return;
+  ++verdict_.again_after_done;
+  const std::uint64_t started_by = (task.attempt & ~custody::kHonest) >> custody::kTokenShift;
+  if (started_by == heard->second)
+    broke("again_after_done", task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
+}
+
 void World::check_cancelled() {
+  check_free_to_start();
   // A walk over all machines after each step would be most of a large world's time; what it looks for lasts.
   if (plan_.machines > 100 && t_ < checked_at_ + 0.5) return;
   checked_at_ = t_;
--- a/src/emulator/workers.cpp
+++ b/src/emulator/workers.cpp
@@ -29,6 +29,7 @@
 Value World::report_value(Host& h) {
   Value tasks = Value::array();
   for (const TaskOn& x : h.tasks) {
+    if (plan_.sabotage == "task_hidden" && x.phase == "running" && x.name == "req-10/0") continue;
     Value v{{"shard", x.name}, {"try", x.attempt}, {"phase", x.phase}};
     if (x.phase == "exited") v["cause"] = x.cause;
     tasks.push_back(std::move(v));
@@ -69,7 +70,8 @@
   daemon::Incoming in;
   in.method = "POST";
   in.path = wire::kReportPath;
-  in.body = wire::encode_cbor(report_value(h));
+  Value report = report_value(h);
+  in.body = wire::encode_cbor(report);
   auto next = [this, me, serial](double delay, bool other) {
     Host& x = *hosts_.at(me);
     if (x.gone || x.dead || x.beat_serial != serial || !x.reporting) return;
@@ -118,8 +120,12 @@
       });
     }
   }
-  send(me, to, [this, in, got, me, to, i = h.node] {
-    deliver(i, in, [this, got, me, to](const ports::Answer& a) { send(to, me, [got, a] { got(a); }); });
+  send(me, to, [this, in, got, me, to, i = h.node, report = std::move(report)] {
+    deliver(i, in, [this, got, me, to, i, report](const ports::Answer& a) {
+      const bool by_leader = a.status == 200 && ctls_[i]->node && ctls_[i]->node->entitled();
+      if (by_leader) done_heard(*hosts_.at(me), report, a);
+      send(to, me, [got, a] { got(a); });
+    });
   });
   later(4, [next] { next(1, true); });
 }
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -25,6 +25,8 @@
   plan.admission = seed / 5 % 2 == 0;
   plan.meetings = seed >= 1'000'000;
   plan.late_commands = seed >= 2'000'000;
+  // A team's limit lets large tasks through a few at a time (seed 2000174: 102 of them, 12 at a time).
+  if (plan.late_commands) plan.settle_s = 1500;
   return plan;
 }
 
--- a/src/emulator/world.hpp
+++ b/src/emulator/world.hpp
@@ -89,6 +89,8 @@
   std::size_t late_writes = 0, lost_answers = 0;   // transactions carried out late, or at once unheard
   std::size_t late_reports = 0, kept_reports = 0;  // copies that arrived again; of these, after a new leader
   std::size_t late_commands = 0;   // direct commands held up on their way
+  // Tasks that an answered report had shown as done to an earlier leader, and that started once more.
+  std::size_t again_after_done = 0;
   std::size_t unheard = 0;         // answers and orders that deaf machines lost, reports that mute ones did
   std::size_t called_off = 0;      // running jobs cancelled together
   std::size_t at_the_end = 0;      // jobs cancelled at the end of their last task
@@ -330,6 +332,11 @@
   void broke(const std::string& rule, const std::string& how);
   void check_start(Host& h, TaskOn& task, UserJob& job);
   void check_cancelled();
+  // No task that is on a machine may be free to start for the leader.
+  void check_free_to_start();
+  // A report that showed these tasks as done was answered by a leader.
+  void done_heard(Host& h, const Value& report, const ports::Answer& answer);
+  void check_after_done(const TaskOn& task, const UserJob& job);
   void check_rooms();
   void doom(UserJob& job, double since);
   bool may_be_cancelled(const UserJob& job) const;
@@ -372,7 +379,7 @@
   std::map<std::string, Value> hires_;
   std::vector<std::pair<double, Value>> lists_;
   std::size_t hosts_made_ = 0;
-  double cloud_down_until_ = -1, checked_at_ = -1;
+  double cloud_down_until_ = -1, checked_at_ = -1, free_checked_at_ = -1;
   double no_capacity_until_ = -1;
 
   std::map<std::string, std::unique_ptr<UserJob>> jobs_;
--- a/tests/agents_test.cpp
+++ b/tests/agents_test.cpp
@@ -273,6 +273,24 @@
   EXPECT_FALSE(agents_.holds_unplaced("req-1"));
 }
 
+// Another task must not go by the zone of a place that may be false.
+TEST_F(AgentsTest, WhereSpreadTasksAreIsNotKnownBesideACopy) {
+  inherited("m");
+  Machine& n = inherited("n");
+  jobs::Job& job = earlier_job("req-1", 3);
+  job.spec.spread = true;
+  old_report("m", 5, {{"req-1", kOldAttempt}});
+  new_report("n", 9, {{"req-1", kNewAttempt}});
+  new_report("m", 12, {{"req-1", kOldAttempt}});  // both have it
+  EXPECT_EQ(n.unknown, 1);
+  EXPECT_FALSE(may_start(job, 1));
+  job.spec.spread = false;
+  job.spec.one_zone = true;
+  EXPECT_FALSE(may_start(job, 1));
+  job.spec.one_zone = false;
+  EXPECT_TRUE(may_start(job, 1)) << "task 1 itself is nowhere";
+}
+
 // A record of the job that is read only after its task was shown.
 TEST_F(AgentsTest, AJobLearnedOfLateIsWhereItWasShown) {
   Machine& n = inherited("n");
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -611,6 +611,8 @@
   EXPECT_EQ(broken("questions_unanswered"), "unanswered ");
   EXPECT_EQ(broken("older_answer"), "went_back ");
   EXPECT_EQ(broken("odd_accepted"), "accepted_odd ");
+  EXPECT_EQ(broken("task_hidden"), "free_to_start ");
+  EXPECT_EQ(broken("again_after_done"), "again_after_done ");
 }
 
 // Large arrays behind a stream of small ones, of equal and of higher priority, that is more than there is
--- a/tests/world_hunt.cpp
+++ b/tests/world_hunt.cpp
@@ -47,7 +47,8 @@
                 << v.orphans << " orphans, " << v.over_limits << " over limits, " << v.on_sheets
                 << " on sheets, " << v.put_off << " put off\n"
                 << v.late_writes << " written late, " << v.lost_answers << " answers lost, " << v.late_reports
-                << " late reports, " << v.kept_reports << " kept for the next leader, " << v.unheard
+                << " late reports, " << v.late_commands << " late commands, " << v.again_after_done
+                << " started again after they were done, " << v.kept_reports << " kept for the next leader, " << v.unheard
                 << " unheard, " << v.called_off << " called off together, " << v.at_the_end
                 << " cancelled at the end, " << v.odd_answers << " odd requests, " << v.looks
                 << " close looks, beside room for " << v.longest_beside_room << " s at most, unanswered for "
