--- a/src/admission/index.cpp
+++ b/src/admission/index.cpp
@@ -7,7 +7,8 @@
 namespace wingtrail::admission {
 
 void Index::sheet(const std::string& key, const wire::Value& value) {
-  if (sheets_.contains(key)) return;  // a sheet never changes
+  if (sheets_.contains(key))
+    return;  // a sheet never changes
   auto& refs = sheets_[key];
   jobs::each_record(value, [&](const std::string& ref, const wire::Value&) {
     refs.push_back(ref);
@@ -17,11 +18,13 @@
 
 void Index::gone(const std::string& key, Seconds now) {
   const auto sheet = sheets_.extract(key);
-  if (sheet.empty()) return;
+  if (sheet.empty())
+    return;
   for (const std::string& ref : sheet.mapped()) {
     const auto [first, last] = by_ref_.equal_range(ref);
     const auto it = std::find_if(first, last, [&key](const auto& e) { return e.second == key; });
-    if (it != last) by_ref_.erase(it);
+    if (it != last)
+      by_ref_.erase(it);
     gone_[ref] = now;
     gone_order_.emplace_back(now, ref);
   }
@@ -31,7 +34,8 @@
   revision_ = std::max(revision_.value_or(0), revision);
   while (!gone_order_.empty() && gone_order_.front().first < now - kRemembered) {
     const auto it = gone_.find(gone_order_.front().second);
-    if (it != gone_.end() && it->second == gone_order_.front().first) gone_.erase(it);
+    if (it != gone_.end() && it->second == gone_order_.front().first)
+      gone_.erase(it);
     gone_order_.pop_front();
   }
 }
--- a/src/admission/index.hpp
+++ b/src/admission/index.hpp
@@ -19,21 +19,33 @@
 
 class Index {
  public:
-  void begin() { *this = {}; }  // nothing is known any more; it is read anew
+  void begin() {
+    *this = {};
+  }  // nothing is known any more; it is read anew
   void sheet(const std::string& key, const wire::Value& value);
   void gone(const std::string& key, Seconds now);
   // All changes up to that revision have been told.
   void reached(std::uint64_t revision, Seconds now);
-  bool complete() const { return revision_.has_value(); }
-  std::uint64_t revision() const { return revision_.value_or(0); }
-  bool empty() const { return sheets_.empty() && gone_.empty(); }
+  bool complete() const {
+    return revision_.has_value();
+  }
+  std::uint64_t revision() const {
+    return revision_.value_or(0);
+  }
+  bool empty() const {
+    return sheets_.empty() && gone_.empty();
+  }
 
   // The key of a sheet that holds the job; nothing: there is none, as of `revision`.
   std::optional<std::string> find(const std::string& ref) const;
   // Whether a sheet with it has gone not long ago. Its final state is there to be read, but an answer that
   // was under way meanwhile need not show it.
-  bool lately(const std::string& ref) const { return gone_.contains(ref); }
-  std::size_t sheets() const { return sheets_.size(); }
+  bool lately(const std::string& ref) const {
+    return gone_.contains(ref);
+  }
+  std::size_t sheets() const {
+    return sheets_.size();
+  }
 
  private:
   static constexpr Seconds kRemembered = 60;
--- a/src/admission/intake.cpp
+++ b/src/admission/intake.cpp
@@ -16,7 +16,8 @@
 
 std::vector<double> weights(const settings::Settings& settings) {
   std::vector<double> out;
-  for (const auto& t : settings.teams) out.push_back(t.cpus);
+  for (const auto& t : settings.teams)
+    out.push_back(t.cpus);
   return out;
 }
 }  // namespace
@@ -30,7 +31,8 @@
       turns_(weights(settings)),
       // Two conditions for each job, and one for the sheet itself.
       most_(std::max<std::size_t>(1, static_cast<std::size_t>(4 * settings.txn_ops - 1) / 2)) {
-  for (const auto& t : settings.teams) teams_.add(t.name);
+  for (const auto& t : settings.teams)
+    teams_.add(t.name);
 }
 
 bool Intake::waits(const std::string& ref) const {
@@ -67,7 +69,8 @@
   wish.bytes = record.dump().size() + 1;
   by_ref_.emplace(wish.ref, id);
   wishes_.emplace(id, std::move(wish));
-  if (wait > kPatience) return put_off(id);
+  if (wait > kPatience)
+    return put_off(id);
   turns_.add(team, job_class, id, since);
   pump();
 }
@@ -83,10 +86,12 @@
 
 void Intake::arm(Seconds delay) {
   const Seconds at = out_.now() + std::max(delay, 0.002);
-  if (armed_at_ <= at) return;
+  if (armed_at_ <= at)
+    return;
   armed_at_ = at;
   out_.after(at - out_.now(), [this, at] {
-    if (armed_at_ != at) return;
+    if (armed_at_ != at)
+      return;
     armed_at_ = ports::kNever;
     pump();
   });
@@ -97,21 +102,28 @@
     dropped_at_ = out_.now();
     std::vector<Turns::Id> late;
     turns_.drop([&](Turns::Id id) {
-      if (out_.now() < wishes_.at(id).came + 1.5 * kPatience) return false;
+      if (out_.now() < wishes_.at(id).came + 1.5 * kPatience)
+        return false;
       late.push_back(id);
       return true;
     });
-    for (const Turns::Id id : late) put_off(id);
+    for (const Turns::Id id : late)
+      put_off(id);
   }
   while (turns_.size() > 0) {
-    if (out_.now() < refused_until_) return arm(refused_until_ - out_.now());
-    if (in_flight_ >= kAtOnce) return;
+    if (out_.now() < refused_until_)
+      return arm(refused_until_ - out_.now());
+    if (in_flight_ >= kAtOnce)
+      return;
     // What is under way gathers the next. Only when it takes longer than answers usually do does one go
     // beside it.
     const Seconds usual = store_.usual();
-    if (in_flight_ > 0 && out_.now() < sent_at_ + usual) return arm(sent_at_ + usual - out_.now());
-    if (const Seconds wait = store_.ready_in(store::Urgency::admission, 1); wait > 0) return arm(wait);
-    if (!send()) return;
+    if (in_flight_ > 0 && out_.now() < sent_at_ + usual)
+      return arm(sent_at_ + usual - out_.now());
+    if (const Seconds wait = store_.ready_in(store::Urgency::admission, 1); wait > 0)
+      return arm(wait);
+    if (!send())
+      return;
   }
 }
 
@@ -121,7 +133,8 @@
   std::size_t bytes = 2;
   while (batch.size() < (together ? most_ : 1)) {
     const auto id = turns_.take();
-    if (!id) break;
+    if (!id)
+      break;
     Wish& w = wishes_.at(*id);
     if (!batch.empty() && bytes + w.bytes > settings_.value_bytes()) {
       turns_.add(w.team_ix, w.class_ix, *id, w.since);
@@ -131,10 +144,12 @@
     w.sent = true;
     batch.push_back(*id);
   }
-  if (batch.empty()) return false;
+  if (batch.empty())
+    return false;
   ++in_flight_;
   sent_at_ = out_.now();
-  if (batch.size() == 1) return single(batch.front()), true;
+  if (batch.size() == 1)
+    return single(batch.front()), true;
   const std::string key = jobs::kSheet + settings_.node + "/" + life_ + "/" + std::to_string(++last_sheet_);
   ++counts_.sheets;
   sheet(std::move(batch), key);
@@ -166,12 +181,15 @@
 
 void Intake::answered(const Batch& batch, const std::string& key, const store::Reply& r) {
   const bool direct = wishes_.at(batch.front()).direct;
-  if (!direct) --in_flight_;
+  if (!direct)
+    --in_flight_;
   if (r.status == 200) {
-    if (!key.empty()) counts_.on_sheets += batch.size();
+    if (!key.empty())
+      counts_.on_sheets += batch.size();
     const std::uint64_t revision = wire::revision(r.body).value_or(0);
     for (const Turns::Id id : batch) {
-      if (tries_.size() > 0) tries_.settled(wishes_.at(id).ref);
+      if (tries_.size() > 0)
+        tries_.settled(wishes_.at(id).ref);
       settle(id, {Outcome::created, revision, key});
     }
   } else if (r.status == 409) {
@@ -190,24 +208,30 @@
       }
     }
   } else if (r.status == 429 && !direct) {
-    if (r.delivered) refused_until_ = out_.now() + kRefused;
-    for (auto it = batch.rbegin(); it != batch.rend(); ++it) again(*it);
+    if (r.delivered)
+      refused_until_ = out_.now() + kRefused;
+    for (auto it = batch.rbegin(); it != batch.rend(); ++it)
+      again(*it);
   } else if (r.status == 400 && batch.size() > 1) {
     // Its limits are lower than the settings say: fewer go together from now on.
     most_ = std::max<std::size_t>(1, batch.size() / 2);
     spdlog::error("the state service calls a sheet of {} jobs malformed", batch.size());
-    for (auto it = batch.rbegin(); it != batch.rend(); ++it) again(*it);
+    for (auto it = batch.rbegin(); it != batch.rend(); ++it)
+      again(*it);
   } else {
     if (r.status == 400)
       spdlog::error("{}: the state service calls its creation malformed", wishes_.at(batch.front()).ref);
-    for (const Turns::Id id : batch) settle(id, {r.status == 429 ? Outcome::later : Outcome::unserved});
+    for (const Turns::Id id : batch)
+      settle(id, {r.status == 429 ? Outcome::later : Outcome::unserved});
   }
-  if (!direct) pump();
+  if (!direct)
+    pump();
 }
 
 void Intake::again(Turns::Id id) {
   Wish& w = wishes_.at(id);
-  if (out_.now() >= w.came + 1.5 * kPatience) return put_off(id);
+  if (out_.now() >= w.came + 1.5 * kPatience)
+    return put_off(id);
   w.sent = false;
   turns_.add(w.team_ix, w.class_ix, id, w.since);
 }
@@ -215,14 +239,16 @@
 void Intake::put_off(Turns::Id id) {
   const Wish& w = wishes_.at(id);
   ++counts_.put_off;
-  if (put_off_.size() < kClassesKept) ++put_off_[{w.team, w.job_class}];
+  if (put_off_.size() < kClassesKept)
+    ++put_off_[{w.team, w.job_class}];
   tries_.put_off(w.ref, out_.time_of_day() - (out_.now() - w.since), out_.time_of_day());
   settle(id, {Outcome::later, 0, "", std::max(1.0, turn(w.team_ix, w.class_ix, w.since))});
 }
 
 void Intake::settle(Turns::Id id, const Result& result) {
   auto wish = wishes_.extract(id);
-  if (!wish.mapped().direct) by_ref_.erase(wish.mapped().ref);
+  if (!wish.mapped().direct)
+    by_ref_.erase(wish.mapped().ref);
   // Who joined later is told what is so now: since the try went out, the job may have been created otherwise,
   // and have ended.
   bool first = true;
--- a/src/admission/intake.hpp
+++ b/src/admission/intake.hpp
@@ -50,15 +50,27 @@
   struct Counts {
     std::uint64_t sheets = 0, on_sheets = 0, put_off = 0, conflicts = 0;
   };
-  const Counts& counts() const { return counts_; }
+  const Counts& counts() const {
+    return counts_;
+  }
   // When those put off were first tried, as all nodes know it.
-  Tries& tries() { return tries_; }
-  const Tries& tries() const { return tries_; }
-  std::size_t waiting() const { return turns_.size(); }
+  Tries& tries() {
+    return tries_;
+  }
+  const Tries& tries() const {
+    return tries_;
+  }
+  std::size_t waiting() const {
+    return turns_.size();
+  }
   // Changes that what waits now needs.
-  double backlog() const { return static_cast<double>(turns_.size()) / static_cast<double>(most_); }
+  double backlog() const {
+    return static_cast<double>(turns_.size()) / static_cast<double>(most_);
+  }
   // Put off so far, by team and class.
-  const std::map<std::pair<std::string, std::string>, std::uint64_t>& put_off() const { return put_off_; }
+  const std::map<std::pair<std::string, std::string>, std::uint64_t>& put_off() const {
+    return put_off_;
+  }
 
  private:
   struct Wish {
--- a/src/admission/shares.hpp
+++ b/src/admission/shares.hpp
@@ -27,7 +27,9 @@
 
   explicit Shares(std::size_t nodes) : nodes_(nodes), loans_(nodes - 1), wants_(nodes - 1) {}
 
-  double floor() const { return nodes_ == 1 ? 1.0 : kFloors / static_cast<double>(nodes_); }
+  double floor() const {
+    return nodes_ == 1 ? 1.0 : kFloors / static_cast<double>(nodes_);
+  }
   // The leader has lent this node that much, in the answer to what it asked at `asked`. An older answer that
   // comes late changes nothing.
   void borrowed(double share, Seconds asked);
@@ -36,7 +38,9 @@
   // As the leader: a peer wants that much beside its floor, and gets what this returns.
   double lend(std::size_t peer, double wants, Seconds now);
   // Since this node last heard what it may borrow.
-  Seconds age(Seconds now) const { return now - borrowed_at_; }
+  Seconds age(Seconds now) const {
+    return now - borrowed_at_;
+  }
   // What this node may use now; `entitled`: it leads, within its authority.
   double mine(Seconds now, bool entitled) const;
 
--- a/src/admission/tries.hpp
+++ b/src/admission/tries.hpp
@@ -23,13 +23,19 @@
  public:
   // `first`: when it was first tried; times of day, in seconds since 1970, which means the same to all nodes
   // within their bound.
-  void put_off(const std::string& ref, double first, double now) { note(mark_of(ref), first, now, true); }
+  void put_off(const std::string& ref, double first, double now) {
+    note(mark_of(ref), first, now, true);
+  }
   std::optional<double> first(const std::string& ref) const;
-  void settled(const std::string& ref) { known_.erase(mark_of(ref)); }
+  void settled(const std::string& ref) {
+    known_.erase(mark_of(ref));
+  }
   // Those put off here within the last two greetings' time, for a greeting; empty if there are none.
   std::string tell(double now) const;
   void heard(std::string_view told, double now);
-  std::size_t size() const { return known_.size(); }
+  std::size_t size() const {
+    return known_.size();
+  }
 
  private:
   static constexpr double kKept = 90;   // users give up after 60 s
--- a/src/admission/turns.hpp
+++ b/src/admission/turns.hpp
@@ -35,7 +35,9 @@
       }
     }
   }
-  std::size_t size() const { return size_; }
+  std::size_t size() const {
+    return size_;
+  }
   // How many have their turn before one of that class first tried at `since`, others' new ones included.
   double ahead(Ix team, Ix job_class, Seconds since) const;
 
--- a/src/agents/agents.cpp
+++ b/src/agents/agents.cpp
@@ -49,7 +49,9 @@
   zones_.begin(out_.now());
 }
 
-Seconds Agents::lease_end(Seconds from) const { return from + settings_.lease_s * (1 + kDrift) + kMargin; }
+Seconds Agents::lease_end(Seconds from) const {
+  return from + settings_.lease_s * (1 + kDrift) + kMargin;
+}
 
 void Agents::end() {
   active_ = false;
@@ -77,12 +79,14 @@
 void Agents::set_catalog(const std::vector<wire::MachineType>& catalog) {
   for (const auto& t : catalog) {
     const Ix ix = registry_.types.add(t.name);
-    if (catalog_.size() <= ix) catalog_.resize(ix + 1);
+    if (catalog_.size() <= ix)
+      catalog_.resize(ix + 1);
     catalog_[ix] = t;
   }
   for (const Ix ix : live_) {
     Machine& m = machines_[ix];
-    if (m.type >= catalog_.size()) continue;
+    if (m.type >= catalog_.size())
+      continue;
     m.cpus = catalog_[m.type].cpus;
     m.gpus = catalog_[m.type].gpus;
     m.memory_gb = catalog_[m.type].memory_gb;
@@ -99,7 +103,8 @@
 Machine& Agents::learn(const std::string& host, const std::string& addr, const std::string& type,
                        const std::string& zone, bool spot) {
   if (Machine* known = find(host)) {
-    if (known->addr.empty()) known->addr = addr;
+    if (known->addr.empty())
+      known->addr = addr;
     return *known;
   }
   Machine m;
@@ -129,7 +134,8 @@
 wire::Value Agents::record(Ix ix) const {
   const Machine& m = machines_[ix];
   wire::Value images = wire::Value::array();
-  for (const auto& i : m.images) images.push_back(registry_.images[i.first]);
+  for (const auto& i : m.images)
+    images.push_back(registry_.images[i.first]);
   return {{"host", m.host},
           {"addr", m.addr},
           {"type", registry_.types[m.type]},
@@ -139,14 +145,17 @@
 }
 
 Machine& Agents::roster(const wire::Value& record) {
-  const auto field = [&record](const char* key) { return wire::text(record, key).value_or(""); };
+  const auto field = [&record](const char* key) {
+    return wire::text(record, key).value_or("");
+  };
   Machine& m = learn(field("host"), field("addr"), field("type"), field("zone"),
                      wire::flag(record, "spot").value_or(false));
   m.enlisted = true;
   m.settled = false;
   if (const wire::Value* images = wire::find(record, "images"); images && images->is_array()) {
     for (const wire::Value& i : *images) {
-      if (i.is_string()) m.images.emplace_back(registry_.images.add(i.get<std::string>()), out_.now());
+      if (i.is_string())
+        m.images.emplace_back(registry_.images.add(i.get<std::string>()), out_.now());
     }
   }
   m.lease_until = fence_until_;
@@ -159,7 +168,8 @@
 }
 
 void Agents::enlist(Machine& m) {
-  if (m.enlisted || m.enlisting || m.gone) return;
+  if (m.enlisted || m.enlisting || m.gone)
+    return;
   m.enlisting = true;
   ledger_.enlist(m.ix);
 }
@@ -168,7 +178,8 @@
   Machine& m = machines_[ix];
   m.enlisted = true;
   m.enlisting = false;
-  if (m.gone) return ledger_.delist(ix);
+  if (m.gone)
+    return ledger_.delist(ix);
   changed(m);
   events_.up(m);
 }
@@ -188,7 +199,8 @@
 }
 
 void Agents::changed(Machine& m) {
-  if (m.stale) return;
+  if (m.stale)
+    return;
   m.stale = true;
   stale_.push_back(m.ix);
 }
@@ -211,29 +223,35 @@
 // ---------------------------------------------------------------- what workers say
 
 std::optional<wire::Value> Agents::report(const wire::Report& r, bool may_order) {
-  if (!active_) return std::nullopt;
+  if (!active_)
+    return std::nullopt;
   if (r.token > link_.token()) {
     events_.superseded();
     return std::nullopt;
   }
   Machine& m = learn(r.host, r.addr, r.type, r.zone, r.spot);
-  if (m.gone) return std::nullopt;
+  if (m.gone)
+    return std::nullopt;
   // Overtaken by the worker's own answer to orders: there is nothing new in it, but its sender still waits,
   // and would turn to another node.
   if (m.reporting && r.session == m.session && r.seq <= m.seq) {
     m.lease_until = lease_end(out_.now());
     return wire::report_answer(link_.token(), {});
   }
-  if (!is_newer(m, r)) return std::nullopt;
+  if (!is_newer(m, r))
+    return std::nullopt;
   const bool fresh = !m.reporting;
   m.addr = r.addr;
   // A report that was held back during a cut comes at its end, and its sender has long given it up.
-  if (zones_.flaps(m.zone) == 0 || out_.now() > zones_.back_at(m.zone) + kHeldBack) m.beat_at = out_.now();
+  if (zones_.flaps(m.zone) == 0 || out_.now() > zones_.back_at(m.zone) + kHeldBack)
+    m.beat_at = out_.now();
   apply(m, r, true);
-  if (!active_) return std::nullopt;
+  if (!active_)
+    return std::nullopt;
   m.lease_until = lease_end(out_.now());
   enlist(m);
-  if (m.unreachable) look_again(m, out_.now());
+  if (m.unreachable)
+    look_again(m, out_.now());
   // Push the token of a new leadership at once: until then an earlier leader's orders could still take
   // effect. One that just had an answer with it is given the time to say so in its next report.
   if (!m.settled) {
@@ -242,7 +260,8 @@
   } else if (fresh && r.token < link_.token()) {
     look_again(m, out_.now() + kResend);
   }
-  if (!m.settled || !m.enlisted || !may_order) return wire::report_answer(link_.token(), {});
+  if (!m.settled || !m.enlisted || !may_order)
+    return wire::report_answer(link_.token(), {});
   prune(m);
   return wire::report_answer(link_.token(), orders(m, false));
 }
@@ -250,30 +269,36 @@
 // Reports are ordered by session and counter, and nothing that was learned goes back. A session that is over,
 // by its lease or by a newer one, shows nothing that is there.
 bool Agents::is_newer(const Machine& m, const wire::Report& r) {
-  if (!m.reporting && m.session > 0) return r.session > m.session;
+  if (!m.reporting && m.session > 0)
+    return r.session > m.session;
   return std::pair(r.session, r.seq) > std::pair(m.session, m.seq);
 }
 
 void Agents::apply(Machine& m, const wire::Report& r, bool beat) {
   const bool was_up = m.reporting;
   // Another session: everything of the earlier one was killed when that ended.
-  if (m.reporting && r.session > m.session) end_session(m);
-  if (!beat && r.session != m.session) m.beat_at = -1e9;
+  if (m.reporting && r.session > m.session)
+    end_session(m);
+  if (!beat && r.session != m.session)
+    m.beat_at = -1e9;
   // A session that is news here began before this message, and no report of it was answered after it: so its
   // lease lasts at most this long. Keeping the end of the session before it would declare this one over while
   // it lives.
-  if (r.session != m.session) m.lease_until = std::max(m.lease_until, lease_end(out_.now()));
+  if (r.session != m.session)
+    m.lease_until = std::max(m.lease_until, lease_end(out_.now()));
   m.reporting = true;
   m.session = r.session;
   m.seq = r.seq;
   m.last_contact = out_.now();
   m.failures = 0;
   m.unanswered_since = ports::kNever;
-  if (zones_.heard(m.zone, out_.now())) ask_again(m.zone);
+  if (zones_.heard(m.zone, out_.now()))
+    ask_again(m.zone);
   expect(m);
   m.reclaim_at = r.reclaim_in_s ? std::optional<Seconds>(out_.now() + *r.reclaim_in_s) : std::nullopt;
   silent_.erase(m.ix);
-  if (!was_up) look_again(m, out_.now() + kLateReport * settings_.report_s);
+  if (!was_up)
+    look_again(m, out_.now() + kLateReport * settings_.report_s);
 
   std::vector<bool> listed(m.slots.size(), false);
   const std::size_t known = m.slots.size();
@@ -282,7 +307,8 @@
   // A worker has one report under way at a time: this one says that it has acted on the answer to the one
   // before, or never will.
   if (beat) {
-    for (Slot& s : m.slots) s.in_answer_until = 0, s.unproven = false;
+    for (Slot& s : m.slots)
+      s.in_answer_until = 0, s.unproven = false;
   }
   std::size_t hint = 0;  // reports list tasks in the order in which they came
   for (const wire::TaskReport& t : r.tasks) {
@@ -290,7 +316,8 @@
     for (std::size_t k = 0; k < known; ++k) {
       const std::size_t i = (hint + k) % known;
       const Slot& s = m.slots[i];
-      if (s.attempt != t.attempt || s.task != t.index || !s.of(t.ref)) continue;
+      if (s.attempt != t.attempt || s.task != t.index || !s.of(t.ref))
+        continue;
       found = i;
       hint = i + 1;
       break;
@@ -307,12 +334,14 @@
   for (std::size_t i = known; i-- > 0;) {
     // A start that has not arrived yet is missing from the report and stays in doubt. Anything else that was
     // seen before and is missing now was forgotten by the worker.
-    if (listed[i] || m.slots[i].phase == Slot::Phase::ordered) continue;
+    if (listed[i] || m.slots[i].phase == Slot::Phase::ordered)
+      continue;
     room |= m.slots[i].counted;
     drop_slot(m, i);
   }
   if (std::none_of(m.slots.begin(), m.slots.end(), [](const Slot& s) { return s.counted; })) {
-    if (m.idle_since == 0) m.idle_since = out_.now();
+    if (m.idle_since == 0)
+      m.idle_since = out_.now();
   } else {
     m.idle_since = 0;
   }
@@ -321,13 +350,17 @@
   // has been taken in whole. Told half-way, a start grew `slots` under the references in use above.
   for (const Slot& s : std::exchange(ended_, {})) {
     events_.exited(m, s);
-    if (term != term_) return;
+    if (term != term_)
+      return;
   }
   // Only now that everything on the machine is known: settling may let tasks start, and one that runs here
   // must not be among them.
-  if (r.token == link_.token()) settle(m);
-  if (!was_up) events_.up(m);
-  if (room) events_.room(m);
+  if (r.token == link_.token())
+    settle(m);
+  if (!was_up)
+    events_.up(m);
+  if (room)
+    events_.room(m);
 }
 
 void Agents::adopt(Machine& m, const wire::TaskReport& t) {
@@ -355,7 +388,8 @@
   add_copy(m, slot);
   if (pending) {
     claim(*job, t.index);
-    if (job->aborting) stop(m, slot, 0);  // found only now, of a job whose cancellation is under way
+    if (job->aborting)
+      stop(m, slot, 0);  // found only now, of a job whose cancellation is under way
   } else if (t.phase != wire::TaskPhase::exited && !(known && place_in_doubt(job->tasks[t.index]))) {
     // Done already, or (which the rules forbid, and so must not be made worse) on another machine.
     if (!job || !job->open())
@@ -380,7 +414,8 @@
     }
     return;
   }
-  if (s.phase == Slot::Phase::exited) return;
+  if (s.phase == Slot::Phase::exited)
+    return;
   s.phase = Slot::Phase::exited;
   s.cause = t.cause;
   release(m, s);
@@ -396,7 +431,8 @@
     }
   }
   s.forget = true;
-  if (!job) return;
+  if (!job)
+    return;
   unplace(*job, s.task, m);
   ended_.push_back(s);
 }
@@ -415,19 +451,21 @@
   const auto copy = std::find_if(it->second.begin(), it->second.end(),
                                  [&](const Copy& c) { return c.machine == m.ix && c.task == s.task; });
   it->second.erase(copy);
-  if (it->second.empty()) copies_.erase(it);
+  if (it->second.empty())
+    copies_.erase(it);
   account(m);
 }
 
 bool Agents::holds_unplaced(const std::string& ref, std::uint32_t task) const {
   const auto it = copies_.find(ref);
-  return it != copies_.end() && std::any_of(it->second.begin(), it->second.end(),
-                                            [task](const Copy& c) { return c.task == task; });
+  return it != copies_.end() &&
+         std::any_of(it->second.begin(), it->second.end(), [task](const Copy& c) { return c.task == task; });
 }
 
 Slot* Agents::copy_on(Ix machine, const std::string& ref, std::uint32_t task) {
   for (Slot& s : machines_[machine].slots) {
-    if (s.job == kNone && s.counted && s.task == task && s.of(ref)) return &s;
+    if (s.job == kNone && s.counted && s.task == task && s.of(ref))
+      return &s;
   }
   return nullptr;
 }
@@ -439,16 +477,19 @@
 // Of one task, or of all.
 void Agents::stop_copies(const std::string& ref, std::optional<std::uint32_t> task) {
   const auto it = copies_.find(ref);
-  if (it == copies_.end()) return;
+  if (it == copies_.end())
+    return;
   for (const Copy& c : it->second) {
-    if (task && c.task != *task) continue;
-    if (Slot* slot = copy_on(c.machine, ref, c.task)) stop(machines_[c.machine], *slot, 0);
+    if (task && c.task != *task)
+      continue;
+    if (Slot* slot = copy_on(c.machine, ref, c.task))
+      stop(machines_[c.machine], *slot, 0);
   }
 }
 
 // The task is not on that machine any more. If another shows it, that is where it is: an old report that
-// reached a new leader first may have given its place to a machine that had it before (AgentsTest). Waiting, it
-// would be started a second time while that one is still to be told to stop.
+// reached a new leader first may have given its place to a machine that had it before (AgentsTest). Waiting,
+// it would be started a second time while that one is still to be told to stop.
 void Agents::unplace(jobs::Job& job, std::uint32_t task, const Machine& m) {
   registry_.unplace(job, task, m.zone);
   claim(job, task);
@@ -457,16 +498,19 @@
 // Gives a pending task its place on a machine that shows it; false if none does.
 bool Agents::claim(jobs::Job& job, std::uint32_t task) {
   const auto it = copies_.find(job.spec.ref);
-  if (it == copies_.end() || !job.open()) return false;
-  const auto copy = std::find_if(it->second.begin(), it->second.end(),
-                                 [task](const Copy& c) { return c.task == task; });
-  if (copy == it->second.end()) return false;
+  if (it == copies_.end() || !job.open())
+    return false;
+  const auto copy =
+      std::find_if(it->second.begin(), it->second.end(), [task](const Copy& c) { return c.task == task; });
+  if (copy == it->second.end())
+    return false;
   Machine& m = machines_[copy->machine];
   Slot& s = *copy_on(m.ix, job.spec.ref, task);
   remove_copy(m, s);
   s.job = job.ix;
   s.need = job.spec.need;
-  if (!s.ends_at_once()) add(m.used, s.need, 1);
+  if (!s.ends_at_once())
+    add(m.used, s.need, 1);
   add(team_use_[job.team], s.need, 1);
   registry_.place(job, task, m.ix, m.zone);
   if (s.phase == Slot::Phase::running) {
@@ -479,9 +523,11 @@
 }
 
 void Agents::claim(jobs::Job& job) {
-  if (!copies_.contains(job.spec.ref)) return;
+  if (!copies_.contains(job.spec.ref))
+    return;
   for (std::uint32_t task = 0; task < job.tasks.size(); ++task) {
-    if (job.tasks[task].state == jobs::TaskState::pending) claim(job, task);
+    if (job.tasks[task].state == jobs::TaskState::pending)
+      claim(job, task);
   }
 }
 
@@ -500,11 +546,14 @@
 
 // The machine that has the task's place keeps it as a copy, until it proves that it is gone.
 void Agents::give_up_place(jobs::Job& job, std::uint32_t task) {
-  if (job.tasks[task].state != jobs::TaskState::placed) return;
+  if (job.tasks[task].state != jobs::TaskState::placed)
+    return;
   Machine& m = machines_[job.tasks[task].machine];
   for (Slot& s : m.slots) {
-    if (s.job != job.ix || s.task != task || !s.counted) continue;
-    if (!s.ends_at_once()) add(m.used, s.need, -1);
+    if (s.job != job.ix || s.task != task || !s.counted)
+      continue;
+    if (!s.ends_at_once())
+      add(m.used, s.need, -1);
     add(team_use_[job.team], s.need, -1);
     s.job = kNone;
     s.need = {};
@@ -515,12 +564,15 @@
 }
 
 void Agents::release(Machine& m, Slot& s) {
-  if (!s.counted) return;
+  if (!s.counted)
+    return;
   s.counted = false;
   changed(m);
-  if (s.job == kNone) return remove_copy(m, s);
+  if (s.job == kNone)
+    return remove_copy(m, s);
   // A slot that ends at once has given its room to its successor already (see stop()).
-  if (!s.ends_at_once()) add(m.used, s.need, -1);
+  if (!s.ends_at_once())
+    add(m.used, s.need, -1);
   add(team_use_[registry_.at(s.job)->team], s.need, -1);
 }
 
@@ -533,16 +585,20 @@
     // It must not be found again where it has just ended.
     const std::uint32_t task = s.task;
     m.slots.erase(m.slots.begin() + static_cast<std::ptrdiff_t>(i));
-    if (job) unplace(*job, task, m);
-    if (job) registry_.drop_if_over(*job);
+    if (job)
+      unplace(*job, task, m);
+    if (job)
+      registry_.drop_if_over(*job);
     return;
   }
   m.slots.erase(m.slots.begin() + static_cast<std::ptrdiff_t>(i));
-  if (job) registry_.drop_if_over(*job);
+  if (job)
+    registry_.drop_if_over(*job);
 }
 
 void Agents::end_session(Machine& m) {
-  for (std::size_t i = m.slots.size(); i-- > 0;) drop_slot(m, i);
+  for (std::size_t i = m.slots.size(); i-- > 0;)
+    drop_slot(m, i);
   m.reporting = false;
   m.idle_since = out_.now();
   expect(m);
@@ -550,7 +606,8 @@
 }
 
 void Agents::settle(Machine& m) {
-  if (m.settled) return;
+  if (m.settled)
+    return;
   m.settled = true;
   expect(m);
   account(m);
@@ -558,16 +615,19 @@
   // What it shows is so. Whoever else shows the same was left alone until now.
   if (!copies_.empty()) {
     for (const Slot& s : m.slots) {
-      if (const jobs::Job* job = registry_.at(s.job); job && s.counted) stop_copies(job->spec.ref, s.task);
+      if (const jobs::Job* job = registry_.at(s.job); job && s.counted)
+        stop_copies(job->spec.ref, s.task);
     }
   }
-  if (m.reporting && m.enlisted) events_.up(m);
+  if (m.reporting && m.enlisted)
+    events_.up(m);
 }
 
 // Machines that are up, or were when an earlier leader last said so, report; those that boot do not yet.
 void Agents::expect(Machine& m) {
   const bool expected = !m.gone && (m.reporting || !m.settled);
-  if (expected == m.expected) return;
+  if (expected == m.expected)
+    return;
   m.expected = expected;
   zones_.expected(m.zone, expected ? 1 : -1);
 }
@@ -577,20 +637,23 @@
   spdlog::info("{} is within reach again", registry_.zones[zone]);
   for (const Ix ix : live_) {
     Machine& m = machines_[ix];
-    if (m.zone != zone || !m.expected) continue;
+    if (m.zone != zone || !m.expected)
+      continue;
     // What failed before says only that the zone was out of reach (a day on which the first answer after a
     // cut made 238 sound machines look lost alone).
     m.failures = 0;
     m.unanswered_since = ports::kNever;
     m.retry_at = out_.now();
     look_again(m, out_.now());
-    if (!m.settled) want(m);
+    if (!m.settled)
+      want(m);
   }
 }
 
 Agents::Doubt& Agents::doubt(const Machine& m) {
   for (Doubt& d : doubts_) {
-    if (d.type == m.type && d.zone == m.zone && d.spot == m.spot) return d;
+    if (d.type == m.type && d.zone == m.zone && d.spot == m.spot)
+      return d;
   }
   doubts_.push_back({m.type, m.zone, m.spot, 0});
   return doubts_.back();
@@ -625,13 +688,16 @@
 }
 
 std::optional<wire::Resources> Agents::unaccounted() const {
-  if (unsized_ > 0) return std::nullopt;
-  if (in_doubt_ == 0) return wire::Resources{};
+  if (unsized_ > 0)
+    return std::nullopt;
+  if (in_doubt_ == 0)
+    return wire::Resources{};
   return doubt_sum_;
 }
 
 void Agents::watch_spot(Seconds span) {
-  for (const Ix ix : live_) spot_seconds_ += machines_[ix].spot && machines_[ix].reporting ? span : 0;
+  for (const Ix ix : live_)
+    spot_seconds_ += machines_[ix].spot && machines_[ix].reporting ? span : 0;
 }
 
 void Agents::keep(Machine& m, const wire::Resources& need, double sign) {
@@ -640,9 +706,11 @@
 }
 
 void Agents::gone(Machine& m) {
-  if (m.gone) return;
+  if (m.gone)
+    return;
   // Returned for silence counts as taken: most that fall silent without a notice were.
-  if (m.spot && m.reporting && (m.reclaim_at || !m.returning || silence(m) > silent_s())) ++spot_lost_;
+  if (m.spot && m.reporting && (m.reclaim_at || !m.returning || silence(m) > silent_s()))
+    ++spot_lost_;
   end_session(m);
   zones_.member(m.zone, -1);
   m.gone = true;
@@ -651,8 +719,10 @@
   account(m);
   silent_.erase(m.ix);
   const auto it = std::lower_bound(live_.begin(), live_.end(), m.ix);
-  if (it != live_.end() && *it == m.ix) live_.erase(it);
-  if (m.enlisted) ledger_.delist(m.ix);
+  if (it != live_.end() && *it == m.ix)
+    live_.erase(it);
+  if (m.enlisted)
+    ledger_.delist(m.ix);
   m.enlisted = false;
   events_.gone(m);
 }
@@ -668,7 +738,8 @@
   changed(m);
   // The worker keeps the most recently used. Sizes come with the jobs; a wrong guess costs a fetch, no more.
   double cached = 0;
-  for (const auto& i : m.images) cached += registry_.image_gb(i.first);
+  for (const auto& i : m.images)
+    cached += registry_.image_gb(i.first);
   const double cache = m.type < catalog_.size() ? catalog_[m.type].cache_gb : 0;
   while (m.images.size() > 1 && cached > cache) {
     const auto oldest = std::min_element(m.images.begin(), m.images.end(),
@@ -676,13 +747,15 @@
     cached -= registry_.image_gb(oldest->first);
     m.images.erase(oldest);
   }
-  if (m.enlisted) ledger_.refresh(m.ix);
+  if (m.enlisted)
+    ledger_.refresh(m.ix);
 }
 
 void Agents::forget(const std::vector<jobs::Ledger::Ended>& ended) {
   for (const auto& e : ended) {
     for (Slot& s : machines_[e.machine].slots) {
-      if (s.attempt == e.attempt && s.task == e.task && s.phase == Slot::Phase::exited) s.forget = true;
+      if (s.attempt == e.attempt && s.task == e.task && s.phase == Slot::Phase::exited)
+        s.forget = true;
     }
   }
 }
@@ -691,7 +764,8 @@
 
 void Agents::look_again(Machine& m, Seconds at) {
   at = std::max(at, out_.now() + kSoonest);  // a deadline that has passed must not be looked at in circles
-  if (at >= m.check_at) return;
+  if (at >= m.check_at)
+    return;
   m.check_at = at;
   due_.push({at, m.ix});
 }
@@ -699,12 +773,14 @@
 void Agents::tick() {
   const Seconds now = out_.now();
   // Past its authority a leader knows nothing of the workers' leases: another one may be renewing them.
-  if (!active_ || now >= link_.authority_until()) return;
+  if (!active_ || now >= link_.authority_until())
+    return;
   while (!due_.empty() && due_.top().at <= now) {
     const Due due = due_.top();
     due_.pop();
     Machine& m = machines_[due.ix];
-    if (m.check_at != due.at) continue;  // an earlier look replaced this one
+    if (m.check_at != due.at)
+      continue;  // an earlier look replaced this one
     m.check_at = ports::kNever;
     ++checks_;
     check(m);
@@ -716,11 +792,13 @@
 void Agents::raise_alarm() {
   const Seconds now = out_.now();
   alarm_until_ = now + kAlarm;
-  if (now < alarm_from_ + kAlarm) return;
+  if (now < alarm_from_ + kAlarm)
+    return;
   alarm_from_ = now;
   sweep_.clear();
   for (const Ix ix : live_) {
-    if (machines_[ix].reporting) sweep_.push_back(ix);
+    if (machines_[ix].reporting)
+      sweep_.push_back(ix);
   }
   // The longest silent first: they are the likeliest, and need no second call to be sure of.
   std::sort(sweep_.begin(), sweep_.end(), [this](Ix a, Ix b) {
@@ -744,15 +822,18 @@
 // What time alone brings about on a machine, and when to look at it next.
 void Agents::check(Machine& m) {
   const Seconds now = out_.now();
-  if (m.gone) return;
+  if (m.gone)
+    return;
   if (now >= m.lease_until && (m.reporting || !m.settled)) {
     // A peer may have renewed it in custody; only its word, or the end of what it was granted, rules that
     // out.
     if (now >= link_.lease_end(m.lease_until)) {
       // Nobody can have renewed the worker's lease since, so it has killed everything it had.
-      if (m.reporting) spdlog::warn("{}: its lease has run out", m.host);
+      if (m.reporting)
+        spdlog::warn("{}: its lease has run out", m.host);
       // A machine that died long before says nothing of its zone.
-      if (m.last_contact >= zones_.heard_at(m.zone) - 2 * settings_.report_s) zones_.lease_over(m.zone, now);
+      if (m.last_contact >= zones_.heard_at(m.zone) - 2 * settings_.report_s)
+        zones_.lease_over(m.zone, now);
       end_session(m);
       m.settled = true;
       expect(m);
@@ -762,18 +843,22 @@
     }
   }
   changed(m);
-  if ((m.reporting || !m.settled) && now < m.lease_until) look_again(m, m.lease_until);
+  if ((m.reporting || !m.settled) && now < m.lease_until)
+    look_again(m, m.lease_until);
   // Of a zone out of reach one machine now and then is asked; when it answers, all are (ask_again).
   if ((m.reporting || !m.settled) && zones_.cut(m.zone, now)) {
-    if (ask_at_.size() <= m.zone) ask_at_.resize(m.zone + 1);
+    if (ask_at_.size() <= m.zone)
+      ask_at_.resize(m.zone + 1);
     if (now >= ask_at_[m.zone] && !m.in_flight && !m.addr.empty() && calls_ < call_limit()) {
       ask_at_[m.zone] = now + kAskCut;
       send_direct(m, {}, {}, kProbeTimeout);
     }
-    if (silence(m) > silent_s()) silent_.insert(m.ix);
+    if (silence(m) > silent_s())
+      silent_.insert(m.ix);
     return look_again(m, now + kResend);
   }
-  if (m.doubt_until > now) look_again(m, m.doubt_until);
+  if (m.doubt_until > now)
+    look_again(m, m.doubt_until);
   if (wants_orders(m)) {
     if (!m.in_flight && now >= m.pushed_at + kResend) {
       m.news = true;
@@ -788,9 +873,12 @@
       (m.failures >= 2 || (m.failures == 1 && silence(m) > kAboutToReport * settings_.report_s));
   // After a take-over the others have answered within a moment; one that does not answer two calls is lost.
   const bool missing = !m.settled && m.failures >= 2;
-  if ((amid || missing || silence(m) > silent_s()) && (m.reporting || !m.settled)) silent_.insert(m.ix);
-  if (!m.settled && silence(m) <= silent_s()) look_again(m, m.last_contact + silent_s() + kSoonest);
-  if (!m.reporting) return;
+  if ((amid || missing || silence(m) > silent_s()) && (m.reporting || !m.settled))
+    silent_.insert(m.ix);
+  if (!m.settled && silence(m) <= silent_s())
+    look_again(m, m.last_contact + silent_s() + kSoonest);
+  if (!m.reporting)
+    return;
   // One that failed to answer is asked again at once.
   const Seconds late = m.failures > 0 ? 0 : kLateReport * settings_.report_s;
   // It reports, but was not there when it was last called: without another call it would never get orders
@@ -798,7 +886,8 @@
   const bool back = m.unreachable && m.failures == 0 && silence(m) <= late;
   if (back && !m.in_flight && now >= m.retry_at && !m.addr.empty() && calls_ < call_limit())
     send_direct(m, {}, {}, kProbeTimeout);
-  if (silence(m) <= late) return look_again(m, back ? now + kResend : m.last_contact + late + kSoonest);
+  if (silence(m) <= late)
+    return look_again(m, back ? now + kResend : m.last_contact + late + kSoonest);
   // Ask a machine that should have reported by now; the answer to an empty list of orders is its report.
   if (!m.in_flight && (now >= m.retry_at || now < alarm_until_) && !m.addr.empty() && calls_ < call_limit()) {
     send_direct(m, {}, {}, kProbeTimeout);
--- a/src/agents/agents.hpp
+++ b/src/agents/agents.hpp
@@ -57,11 +57,19 @@
   Machine& learn(const std::string& host, const std::string& addr, const std::string& type,
                  const std::string& zone, bool spot);
   Machine* find(const std::string& host);
-  Machine& at(Ix ix) { return machines_[ix]; }
-  const std::deque<Machine>& all() const { return machines_; }
+  Machine& at(Ix ix) {
+    return machines_[ix];
+  }
+  const std::deque<Machine>& all() const {
+    return machines_;
+  }
   // Those that are not gone; for what is done once a second at most.
-  const std::vector<Ix>& live() const { return live_; }
-  const std::set<Ix>& silent() const { return silent_; }
+  const std::vector<Ix>& live() const {
+    return live_;
+  }
+  const std::set<Ix>& silent() const {
+    return silent_;
+  }
 
   // A report that came in; the answer's body, or nothing if it must not be accepted.
   // `orders`: whether the answer may hold any.
@@ -78,27 +86,41 @@
   void changed(Machine& m);                     // something that decides whether, or for what, it takes work
   void flush();                                 // send the orders that have gathered
   void tick();
-  const zones::Zones& zones() const { return zones_; }
+  const zones::Zones& zones() const {
+    return zones_;
+  }
   // When every lease of a zone out of reach is certainly over, if it is not heard before.
-  Seconds zone_ends(Ix zone) const { return link_.lease_end(lease_end(zones_.heard_at(zone))); }
+  Seconds zone_ends(Ix zone) const {
+    return link_.lease_end(lease_end(zones_.heard_at(zone)));
+  }
   // A machine of which nothing is heard, while others of its zone are.
   bool lost_alone(const Machine& m) const {
     return zones_.lost_alone(m.zone, m.addr.empty() ? m.last_contact + silent_s() : m.unanswered_since);
   }
-  Seconds silence(const Machine& m) const { return out_.now() - m.last_contact; }
-  Seconds silent_s() const { return settings_.tunables.silent_reports * settings_.report_s; }
+  Seconds silence(const Machine& m) const {
+    return out_.now() - m.last_contact;
+  }
+  Seconds silent_s() const {
+    return settings_.tunables.silent_reports * settings_.report_s;
+  }
   wire::Value record(Ix ix) const;  // for the roster
   void enlisted(Ix ix);
 
   // ---- what an earlier leader may have left
   // Whether every task it may have started is accounted for.
-  bool clear() const { return in_doubt_ == 0; }
-  const std::vector<Doubt>& doubts() const { return doubts_; }
+  bool clear() const {
+    return in_doubt_ == 0;
+  }
+  const std::vector<Doubt>& doubts() const {
+    return doubts_;
+  }
   // What tasks that are not known here can use at most; nothing if not even that is known.
   std::optional<wire::Resources> unaccounted() const;
 
   // Whether a machine shows a task of the job beside those that are placed: one that can't be adopted there.
-  bool holds_unplaced(const std::string& ref) const { return copies_.contains(ref); }
+  bool holds_unplaced(const std::string& ref) const {
+    return copies_.contains(ref);
+  }
   // The same, of one task.
   bool holds_unplaced(const std::string& ref, std::uint32_t task) const;
   // Gives each pending task of a job that a machine shows its place there. For jobs whose record is read only
@@ -108,14 +130,28 @@
   const Index& index();  // up to date
   bool may_start(const Machine& m) const;
   // How often a spot machine is taken, per second of its time, as seen so far.
-  double spot_loss_rate() const { return (spot_lost_ + 1) / (spot_seconds_ + kSpotPrior); }
+  double spot_loss_rate() const {
+    return (spot_lost_ + 1) / (spot_seconds_ + kSpotPrior);
+  }
   void watch_spot(Seconds span);  // that much time has passed for all of them
-  const wire::Resources& team_use(Ix team) const { return team_use_[team]; }
-  std::uint64_t orders_sent() const { return orders_sent_; }
-  std::uint64_t direct_calls() const { return direct_calls_; }
-  std::uint64_t checks() const { return checks_; }
-  std::uint64_t sweeps() const { return sweeps_; }          // alarms that asked every machine
-  Seconds cleared_after() const { return cleared_after_; }  // since the take-over; 0: not yet
+  const wire::Resources& team_use(Ix team) const {
+    return team_use_[team];
+  }
+  std::uint64_t orders_sent() const {
+    return orders_sent_;
+  }
+  std::uint64_t direct_calls() const {
+    return direct_calls_;
+  }
+  std::uint64_t checks() const {
+    return checks_;
+  }
+  std::uint64_t sweeps() const {
+    return sweeps_;
+  }  // alarms that asked every machine
+  Seconds cleared_after() const {
+    return cleared_after_;
+  }  // since the take-over; 0: not yet
 
  private:
   // A machine that shows a task whose place is taken, or whose job is over or unknown.
@@ -184,7 +220,9 @@
   struct Due {
     Seconds at;
     Ix ix;
-    bool operator>(const Due& o) const { return at != o.at ? at > o.at : ix > o.ix; }
+    bool operator>(const Due& o) const {
+      return at != o.at ? at > o.at : ix > o.ix;
+    }
   };
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::vector<Slot> ended_;  // by the report being taken in
--- a/src/agents/index.cpp
+++ b/src/agents/index.cpp
@@ -19,18 +19,21 @@
 
 void Index::insert(Group& g, Ix ix, double free) {
   g.members.insert(std::lower_bound(g.members.begin(), g.members.end(), ix), ix);
-  if (free > kNoRoom) g.room.emplace(free, ix);
+  if (free > kNoRoom)
+    g.room.emplace(free, ix);
 }
 
 void Index::erase(Group& g, Ix ix, double free) {
   const auto it = std::lower_bound(g.members.begin(), g.members.end(), ix);
-  if (it != g.members.end() && *it == ix) g.members.erase(it);
+  if (it != g.members.end() && *it == ix)
+    g.members.erase(it);
   g.room.erase({free, ix});
 }
 
 void Index::move(Group& g, Ix ix, double from, double to) {
   g.room.erase({from, ix});
-  if (to > kNoRoom) g.room.emplace(to, ix);
+  if (to > kNoRoom)
+    g.room.emplace(to, ix);
 }
 
 void Index::update(Machine& m, bool open) {
@@ -40,26 +43,32 @@
                            std::equal(m.images.begin(), m.images.end(), m.indexed_images.begin(),
                                       [](const auto& image, Ix indexed) { return image.first == indexed; });
   if (pool == m.pool && same_images) {
-    if (pool == kNone || free == m.indexed_free) return;
+    if (pool == kNone || free == m.indexed_free)
+      return;
     Pool& p = pools_[pool];
     move(p.all, m.ix, m.indexed_free, free);
-    for (const Ix image : m.indexed_images) move(p.by_image[image], m.ix, m.indexed_free, free);
+    for (const Ix image : m.indexed_images)
+      move(p.by_image[image], m.ix, m.indexed_free, free);
     m.indexed_free = free;
     return;
   }
   if (m.pool != kNone) {
     Pool& p = pools_[m.pool];
     erase(p.all, m.ix, m.indexed_free);
-    for (const Ix image : m.indexed_images) erase(p.by_image[image], m.ix, m.indexed_free);
+    for (const Ix image : m.indexed_images)
+      erase(p.by_image[image], m.ix, m.indexed_free);
   }
   m.pool = pool;
   m.indexed_free = free;
   m.indexed_images.clear();
-  for (const auto& image : m.images) m.indexed_images.push_back(image.first);
-  if (pool == kNone) return;
+  for (const auto& image : m.images)
+    m.indexed_images.push_back(image.first);
+  if (pool == kNone)
+    return;
   Pool& p = pools_[pool];
   insert(p.all, m.ix, free);
-  for (const Ix image : m.indexed_images) insert(p.by_image[image], m.ix, free);
+  for (const Ix image : m.indexed_images)
+    insert(p.by_image[image], m.ix, free);
 }
 
 }  // namespace wingtrail::agents
--- a/src/agents/index.hpp
+++ b/src/agents/index.hpp
@@ -30,8 +30,12 @@
 
   // Brings the index up to date with the machine; `open`: it takes work.
   void update(Machine& m, bool open);
-  const std::deque<Pool>& pools() const { return pools_; }
-  void clear() { pools_.clear(); }
+  const std::deque<Pool>& pools() const {
+    return pools_;
+  }
+  void clear() {
+    pools_.clear();
+  }
 
  private:
   Ix pool_of(const Machine& m);
--- a/src/agents/machine.hpp
+++ b/src/agents/machine.hpp
@@ -46,9 +46,13 @@
     return name.size() > ref.size() && name[ref.size()] == '/' && name.compare(0, ref.size(), ref) == 0;
   }
   // Ends the moment its stop arrives, so a start behind that stop in the same message finds the room.
-  bool ends_at_once() const { return stop && grace_s == 0; }
+  bool ends_at_once() const {
+    return stop && grace_s == 0;
+  }
   // Whether a start of it may still reach the worker.
-  bool start_under_way(Seconds now) const { return in_flight || late_copy || now < in_answer_until; }
+  bool start_under_way(Seconds now) const {
+    return in_flight || late_copy || now < in_answer_until;
+  }
   // Whether it is certain that no start of it has left, or ever arrived.
   bool never_there(Seconds now) const {
     return phase == Phase::ordered && !unproven && !start_under_way(now);
@@ -107,7 +111,8 @@
   }
   bool has_image(Ix image) const {
     for (const auto& i : images) {
-      if (i.first == image) return true;
+      if (i.first == image)
+        return true;
     }
     return false;
   }
--- a/src/agents/orders.cpp
+++ b/src/agents/orders.cpp
@@ -34,7 +34,8 @@
   s.attempt = (link_.honest() ? custody::kHonest : 0) + (link_.token() << custody::kTokenShift) + ++counter_;
   // A gang's tasks find each other by their attempt: all that start together share it.
   if (job.gang()) {
-    if (job.placed == 0) job.gang_attempt = s.attempt;
+    if (job.placed == 0)
+      job.gang_attempt = s.attempt;
     s.attempt = job.gang_attempt;
   }
   s.name = wire::task_name(job.spec.ref, task);
@@ -52,11 +53,13 @@
 }
 
 void Agents::stop(Machine& m, Slot& s, double grace_s) {
-  if (!s.counted || (s.stop && s.grace_s <= grace_s)) return;
+  if (!s.counted || (s.stop && s.grace_s <= grace_s))
+    return;
   const bool before = s.ends_at_once();
   s.stop = true;
   s.grace_s = grace_s;
-  if (!before && s.ends_at_once() && s.job != kNone) add(m.used, s.need, -1);
+  if (!before && s.ends_at_once() && s.job != kNone)
+    add(m.used, s.need, -1);
   m.news = true;
   changed(m);
   want(m);
@@ -64,10 +67,12 @@
 
 void Agents::cancel(jobs::Job& job) {
   for (const jobs::Task& t : job.tasks) {
-    if (t.state != jobs::TaskState::placed) continue;
+    if (t.state != jobs::TaskState::placed)
+      continue;
     Machine& m = machines_[t.machine];
     for (Slot& s : m.slots) {
-      if (s.job == job.ix && s.counted) stop(m, s, 0);
+      if (s.job == job.ix && s.counted)
+        stop(m, s, 0);
     }
   }
   stop_copies(job.spec.ref);
@@ -79,7 +84,8 @@
     const Slot& s = m.slots[i];
     // Time alone proves nothing: a worker may have acted on the answer to its report and fallen silent then.
     // Taking such a task for one that never left ran it twice on a day of roamkvitto-core-grown.
-    if (s.stop && s.never_there(out_.now())) drop_slot(m, i);
+    if (s.stop && s.never_there(out_.now()))
+      drop_slot(m, i);
   }
 }
 
@@ -88,10 +94,12 @@
   std::vector<wire::Order> list;
   // Stops come first: a start behind them may need their room.
   for (const Slot& s : m.slots) {
-    if (s.counted && s.stop) list.push_back({V::stop, s.name, s.attempt, s.grace_s});
+    if (s.counted && s.stop)
+      list.push_back({V::stop, s.name, s.attempt, s.grace_s});
   }
   for (const Slot& s : m.slots) {
-    if (list.size() >= kOrdersPerCall) break;
+    if (list.size() >= kOrdersPerCall)
+      break;
     if (s.phase == Slot::Phase::exited && s.forget && !s.start_under_way(out_.now())) {
       list.push_back({V::forget, s.name, s.attempt});
     }
@@ -106,10 +114,13 @@
   for (Slot& s : m.slots) {
     // A start and its stop at once need no start; the slot stays until the session tells that it never
     // arrived.
-    if (s.phase != Slot::Phase::ordered || list.size() >= kOrdersPerCall) continue;
-    if (s.stop && s.never_there(out_.now())) continue;
+    if (s.phase != Slot::Phase::ordered || list.size() >= kOrdersPerCall)
+      continue;
+    if (s.stop && s.never_there(out_.now()))
+      continue;
     jobs::Job* job = registry_.at(s.job);
-    if (!job || !job->open()) continue;
+    if (!job || !job->open())
+      continue;
     list.push_back({V::start, s.name, s.attempt});
     if (direct) {
       s.in_flight = true;
@@ -119,7 +130,8 @@
     }
   }
   orders_sent_ += list.size();
-  if (!list.empty()) look_again(m, out_.now() + kResend);
+  if (!list.empty())
+    look_again(m, out_.now() + kResend);
   return list;
 }
 
@@ -128,13 +140,15 @@
 }
 
 void Agents::want(Machine& m) {
-  if (m.dirty || m.gone) return;
+  if (m.dirty || m.gone)
+    return;
   m.dirty = true;
   (m.settled ? orders_due_ : tokens_due_).push_back(m.ix);
 }
 
 void Agents::flush() {
-  if (!active_) return;
+  if (!active_)
+    return;
   for (auto* queue : {&orders_due_, &tokens_due_}) {
     // Tokens are pushed by the hundred after a take-over; half of the calls stay free for orders meanwhile.
     const int limit = queue == &orders_due_ ? call_limit() : call_limit() / 2;
@@ -142,7 +156,8 @@
       Machine& m = machines_[queue->front()];
       queue->pop_front();
       m.dirty = false;
-      if (m.in_flight || (m.settled && !m.news)) continue;
+      if (m.in_flight || (m.settled && !m.news))
+        continue;
       push(m);
     }
   }
@@ -151,25 +166,33 @@
 
 void Agents::push(Machine& m) {
   // A machine of the roster is asked before its first report: a wrong session gets 409 with its report.
-  if (m.gone || m.addr.empty() || (!m.reporting && m.settled)) return;
-  if (out_.now() < m.retry_at) return look_again(m, m.retry_at);
-  if (zones_.cut(m.zone, out_.now())) return look_again(m, out_.now() + kResend);
-  if (out_.now() >= link_.authority_until()) return look_again(m, out_.now() + kResend);
+  if (m.gone || m.addr.empty() || (!m.reporting && m.settled))
+    return;
+  if (out_.now() < m.retry_at)
+    return look_again(m, m.retry_at);
+  if (zones_.cut(m.zone, out_.now()))
+    return look_again(m, out_.now() + kResend);
+  if (out_.now() >= link_.authority_until())
+    return look_again(m, out_.now() + kResend);
   if (!m.settled) {
     // A report's answer has told it our token a moment ago; its next report says so.
-    if (m.reporting && out_.now() < m.pushed_at + kResend) return look_again(m, m.pushed_at + kResend);
+    if (m.reporting && out_.now() < m.pushed_at + kResend)
+      return look_again(m, m.pushed_at + kResend);
     // This only makes our token known; the orders proper follow it.
     return send_direct(m, {}, {}, kTokenTimeout);
   }
   // Before a machine is in the persisted roster the next leader would not know to ask it, so it gets no
   // start.
-  if (!m.enlisted) return;
+  if (!m.enlisted)
+    return;
   prune(m);
   const auto list = orders(m, true);
-  if (list.empty()) return;
+  if (list.empty())
+    return;
   std::vector<std::uint64_t> starts;
   for (const Slot& s : m.slots) {
-    if (s.in_flight) starts.push_back(s.attempt);
+    if (s.in_flight)
+      starts.push_back(s.attempt);
   }
   send_direct(m, list, std::move(starts), kCommandTimeout);
 }
@@ -184,7 +207,8 @@
   // overdue while its zone is heard is reason enough to look at the others.
   if (timeout > kOverdue && !m.spot) {
     out_.after(kOverdue, [this, ix = m.ix, term = term_, sent = m.called_at] {
-      if (term != term_) return;
+      if (term != term_)
+        return;
       const Machine& late = machines_[ix];
       if (late.in_flight && late.called_at == sent && late.reporting && !zones_.quiet(late.zone, out_.now()))
         raise_alarm();
@@ -200,7 +224,8 @@
   call.not_after = link_.authority_until();
   out_.call(std::move(call), [this, ix = m.ix, session = m.session, term = term_,
                               starts = std::move(starts)](const ports::Reply& reply) {
-    if (term != term_) return;
+    if (term != term_)
+      return;
     --calls_;
     commands_answered(ix, session, starts, reply);
   });
@@ -210,27 +235,34 @@
                                const ports::Reply& reply) {
   Machine& m = machines_[ix];
   m.in_flight = false;
-  if (m.gone) return;
+  if (m.gone)
+    return;
   const bool unanswered = reply.status == 0;
   if (m.session == session) {
     for (Slot& s : m.slots) {
-      if (!s.in_flight || std::find(starts.begin(), starts.end(), s.attempt) == starts.end()) continue;
+      if (!s.in_flight || std::find(starts.begin(), starts.end(), s.attempt) == starts.end())
+        continue;
       s.in_flight = false;
       s.late_copy |= unanswered && reply.delivered;
     }
   }
   if (reply.status == 200 || reply.status == 409) {
-    if (m.unreachable) changed(m);
+    if (m.unreachable)
+      changed(m);
     m.unreachable = false;
     auto r = wire::parse_report(reply.report);
     if (!r || r->host != m.host) {
       spdlog::warn("{}: a malformed answer to orders", m.host);
     } else {
-      if (r->token > link_.token()) return events_.superseded();
+      if (r->token > link_.token())
+        return events_.superseded();
       const std::uint64_t term = term_;
-      if (is_newer(m, *r)) apply(m, *r, false);
-      if (term != term_) return;
-      if (reply.status == 200) settle(m);
+      if (is_newer(m, *r))
+        apply(m, *r, false);
+      if (term != term_)
+        return;
+      if (reply.status == 200)
+        settle(m);
     }
   } else {
     if (!m.unreachable) {
@@ -239,12 +271,16 @@
     }
     m.unreachable = true;
     m.retry_at = out_.now() + kResend;
-    if (m.called_at >= zones_.back_at(m.zone) && m.failures++ == 0) m.unanswered_since = m.called_at;
+    if (m.called_at >= zones_.back_at(m.zone) && m.failures++ == 0)
+      m.unanswered_since = m.called_at;
     // Spot machines vanish one by one all the time; that says nothing about the others.
-    if (unanswered && m.reporting && !m.spot) raise_alarm();
-    if (m.reporting) look_again(m, out_.now());
+    if (unanswered && m.reporting && !m.spot)
+      raise_alarm();
+    if (m.reporting)
+      look_again(m, out_.now());
   }
-  if (!active_ || m.gone) return;
+  if (!active_ || m.gone)
+    return;
   if (m.news && !m.unreachable) {
     want(m);
   } else if (wants_orders(m)) {
@@ -254,7 +290,8 @@
 
 // Whether the worker has yet to do something that it may have been told already.
 bool Agents::wants_orders(const Machine& m) const {
-  if (!m.settled) return true;
+  if (!m.settled)
+    return true;
   return std::any_of(m.slots.begin(), m.slots.end(),
                      [](const Slot& s) { return s.phase == Slot::Phase::ordered || (s.counted && s.stop); });
 }
--- a/src/cells/planner.cpp
+++ b/src/cells/planner.cpp
@@ -24,7 +24,8 @@
   // More machines shorten it to their boot, but not what a team's own limit holds back.
   const Seconds room = std::min(ahead_core_s / cores, here.boot_s);
   const auto limit = here.teams.find(team);
-  if (limit == here.teams.end()) return room;
+  if (limit == here.teams.end())
+    return room;
   return std::max(room, team_ahead_core_s / std::max(limit->second, 1.0));
 }
 
@@ -39,20 +40,25 @@
     Seconds soonest = ports::kNever;
     bool full = false;
     for (std::size_t c = 0; c < there.size() && c < w.may_go.size(); ++c) {
-      if (!w.may_go[c] || !there[c].open) continue;
+      if (!w.may_go[c] || !there[c].open)
+        continue;
       const Seconds begins = kHandOver + there[c].age_s + there[c].wait_s + w.fetch_s;
-      if (!here.drains && begins >= stays * (1 - kUnsure)) continue;
+      if (!here.drains && begins >= stays * (1 - kUnsure))
+        continue;
       const auto limit = there[c].teams.find(w.team);
-      if (limit == there[c].teams.end() || (!here.drains && limit->second < w.cores)) continue;
+      if (limit == there[c].teams.end() || (!here.drains && limit->second < w.cores))
+        continue;
       // Its room need not be there at once: it begins with what there is, and goes on as other work ends.
       if (!here.drains && w.cores > kOver * there[c].takes) {
         full = true;
         continue;
       }
-      if (begins < soonest) soonest = begins, best = c;
+      if (begins < soonest)
+        soonest = begins, best = c;
     }
     if (best == there.size()) {
-      if (full) out.soon.push_back(i);
+      if (full)
+        out.soon.push_back(i);
       ahead += w.core_s;
       team_ahead[w.team] += w.core_s;
       continue;
@@ -68,7 +74,8 @@
 }
 
 double takes(const Room& r) {
-  if (r.drains || r.overloaded) return 0;
+  if (r.drains || r.overloaded)
+    return 0;
   const double spare = r.free + kQueued * r.cores - r.own_waiting - r.guests_waiting;
   return spare > 0
              ? spare
--- a/src/cells/stays.cpp
+++ b/src/cells/stays.cpp
@@ -12,7 +12,9 @@
 constexpr std::size_t kAround = 60;  // bytes of a page that are no names
 }  // namespace
 
-wire::Value Stays::Page::value() const { return {{"cell", cell}, {"refs", refs}}; }
+wire::Value Stays::Page::value() const {
+  return {{"cell", cell}, {"refs", refs}};
+}
 
 std::string Stays::key(const Sheet& s) const {
   return kAway + cells_[s.cell] + "/" + std::to_string(s.number);
@@ -20,7 +22,8 @@
 
 void Stays::clear() {
   stays_.clear();
-  for (auto& d : due_) d.clear();
+  for (auto& d : due_)
+    d.clear();
   pages_.clear();
   pages_due_.clear();
   flight_.clear();
@@ -28,7 +31,9 @@
   last_page_ = 0;
 }
 
-void Stays::mark(std::size_t page) { pages_due_.insert(page); }
+void Stays::mark(std::size_t page) {
+  pages_due_.insert(page);
+}
 
 void Stays::stop_asking(const std::string& ref, const Stay& stay) {
   due_[stay.cell].erase({stay.ask_at, ref});
@@ -45,11 +50,13 @@
   const auto name = wire::text(value, "cell");
   const wire::Value* refs = wire::find(value, "refs");
   const auto slash = key.rfind('/');
-  if (!name || !refs || !refs->is_array() || slash == std::string::npos) return false;
+  if (!name || !refs || !refs->is_array() || slash == std::string::npos)
+    return false;
   const char* end = key.data() + key.size();
   std::size_t number = 0;
   const auto [p, ec] = std::from_chars(key.data() + slash + 1, end, number);
-  if (ec != std::errc() || p != end) return false;
+  if (ec != std::errc() || p != end)
+    return false;
   // A neighbour that the settings no longer name still holds what it was given.
   auto known = std::find(cells_.begin(), cells_.end(), *name);
   if (known == cells_.end()) {
@@ -63,9 +70,11 @@
   sheet.number = number;
   sheet.version = version;
   for (const wire::Value& item : *refs) {
-    if (!item.is_string()) return false;
+    if (!item.is_string())
+      return false;
     const auto ref = item.get<std::string>();
-    if (!live(ref)) continue;
+    if (!live(ref))
+      continue;
     sheet.refs.insert(ref);
     sheet.bytes += ref.size() + 3;
     Stay& stay = stays_[ref];
@@ -82,8 +91,10 @@
 // A page that names nobody goes.
 void Stays::settle(std::size_t page) {
   const auto it = pages_.find(page);
-  if (it == pages_.end() || !it->second.refs.empty()) return;
-  if (it->second.version > 0 || it->second.unsure) return mark(page);
+  if (it == pages_.end() || !it->second.refs.empty())
+    return;
+  if (it->second.version > 0 || it->second.unsure)
+    return mark(page);
   if (it->second.returning.empty()) {
     pages_due_.erase(page);
     std::erase_if(open_, [page](const auto& o) { return o.second == page; });
@@ -101,7 +112,8 @@
   } else {
     // Numbers of pages in use are not used again: one that is being deleted would take the new one with it.
     std::size_t number = 1;
-    for (const auto& [id, p] : pages_) number = std::max(number, p.number + 1);
+    for (const auto& [id, p] : pages_)
+      number = std::max(number, p.number + 1);
     page = ++last_page_;
     pages_[page].cell = cell;
     pages_[page].number = number;
@@ -119,7 +131,8 @@
 
 void Stays::recall(const std::string& ref, bool cancel, Seconds now) {
   const auto it = stays_.find(ref);
-  if (it == stays_.end()) return;
+  if (it == stays_.end())
+    return;
   Stay& stay = it->second;
   const bool more = cancel && !stay.cancel;
   stay.cancel |= cancel;
@@ -129,7 +142,8 @@
       stay.state = State::recalling;
       return ask_later(ref, stay, now);
     case State::recalling:
-      if (more) ask_later(ref, stay, now);
+      if (more)
+        ask_later(ref, stay, now);
       return;
     default:  // when the page is written it comes back, or is on its way back
       return;
@@ -138,13 +152,16 @@
 
 void Stays::over(const std::string& ref) {
   const auto it = stays_.find(ref);
-  if (it == stays_.end()) return;
+  if (it == stays_.end())
+    return;
   const std::size_t page = it->second.page;
   stop_asking(ref, it->second);
   stays_.erase(it);
   const auto sheet = pages_.find(page);
-  if (sheet == pages_.end()) return;
-  if (sheet->second.refs.erase(ref) > 0) sheet->second.bytes -= ref.size() + 3;
+  if (sheet == pages_.end())
+    return;
+  if (sheet->second.refs.erase(ref) > 0)
+    sheet->second.bytes -= ref.size() + 3;
   std::erase(sheet->second.returning, ref);
   settle(page);
 }
@@ -155,7 +172,8 @@
   stop_asking(ref, stay);
   stay.state = State::returning;
   Sheet& sheet = pages_.at(stay.page);
-  if (sheet.refs.erase(ref) > 0) sheet.bytes -= ref.size() + 3;
+  if (sheet.refs.erase(ref) > 0)
+    sheet.bytes -= ref.size() + 3;
   sheet.returning.push_back(ref);
   mark(stay.page);
 }
@@ -170,7 +188,8 @@
 
 std::vector<Stays::Page> Stays::next_write(std::size_t most) {
   std::vector<Page> out;
-  if (writing()) return out;
+  if (writing())
+    return out;
   for (auto it = pages_due_.begin(); it != pages_due_.end() && out.size() < most;) {
     Sheet& sheet = pages_.at(*it);
     if (sheet.unsure) {
@@ -189,10 +208,12 @@
   std::vector<std::string> home, unwanted;
   for (Flight& f : std::exchange(flight_, {})) {
     const auto sheet = pages_.find(f.page);
-    if (sheet != pages_.end()) sheet->second.version = f.named.empty() ? 0 : revision;
+    if (sheet != pages_.end())
+      sheet->second.version = f.named.empty() ? 0 : revision;
     for (const std::string& ref : f.named) {
       const auto it = stays_.find(ref);
-      if (it == stays_.end() || it->second.state != State::leaving) continue;
+      if (it == stays_.end() || it->second.state != State::leaving)
+        continue;
       // Cancelled while it was being written: no other cell has been told of it, so there is nothing to
       // prove.
       if (it->second.cancel) {
@@ -203,22 +224,26 @@
       ask_later(ref, it->second, 0);
     }
     for (std::string& ref : f.returning) {
-      if (stays_.erase(ref) > 0) home.push_back(std::move(ref));
+      if (stays_.erase(ref) > 0)
+        home.push_back(std::move(ref));
     }
     settle(f.page);
   }
-  for (const std::string& ref : unwanted) bring_back(ref, stays_.at(ref));
+  for (const std::string& ref : unwanted)
+    bring_back(ref, stays_.at(ref));
   return home;
 }
 
 void Stays::failed(bool unsure) {
   for (Flight& f : std::exchange(flight_, {})) {
     const auto sheet = pages_.find(f.page);
-    if (sheet == pages_.end()) continue;
+    if (sheet == pages_.end())
+      continue;
     sheet->second.unsure |= unsure;
     auto& returning = sheet->second.returning;
     for (std::string& ref : f.returning) {
-      if (stays_.contains(ref)) returning.push_back(std::move(ref));
+      if (stays_.contains(ref))
+        returning.push_back(std::move(ref));
     }
     mark(f.page);
   }
@@ -229,9 +254,11 @@
   for (const Flight& f : flight_) {
     for (const std::string& ref : f.named) {
       const auto it = stays_.find(ref);
-      if (it == stays_.end() || it->second.state != State::leaving) continue;
+      if (it == stays_.end() || it->second.state != State::leaving)
+        continue;
       Sheet& sheet = pages_.at(f.page);
-      if (sheet.refs.erase(ref) > 0) sheet.bytes -= ref.size() + 3;
+      if (sheet.refs.erase(ref) > 0)
+        sheet.bytes -= ref.size() + 3;
       stays_.erase(it);
       home.push_back(ref);
     }
@@ -239,21 +266,24 @@
   failed(false);
   // Nobody joins pages of that size any more.
   page_bytes_ = std::max<std::size_t>(kAround + 30, page_bytes_ / 2);
-  for (const auto& [cell, page] : std::exchange(open_, {})) settle(page);
+  for (const auto& [cell, page] : std::exchange(open_, {}))
+    settle(page);
   return home;
 }
 
 std::vector<std::string> Stays::to_look_at() const {
   std::vector<std::string> out;
   for (const std::size_t id : pages_due_) {
-    if (pages_.at(id).unsure) out.push_back(key(pages_.at(id)));
+    if (pages_.at(id).unsure)
+      out.push_back(key(pages_.at(id)));
   }
   return out;
 }
 
 void Stays::looked(const std::string& looked_at, std::uint64_t version) {
   for (auto& [id, sheet] : pages_) {
-    if (!sheet.unsure || key(sheet) != looked_at) continue;
+    if (!sheet.unsure || key(sheet) != looked_at)
+      continue;
     sheet.unsure = false;
     sheet.version = version;
     return settle(id);
@@ -278,7 +308,8 @@
 Stays::Event Stays::heard(std::size_t cell, const peer::JobWord& said, Seconds now) {
   const auto it = stays_.find(said.ref);
   // Answers may come late: of a stay that is over, or from a cell that it left since.
-  if (it == stays_.end() || it->second.cell != cell) return Event::none;
+  if (it == stays_.end() || it->second.cell != cell)
+    return Event::none;
   Stay& stay = it->second;
   if (stay.state == State::leaving || stay.state == State::returning || stay.state == State::ended)
     return Event::none;
@@ -305,12 +336,14 @@
     case Word::refused:
     case Word::never:
       // An offer that was sent twice may still come to be taken; only a record that it never will ends that.
-      if (stay.state != State::offered) return Event::none;
+      if (stay.state != State::offered)
+        return Event::none;
       stay.state = State::recalling;
       ask_later(said.ref, stay, now);
       return Event::none;
     case Word::unknown:
-      if (stay.state == State::away) stay.state = State::offered;
+      if (stay.state == State::away)
+        stay.state = State::offered;
       return Event::none;
     default:
       return Event::none;
@@ -330,7 +363,8 @@
 std::vector<std::string> Stays::idle(std::size_t cell, std::size_t most) const {
   std::vector<std::string> out;
   for (const auto& [ref, stay] : stays_) {
-    if (out.size() >= most) break;
+    if (out.size() >= most)
+      break;
     if (stay.cell == cell && stay.state == State::away && stay.running == 0 && stay.done == 0)
       out.push_back(ref);
   }
--- a/src/cells/stays.hpp
+++ b/src/cells/stays.hpp
@@ -27,7 +27,9 @@
 using ports::Seconds;
 
 inline constexpr const char* kAway = "j/away/";
-inline bool is_away(std::string_view key) { return key.starts_with(kAway); }
+inline bool is_away(std::string_view key) {
+  return key.starts_with(kAway);
+}
 
 class Stays {
  public:
@@ -82,7 +84,9 @@
   void failed(bool unsure);
   // It never will be: its pages are too large for the state service. Who was to go is home again.
   std::vector<std::string> refused();
-  bool writing() const { return !flight_.empty(); }
+  bool writing() const {
+    return !flight_.empty();
+  }
   std::vector<std::string> to_look_at() const;                 // keys of pages
   void looked(const std::string& key, std::uint64_t version);  // 0: it is not there
 
@@ -93,7 +97,9 @@
   Event heard(std::size_t cell, const peer::JobWord& said, Seconds now);
 
   const Stay* find(const std::string& ref) const;
-  std::size_t size() const { return stays_.size(); }
+  std::size_t size() const {
+    return stays_.size();
+  }
   std::size_t at(std::size_t cell) const;  // that are away there, or on their way
   // Jobs that are held there with nothing running; for what is done once a second at most.
   std::vector<std::string> idle(std::size_t cell, std::size_t most) const;
--- a/src/custody/custody.hpp
+++ b/src/custody/custody.hpp
@@ -63,12 +63,20 @@
   // Until when all peers have agreed to it; needs no leader that knows of it.
   Seconds agreed_until() const;
   // The newest leadership that this node knows of.
-  std::uint64_t newest() const { return newest_; }
-  void answered(Seconds now) { last_answer_ = now; }
+  std::uint64_t newest() const {
+    return newest_;
+  }
+  void answered(Seconds now) {
+    last_answer_ = now;
+  }
 
   // Seconds since this process last answered in custody; negative: it never did.
-  double held_s(Seconds now) const { return last_answer_ < 0 ? -1 : now - last_answer_; }
-  Seconds until() const { return std::max(until_, agreed_until()); }
+  double held_s(Seconds now) const {
+    return last_answer_ < 0 ? -1 : now - last_answer_;
+  }
+  Seconds until() const {
+    return std::max(until_, agreed_until());
+  }
 
  private:
   Seconds span_s_, until_ = -1, last_answer_ = -1;
@@ -114,7 +122,9 @@
     Seconds vouched = -1e9;  // all that it did before is known
     Seconds renewed = -1e9;  // of that: when it may have answered last
   };
-  Seconds over(Seconds answered) const { return answered + lease_s_ * (1 + kDrift) + kMargin; }
+  Seconds over(Seconds answered) const {
+    return answered + lease_s_ * (1 + kDrift) + kMargin;
+  }
   static constexpr Seconds kMargin = 0.5;  // workers act on the end of a lease within their timers' steps
 
   Seconds span_s_, lease_s_, began_ = -1e9;
--- a/src/daemon/admission.cpp
+++ b/src/daemon/admission.cpp
@@ -18,15 +18,18 @@
 std::optional<std::string> Node::impossible(const wire::JobSpec& s) const {
   const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                  [&](const settings::Team& t) { return t.name == s.team; });
-  if (team == settings_.teams.end()) return "unknown team";
+  if (team == settings_.teams.end())
+    return "unknown team";
   const double n = s.shape == wire::Shape::service ? s.tasks : 1;
   if ((team->cpus_max > 0 && n * s.need.cpus > team->cpus_max + 1e-6) ||
       (team->gpus_max > 0 && n * s.need.gpus > team->gpus_max + 1e-6)) {
     return "more than the team's limit";
   }
   for (const auto& t : catalog_) {
-    if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), t.name) == s.types.end()) continue;
-    if (s.zone && std::find(t.zones.begin(), t.zones.end(), *s.zone) == t.zones.end()) continue;
+    if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), t.name) == s.types.end())
+      continue;
+    if (s.zone && std::find(t.zones.begin(), t.zones.end(), *s.zone) == t.zones.end())
+      continue;
     if (s.need.cpus <= t.cpus + 1e-6 && s.need.gpus <= t.gpus + 1e-6 &&
         s.need.memory_gb <= t.memory_gb + 1e-6) {
       return std::nullopt;
@@ -43,13 +46,16 @@
     ++stats_.refused;
     return respond(from, 400, {{"error", spec.error()}});
   }
-  if (answer_final(from, spec->ref, true)) return;
+  if (answer_final(from, spec->ref, true))
+    return;
   if (entitled()) {
-    if (jobs::Job* job = registry_.find(spec->ref)) return answer_live(from, *job, true);
+    if (jobs::Job* job = registry_.find(spec->ref))
+      return answer_live(from, *job, true);
   }
   // A node that does not know the machine types cannot decide; one that does may be next to it.
   if (catalog_.empty()) {
-    if (from.by_peer) return try_later(from);
+    if (from.by_peer)
+      return try_later(from);
     return hand_on(from, served_peer(), "POST", wire::kJobsPath, bytes, 3.0,
                    [this, from](int) { try_later(from); });
   }
@@ -59,7 +65,8 @@
   }
   if (wire::job_record(*spec, out_.time_of_day()).dump().size() > settings_.value_bytes())
     return refuse_unless_accepted(from, spec->ref, "too large to be kept; name fewer jobs or machine types");
-  if (!spec->waits_on.empty()) return check_needs(from, *spec, bytes);
+  if (!spec->waits_on.empty())
+    return check_needs(from, *spec, bytes);
   create(from, *spec);
 }
 
@@ -71,7 +78,8 @@
             ++stats_.refused;
             return respond(from, 422, {{"error", why}});
           }
-          if (st == 200) return answer_fresh(from, ref, true, !entitled());
+          if (st == 200)
+            return answer_fresh(from, ref, true, !entitled());
           try_later(from);
         });
 }
@@ -97,11 +105,14 @@
 }
 
 void Node::check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes) {
-  if (old_leader()) return try_later(from);
+  if (old_leader())
+    return try_later(from);
   auto n = std::make_shared<Needs>(Needs{from, spec, bytes, {}});
   for (const std::string& ref : spec.waits_on) {
-    if (ref == spec.ref) return refuse_unless_accepted(from, spec.ref, "waitsOn: the job names itself");
-    if (finals_.contains(ref) || (entitled() && registry_.find(ref))) continue;
+    if (ref == spec.ref)
+      return refuse_unless_accepted(from, spec.ref, "waitsOn: the job names itself");
+    if (finals_.contains(ref) || (entitled() && registry_.find(ref)))
+      continue;
     n->unknown.push_back(ref);
   }
   check_some_needs(n);
@@ -110,7 +121,8 @@
 // One comparison for as many as it may have conditions: of each job that was accepted, one of the two keys
 // exists and is named in the answer.
 void Node::check_some_needs(const std::shared_ptr<Needs>& n) {
-  if (n->unknown.empty()) return create(n->from, n->spec);
+  if (n->unknown.empty())
+    return create(n->from, n->spec);
   wire::Txn txn;
   std::vector<std::string> asked;
   while (!n->unknown.empty() && txn.conditions() + 2 <= 4 * settings_.txn_ops) {
@@ -133,7 +145,8 @@
                };
                std::vector<std::string> absent;
                for (const std::string& ref : asked) {
-                 if (!has(jobs::kLive + ref) && !has(jobs::kFinal + ref)) absent.push_back(ref);
+                 if (!has(jobs::kLive + ref) && !has(jobs::kFinal + ref))
+                   absent.push_back(ref);
                }
                needs_absent(n, std::move(absent));
              });
@@ -141,16 +154,19 @@
 
 // These have no keys. On sheets they may be all the same.
 void Node::needs_absent(const std::shared_ptr<Needs>& n, std::vector<std::string> refs) {
-  if (refs.empty()) return check_some_needs(n);
+  if (refs.empty())
+    return check_some_needs(n);
   const std::string ref = std::move(refs.back());
   refs.pop_back();
   const auto never = [this, n, ref] {
     refuse_unless_accepted(n->from, n->spec.ref, "waitsOn: " + ref + " was never accepted");
   };
-  if (!sheets_matter()) return never();
+  if (!sheets_matter())
+    return never();
   fresh(ref, store::Urgency::user, false,
         [this, n, refs = std::move(refs), never](int st, std::optional<wire::Phase>, const wire::Value&) {
-          if (st == 404) return never();
+          if (st == 404)
+            return never();
           st == 200 ? needs_absent(n, refs) : try_later(n->from, st);
         });
 }
@@ -171,14 +187,18 @@
 
 void Node::create(const From& from, const wire::JobSpec& spec) {
   // It was admitted on a sheet, and this is a retry.
-  if (index_.find(spec.ref) || index_.lately(spec.ref)) return answer_accepted(from, spec);
+  if (index_.find(spec.ref) || index_.lately(spec.ref))
+    return answer_accepted(from, spec);
   auto c = std::make_shared<Creation>(Creation{from, spec, wire::job_record(spec, out_.time_of_day())});
   // A node that the state service does not answer asks a peer at once instead of finding out again at its
   // user's cost.
-  if (!from.by_peer && !store_.healthy()) create_at_peer(c);
-  if (c->answered) return;
+  if (!from.by_peer && !store_.healthy())
+    create_at_peer(c);
+  if (c->answered)
+    return;
   create_here(c);
-  if (!c->answered && !from.by_peer) lose_patience(c);
+  if (!c->answered && !from.by_peer)
+    lose_patience(c);
 }
 
 void Node::create_here(const std::shared_ptr<Creation>& c) {
@@ -189,8 +209,10 @@
     // The watch will tell too; this saves the leader's own submissions the way there and back. What an
     // earlier leadership of this node sent may have been created, and ended by another, before this one
     // began.
-    if (r.outcome == Outcome::created && entitled() && term == term_) job_seen(c->value, r.revision, r.sheet);
-    if (c->answered) return;
+    if (r.outcome == Outcome::created && entitled() && term == term_)
+      job_seen(c->value, r.revision, r.sheet);
+    if (c->answered)
+      return;
     if (r.outcome == Outcome::created) {
       c->answered = true;
       ++stats_.admitted;
@@ -216,7 +238,8 @@
 // It takes longer than answers of the state service do, so another way is worth trying beside it.
 void Node::lose_patience(const std::shared_ptr<Creation>& c) {
   out_.after(store_.patience(), [this, c] {
-    if (c->answered || c->peer_asked || !c->own_open) return;
+    if (c->answered || c->peer_asked || !c->own_open)
+      return;
     intake_.waits(c->spec.ref) ? lose_patience(c) : create_at_peer(c);
   });
 }
@@ -224,32 +247,38 @@
 void Node::create_at_peer(const std::shared_ptr<Creation>& c) {
   const auto peer =
       c->from.by_peer ? std::nullopt : served_peer(c->spec.waits_on.empty() ? 0 : peer::kChains);
-  if (!peer) return;
+  if (!peer)
+    return;
   c->peer_asked = c->peer_open = true;
   ask_peer(*peer, "POST", wire::kJobsPath, wire::encode_cbor(c->value), kCreateTimeout,
            [this, c](int status, const wire::Value& body) {
              c->peer_open = false;
-             if (c->answered) return;
+             if (c->answered)
+               return;
              if (status == 200 || status == 201) {
                c->answered = true;
                return respond(c->from, status, body);
              }
-             if (status == 400 || status == 422) c->refusal = status, c->verdict = body;
+             if (status == 400 || status == 422)
+               c->refusal = status, c->verdict = body;
              give_up_creation(c);
            });
 }
 
 void Node::give_up_creation(const std::shared_ptr<Creation>& c) {
-  if (c->answered || c->own_open || c->peer_open) return;
+  if (c->answered || c->own_open || c->peer_open)
+    return;
   c->answered = true;
-  if (!c->verdict.is_null()) return respond(c->from, c->refusal, c->verdict);
+  if (!c->verdict.is_null())
+    return respond(c->from, c->refusal, c->verdict);
   try_later(c->from, c->refusal, c->turn_s);
 }
 
 // ---------------------------------------------------------------- states
 
 void Node::remember(const std::string& ref, const wire::Ended& ended) {
-  if (!finals_.emplace(ref, ended).second) return;
+  if (!finals_.emplace(ref, ended).second)
+    return;
   if (election_.leading())
     chains_.ended(ref, {ended.phase == wire::Phase::done, ended.at ? steady(*ended.at) : out_.now()});
   finals_order_.push_back(ref);
@@ -261,7 +290,8 @@
 
 bool Node::answer_final(const From& from, const std::string& ref, bool brief) {
   auto it = finals_.find(ref);
-  if (it == finals_.end()) return false;
+  if (it == finals_.end())
+    return false;
   const wire::Phase phase = it->second.phase;
   const std::uint32_t tasks = it->second.tasks;
   respond(from, 200,
@@ -272,14 +302,18 @@
 
 // Whether a job that it needs is cancelled, or nothing rules that out yet. So is it then; but its own end is
 // told only once it is recorded, and that it is queued must not be told any more.
-bool Node::may_be_orphan(const jobs::Job& job) const { return job.orphan || chains_.undecided(job); }
+bool Node::may_be_orphan(const jobs::Job& job) const {
+  return job.orphan || chains_.undecided(job);
+}
 
 void Node::answer_live(const From& from, jobs::Job& job, bool brief) {
-  if (may_be_orphan(job)) return try_later(from);
+  if (may_be_orphan(job))
+    return try_later(from);
   // Its end may be recorded though this node has not heard so yet, and another may have read and told it:
   // what is live here is an older answer then (a slow state service on cub-meterlink-fleet: cancelled, then
   // queued).
-  if (job.end_sent) return answer_fresh(from, job.spec.ref, brief);
+  if (job.end_sent)
+    return answer_fresh(from, job.spec.ref, brief);
   if (job.away)
     return respond(from, 200, brief ? wire::job_state(job.spec.ref, job.phase()) : away_progress(job));
   respond(from, 200,
@@ -295,25 +329,31 @@
   store_.txn(
       std::move(txn), urgency, ports::kNever,
       [this, ref, urgency, need_spec, then, asked = out_.now(), term = term_](const store::Reply& r) {
-        if (r.status == 200 && sheets_matter()) return fresh_on_sheets(ref, urgency, need_spec, asked, then);
-        if (r.status == 200) return then(404, {}, nullptr);
-        if (r.status != 409) return then(r.status == 429 ? 429 : 503, {}, nullptr);
+        if (r.status == 200 && sheets_matter())
+          return fresh_on_sheets(ref, urgency, need_spec, asked, then);
+        if (r.status == 200)
+          return then(404, {}, nullptr);
+        if (r.status != 409)
+          return then(r.status == 429 ? 429 : 503, {}, nullptr);
         // The comparison says which of the two exists: at that moment the job lived, or was over.
         const auto failed = wire::failed_keys(r.body);
         const bool over = std::find(failed.begin(), failed.end(), jobs::kFinal + ref) != failed.end();
-        if (!over && !failed.empty() && !need_spec) return then(200, wire::Phase::queued, nullptr);
+        if (!over && !failed.empty() && !need_spec)
+          return then(200, wire::Phase::queued, nullptr);
         if (!over && !failed.empty()) {
           return store_.get(jobs::kLive + ref, urgency, [then, term](const store::Reply& l) {
             const auto item = l.status == 200 ? wire::parse_item(l.body) : wire::Result<wire::Item>::fail("");
             // Not there any more: it has become final since. Asking again will tell.
-            if (!item) return then(503, {}, nullptr);
+            if (!item)
+              return then(503, {}, nullptr);
             then(200, wire::Phase::queued, live_record(item->value, *item, term));
           });
         }
         store_.get(jobs::kFinal + ref, urgency, [this, ref, then](const store::Reply& f) {
           const auto item = f.status == 200 ? wire::parse_item(f.body) : wire::Result<wire::Item>::fail("");
           const auto ended = item ? wire::parse_ended(item->value) : std::nullopt;
-          if (!ended) return then(503, {}, nullptr);
+          if (!ended)
+            return then(503, {}, nullptr);
           remember(ref, *ended);
           then(200, ended->phase, nullptr);
         });
@@ -323,7 +363,8 @@
 // A submission of a job that was accepted before. Of one that needs others only the leader knows whether it
 // lives.
 void Node::answer_accepted(const From& from, const wire::JobSpec& spec) {
-  if (entitled() || from.by_peer || spec.waits_on.empty()) return answer_fresh(from, spec.ref, true);
+  if (entitled() || from.by_peer || spec.waits_on.empty())
+    return answer_fresh(from, spec.ref, true);
   hand_on(from, leader_peer(), "GET", std::string(wire::kJobsPath) + "/" + spec.ref, "", 0.7,
           [this, from, ref = spec.ref](int status) { answer_fresh(from, ref, true, status == 503); });
 }
@@ -340,42 +381,54 @@
   fresh(ref, urgency, entitled() || overdue,
         [this, from, ref, brief, overdue](int st, std::optional<wire::Phase> phase, const wire::Value& live) {
           if (st != 200) {
-            if (st == 404) return respond(from, 404);
+            if (st == 404)
+              return respond(from, 404);
             // That the leader is not there to answer is no fault of who asks.
             const bool alone = !entitled() && !leader_peer();
             return try_later(from, st == 429 && alone ? 503 : st);
           }
-          if (answer_final(from, ref, brief)) return;
-          if (overdue && !live.is_null() && wire::needs_others(live["spec"])) return try_later(from);
-          if (entitled() && !live.is_null()) found_live(live);
+          if (answer_final(from, ref, brief))
+            return;
+          if (overdue && !live.is_null() && wire::needs_others(live["spec"]))
+            return try_later(from);
+          if (entitled() && !live.is_null())
+            found_live(live);
           const jobs::Job* known = entitled() ? registry_.find(ref) : nullptr;
-          if (known && may_be_orphan(*known)) return try_later(from);
+          if (known && may_be_orphan(*known))
+            return try_later(from);
           respond(from, 200, brief ? wire::job_state(ref, *phase) : wire::job_progress(ref, *phase, 0, 0));
         });
 }
 
 void Node::status(const From& from, const std::string& ref) {
-  if (answer_final(from, ref, false)) return;
+  if (answer_final(from, ref, false))
+    return;
   if (entitled()) {
-    if (jobs::Job* job = registry_.find(ref)) return answer_live(from, *job, false);
+    if (jobs::Job* job = registry_.find(ref))
+      return answer_live(from, *job, false);
     return answer_fresh(from, ref, false);
   }
   if (from.by_peer) {
     // Asked as the leader that it is not: who asks takes the answer for a leader's.
-    if (store_.healthy()) return answer_fresh(from, ref, false, true);
+    if (store_.healthy())
+      return answer_fresh(from, ref, false, true);
     return try_later(from);
   }
-  auto otherwise = [this, from, ref](int status) { answer_fresh(from, ref, false, status == 503); };
+  auto otherwise = [this, from, ref](int status) {
+    answer_fresh(from, ref, false, status == 503);
+  };
   hand_on(from, leader_peer(), "GET", std::string(wire::kJobsPath) + "/" + ref, "", 0.7, otherwise);
 }
 
 // ---------------------------------------------------------------- cancellation
 
 void Node::abort(const From& from, const std::string& ref) {
-  if (answer_final(from, ref, true)) return;
+  if (answer_final(from, ref, true))
+    return;
   const std::string path = std::string(wire::kJobsPath) + "/" + ref + wire::kAbortSuffix;
   if (!entitled()) {
-    if (from.by_peer) return try_later(from);
+    if (from.by_peer)
+      return try_later(from);
     return hand_on(from, leader_peer(), "POST", path, "", 3.0,
                    [this, from, ref](int) { leave_intent(from, ref); });
   }
@@ -384,15 +437,21 @@
     aborts_.push_back({job.ix, from, out_.now() + kGoneWithin});
     out_.after(kGoneWithin, [] {});  // to be looked at then, whatever else happens
   };
-  if (jobs::Job* job = registry_.find(ref)) return close(*job);
+  if (jobs::Job* job = registry_.find(ref))
+    return close(*job);
   fresh(ref, store::Urgency::user, true,
         [this, from, ref, close](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (st == 404) return respond(from, 404);
-          if (st != 200) return try_later(from, st);
-          if (answer_final(from, ref, true)) return;
-          if (entitled() && !live.is_null()) found_live(live);
+          if (st == 404)
+            return respond(from, 404);
+          if (st != 200)
+            return try_later(from, st);
+          if (answer_final(from, ref, true))
+            return;
+          if (entitled() && !live.is_null())
+            found_live(live);
           jobs::Job* job = entitled() ? registry_.find(ref) : nullptr;
-          if (!job) return try_later(from);
+          if (!job)
+            return try_later(from);
           close(*job);
         });
 }
@@ -402,9 +461,12 @@
 void Node::leave_intent(const From& from, const std::string& ref) {
   fresh(ref, store::Urgency::user, true,
         [this, from, ref](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (st == 404) return respond(from, 404);
-          if (st != 200) return try_later(from, st);
-          if (answer_final(from, ref, true)) return;
+          if (st == 404)
+            return respond(from, 404);
+          if (st != 200)
+            return try_later(from, st);
+          if (answer_final(from, ref, true))
+            return;
           wire::Txn txn;
           txn.require(live["key"].get<std::string>(), live["version"].get<std::uint64_t>());
           txn.require(jobs::kFinal + ref, 0);  // a sheet outlives some of its jobs
@@ -420,7 +482,8 @@
   jobs::Job* job = registry_.find(key.substr(prefix, key.size() - prefix - mark));
   // A mark is written on condition that the job's record is there, so its creation was seen before. The job
   // is over, or its end is under way and did not take the mark with it.
-  if (!job || !job->open()) return ledger_.sweep(key);
+  if (!job || !job->open())
+    return ledger_.sweep(key);
   job->intent = true;
   cancel(*job);
 }
@@ -440,9 +503,12 @@
 // its way may still arrive, so nothing of it rests on time. Asked alike with and without custody: there a
 // silent machine's lease is over before cancel_s, but a start could follow the answer to the user.
 bool Node::gone_for_sure(const jobs::Job& job) const {
-  if (job.away) return false;        // the cell that holds it has to say so
-  if (job.placed > 0) return false;  // ordered, in doubt, or running
-  if (agents_.holds_unplaced(job.spec.ref)) return false;
+  if (job.away)
+    return false;  // the cell that holds it has to say so
+  if (job.placed > 0)
+    return false;  // ordered, in doubt, or running
+  if (agents_.holds_unplaced(job.spec.ref))
+    return false;
   // Only leaders before this one could have started it elsewhere, and only if it is older.
   return scheduler_.gates().accounted().open(job);
 }
@@ -450,28 +516,34 @@
 // Cancellations whose tasks are gone are recorded, and told then. While a task's machine does not answer, the
 // user is told to come back; the job starts nothing meanwhile.
 void Node::follow_aborts() {
-  if (aborts_.empty() || !loaded_) return;
+  if (aborts_.empty() || !loaded_)
+    return;
   std::vector<Abort> waiting;
   for (const Abort& a : std::exchange(aborts_, {})) {
     jobs::Job* job = registry_.at(a.job);
     if (!job) {
-      if (a.from) try_later(*a.from);
+      if (a.from)
+        try_later(*a.from);
       continue;
     }
-    if (job->away) stays_.recall(job->spec.ref, true, out_.now());
+    if (job->away)
+      stays_.recall(job->spec.ref, true, out_.now());
     if (job->closing || job->closed || (entitled() && gone_for_sure(*job))) {
       std::function<void()> then;
       if (a.from) {
         // Who waits here holds a connection, and with them all taken no peer could ask anything.
         auto told = std::make_shared<bool>(false);
         then = [this, told, from = *a.from, ref = job->spec.ref] {
-          if (std::exchange(*told, true)) return;
-          if (!answer_final(from, ref, true)) try_later(from);
+          if (std::exchange(*told, true))
+            return;
+          if (!answer_final(from, ref, true))
+            try_later(from);
         };
         out_.after(kRecordedWithin, then);
       }
       if (job->closed) {
-        if (then) then();
+        if (then)
+          then();
       } else {
         ledger_.close(*job, wire::Phase::cancelled, std::move(then));
       }
--- a/src/daemon/cells.cpp
+++ b/src/daemon/cells.cpp
@@ -23,11 +23,17 @@
 
 using peer::Word;
 
-std::uint8_t raw(Word w) { return static_cast<std::uint8_t>(w); }
-Word word_of(wire::Phase phase) { return phase == wire::Phase::done ? Word::done : Word::withdrawn; }
+std::uint8_t raw(Word w) {
+  return static_cast<std::uint8_t>(w);
+}
+Word word_of(wire::Phase phase) {
+  return phase == wire::Phase::done ? Word::done : Word::withdrawn;
+}
 }  // namespace
 
-std::size_t page_bytes(const settings::Settings& settings) { return settings.value_bytes() * 3 / 4; }
+std::size_t page_bytes(const settings::Settings& settings) {
+  return settings.value_bytes() * 3 / 4;
+}
 
 // ---------------------------------------------------------------- the home's side
 
@@ -41,7 +47,8 @@
   for (const wire::Item& page : std::exchange(away_pages_, {})) {
     const auto live = [this](const std::string& ref) {
       jobs::Job* job = registry_.find(ref);
-      if (job) job->away = true;
+      if (job)
+        job->away = true;
       return job != nullptr;
     };
     if (!stays_.load(page.key, page.value, page.version, live, out_.now()))
@@ -57,7 +64,8 @@
 }
 
 void Node::tick_cells() {
-  if (!settings_.cells.on() && stays_.size() == 0) return;
+  if (!settings_.cells.on() && stays_.size() == 0)
+    return;
   for (std::size_t c = 0; c < cell_views_.size(); ++c) {
     const auto& gone = settings_.cells.gone;
     if (std::find(gone.begin(), gone.end(), settings_.cells.neighbours[c].name) != gone.end()) {
@@ -70,8 +78,10 @@
   if (out_.now() > told_strange_ + kToldStrange) {
     told_strange_ = out_.now();
     std::size_t strange = stays_.size();
-    for (std::size_t c = 0; c < cell_views_.size(); ++c) strange -= stays_.at(c);
-    if (strange > 0) spdlog::error("{} jobs are held by cells that the settings no longer name", strange);
+    for (std::size_t c = 0; c < cell_views_.size(); ++c)
+      strange -= stays_.at(c);
+    if (strange > 0)
+      spdlog::error("{} jobs are held by cells that the settings no longer name", strange);
   }
   if (settings_.cells.on() && out_.now() >= planned_at_ + kPlanEvery) {
     planned_at_ = out_.now();
@@ -82,19 +92,22 @@
 
 void Node::ask_cell(std::size_t c) {
   CellView& v = cell_views_[c];
-  if (v.busy) return;
+  if (v.busy)
+    return;
   peer::Between say;
   say.jobs = stays_.ask(c, kWordsAtOnce, out_.now());
   for (peer::JobWord& w : say.jobs) {
     const jobs::Job* job = registry_.find(w.ref);
-    if (w.said() != Word::offer || !job) continue;
+    if (w.said() != Word::offer || !job)
+      continue;
     // What it needs is done, and that is for this cell to know.
     wire::JobSpec spec = job->spec;
     spec.waits_on.clear();
     w.record = wire::encode_cbor(wire::job_record(spec, out_.time_of_day() - (out_.now() - job->submitted)));
   }
   const bool tell = out_.now() >= v.told_at + kTell;
-  if (say.jobs.empty() && !tell) return;
+  if (say.jobs.empty() && !tell)
+    return;
   if (tell) {
     say.digest.push_back(digest(c));
     v.told_at = out_.now();
@@ -113,14 +126,17 @@
     CellView& view = cell_views_[c];
     view.busy = false;
     const bool answered = r.frame && r.frame->status == 200;
-    if (!answered) view.asks = (view.asks + 1) % settings_.cells.neighbours[c].nodes.size();
-    if (answered && term == term_ && entitled()) cell_said(c, *r.frame);
+    if (!answered)
+      view.asks = (view.asks + 1) % settings_.cells.neighbours[c].nodes.size();
+    if (answered && term == term_ && entitled())
+      cell_said(c, *r.frame);
   });
 }
 
 // A digest that was held up on its way says what was.
 void Node::told_by(CellView& v, const peer::Digest& digest) {
-  if (v.digest && digest.life < v.digest->life) return;
+  if (v.digest && digest.life < v.digest->life)
+    return;
   v.digest = digest;
   v.heard = out_.now();
 }
@@ -135,19 +151,23 @@
 
 void Node::cell_said(std::size_t c, const peer::Frame& f) {
   const auto said = peer::decode_between(f.between);
-  if (!said || f.cell != settings_.cells.neighbours[c].name) return;
+  if (!said || f.cell != settings_.cells.neighbours[c].name)
+    return;
   CellView& v = cell_views_[c];
   if (!said->digest.empty()) {
     told_by(v, said->digest.front());
-    while (!v.offered.empty() && v.offered.front().first < out_.now() - kOnTheWay) v.offered.pop_front();
+    while (!v.offered.empty() && v.offered.front().first < out_.now() - kOnTheWay)
+      v.offered.pop_front();
   }
-  for (const peer::JobWord& w : said->jobs) heard_of_job(c, w);
+  for (const peer::JobWord& w : said->jobs)
+    heard_of_job(c, w);
 }
 
 void Node::heard_of_job(std::size_t c, const peer::JobWord& said) {
   const cells::Stays::Event event = stays_.heard(c, said, out_.now());
   jobs::Job* job = registry_.find(said.ref);
-  if (!job || event == cells::Stays::Event::none) return;
+  if (!job || event == cells::Stays::Event::none)
+    return;
   if (event == cells::Stays::Event::done) {
     // The other cell has recorded it; it is told once it is recorded here.
     ++stats_.done_away;
@@ -160,7 +180,8 @@
 void Node::watch_cell(std::size_t c) {
   CellView& v = cell_views_[c];
   const bool there = out_.now() < v.heard + kThere;
-  if (there == v.there) return;
+  if (there == v.there)
+    return;
   v.there = there;
   const std::string& name = settings_.cells.neighbours[c].name;
   if (there)
@@ -189,7 +210,8 @@
            std::max(1.0, scheduler_.estimate(job));
   };
   for (const jobs::Ix ix : std::exchange(going_, {})) {
-    if (jobs::Job* job = registry_.at(ix)) job->going = false;
+    if (jobs::Job* job = registry_.at(ix))
+      job->going = false;
   }
   spills_ = false;
   // What there is and what waits, as the picture and the gates know it.
@@ -199,14 +221,17 @@
   double guests_s = 0, own_s = 0;
   for (const jobs::Ix ix : scheduler_.waiting()) {
     jobs::Job* job = registry_.at(ix);
-    if (!job || !job->open() || job->held() || job->pending.empty()) continue;
+    if (!job || !job->open() || job->held() || job->pending.empty())
+      continue;
     const double cores = static_cast<double>(job->pending.size()) * job->spec.need.cpus;
     (job->guest.empty() ? room_.own_waiting : room_.guests_waiting) += cores;
     (job->guest.empty() ? own_s : guests_s) += core_s(*job);
-    if (job->guest.empty() && !job->service()) waiting.push_back(job);
+    if (job->guest.empty() && !job->service())
+      waiting.push_back(job);
   }
   for (const auto& p : agents_.index().pools()) {
-    for (const auto& [free, ix] : p.all.room) room_.free += free;
+    for (const auto& [free, ix] : p.all.room)
+      room_.free += free;
   }
   room_.rentable = fleet_.rentable();
   // Without custody a cancellation is recorded before its tasks are gone, and its home may start them at
@@ -218,15 +243,18 @@
   here.cores = room_.free;
   std::vector<double> arrays(settings_.teams.size());
   for (const auto& [key, load] : scheduler_.picture().loads()) {
-    if (load.service) continue;
+    if (load.service)
+      continue;
     here.cores += load.held;
-    if (key.first < arrays.size()) arrays[key.first] += load.held;
+    if (key.first < arrays.size())
+      arrays[key.first] += load.held;
   }
   room_.cores = here.cores;
   for (std::size_t t = 0; t < settings_.teams.size(); ++t) {
     const settings::Team& team = settings_.teams[t];
     const double left = team.cpus_max - agents_.team_use(static_cast<jobs::Ix>(t)).cpus;
-    if (team.cpus_max > 0) here.teams[team.name] = arrays[t] + std::max(0.0, left);
+    if (team.cpus_max > 0)
+      here.teams[team.name] = arrays[t] + std::max(0.0, left);
   }
   room_known_ = true;
   // What is free begins at once; more takes a boot, or until what waits has been worked off.
@@ -246,10 +274,12 @@
       t.takes = v.digest->takes;
       t.wait_s = v.digest->wait_s;
       t.teams = v.digest->teams;
-      for (const auto& [at, offered] : v.offered) t.takes -= offered;
+      for (const auto& [at, offered] : v.offered)
+        t.takes -= offered;
       // What is held there and cannot begin, while it would here, comes back.
       if (t.open && !here.drains && at_once && v.digest->wait_s > 2 * kThere) {
-        for (const std::string& ref : stays_.idle(c, kAtOnce / 10)) stays_.recall(ref, false, out_.now());
+        for (const std::string& ref : stays_.idle(c, kAtOnce / 10))
+          stays_.recall(ref, false, out_.now());
       }
     }
     there.push_back(std::move(t));
@@ -260,7 +290,8 @@
     return;
   std::sort(waiting.begin(), waiting.end(),
             [this](const jobs::Job* a, const jobs::Job* b) { return scheduler_.before(*a, *b); });
-  if (waiting.size() > kLookedAt) waiting.resize(kLookedAt);
+  if (waiting.size() > kLookedAt)
+    waiting.resize(kLookedAt);
   std::vector<cells::Waiting> list;
   for (const jobs::Job* job : waiting) {
     cells::Waiting w;
@@ -272,7 +303,9 @@
       for (std::size_t c = 0; c < cell_views_.size(); ++c) {
         const CellView& v = cell_views_[c];
         const bool been = (job->been >> std::min<std::size_t>(c, 63) & 1U) != 0;
-        const auto has = [&v](const std::string& type) { return v.digest->types.contains(type); };
+        const auto has = [&v](const std::string& type) {
+          return v.digest->types.contains(type);
+        };
         const auto& types = job->spec.types;
         w.may_go.push_back(!been && v.digest &&
                            (types.empty() || std::any_of(types.begin(), types.end(), has)));
@@ -284,7 +317,8 @@
   std::vector<std::size_t> went(cell_views_.size());
   const cells::Plan plan =
       cells::plan(here, list, std::move(there), std::min(kAtOnce, most - std::min(most, away)));
-  for (const std::size_t i : plan.soon) hold_for_spill(*waiting[i]);
+  for (const std::size_t i : plan.soon)
+    hold_for_spill(*waiting[i]);
   spills_ = plan.spills;
   for (const cells::Spill& s : plan.go) {
     jobs::Job& job = *waiting[s.waiting];
@@ -303,21 +337,27 @@
 }
 
 void Node::write_away() {
-  if (stays_.writing()) return;
+  if (stays_.writing())
+    return;
   for (const std::string& key : stays_.to_look_at()) {
-    if (!looking_at_.insert(key).second) continue;
+    if (!looking_at_.insert(key).second)
+      continue;
     store_.get(key, store::Urgency::user, [this, key, term = term_](const store::Reply& r) {
       looking_at_.erase(key);
-      if (term != term_) return;
+      if (term != term_)
+        return;
       const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
-      if (item) stays_.looked(key, item->version);
-      if (r.status == 404) stays_.looked(key, 0);
+      if (item)
+        stays_.looked(key, item->version);
+      if (r.status == 404)
+        stays_.looked(key, 0);
     });
   }
   const std::size_t fit = kMaxBytes / std::max<std::size_t>(1, page_bytes(settings_));
   const auto pages =
       stays_.next_write(std::clamp<std::size_t>(fit, 1, static_cast<std::size_t>(settings_.txn_ops)));
-  if (pages.empty()) return;
+  if (pages.empty())
+    return;
   wire::Txn txn;
   txn.require(lead::kKey, election_.token());
   for (const auto& page : pages) {
@@ -326,7 +366,8 @@
   }
   store_.txn(std::move(txn), store::Urgency::user, election_.authority_until(),
              [this, term = term_](const store::Reply& r) {
-               if (term != term_) return;
+               if (term != term_)
+                 return;
                if (r.status == 200) {
                  home_again(stays_.written(wire::revision(r.body).value_or(0)));
                  return;
@@ -346,10 +387,12 @@
 void Node::home_again(const std::vector<std::string>& refs) {
   for (const std::string& ref : refs) {
     jobs::Job* job = registry_.find(ref);
-    if (!job || !job->open()) continue;
+    if (!job || !job->open())
+      continue;
     ++stats_.handed_back;
     job->away = false;
-    if (!job->held()) scheduler_.arrived(*job);
+    if (!job->held())
+      scheduler_.arrived(*job);
   }
 }
 
@@ -372,7 +415,8 @@
     d.teams[team.name] =
         team.cpus_max > 0 ? team.cpus_max - agents_.team_use(static_cast<jobs::Ix>(t)).cpus : 1e9;
   }
-  for (const auto& t : catalog_) d.types[t.name] = t.zones;
+  for (const auto& t : catalog_)
+    d.types[t.name] = t.zones;
   return d;
 }
 
@@ -395,11 +439,13 @@
   const auto from = std::find_if(known.begin(), known.end(),
                                  [&f](const settings::Neighbour& n) { return n.name == f.cell; });
   const auto asked = peer::decode_between(f.between);
-  if (from == known.end() || !asked) return answer(from == known.end() ? 404 : 400, {});
+  if (from == known.end() || !asked)
+    return answer(from == known.end() ? 404 : 400, {});
   if (!entitled()) {
     // Only the leader knows, takes and ends; it is asked on the neighbour's behalf, once.
     const auto leader = f.relayed ? std::nullopt : leader_peer();
-    if (!leader) return answer(503, {});
+    if (!leader)
+      return answer(503, {});
     ports::Call call;
     call.target = ports::Target::peer;
     call.peer = static_cast<std::uint32_t>(*leader);
@@ -409,7 +455,8 @@
     call.frame->relayed = true;
     call.timeout_s = kCallTimeout - 0.3;
     return out_.call(std::move(call), [this, answer, leader](const ports::Reply& r) {
-      if (!r.frame || r.frame->status != 200) return answer(503, {});
+      if (!r.frame || r.frame->status != 200)
+        return answer(503, {});
       heard(*leader, *r.frame);
       const auto said = peer::decode_between(r.frame->between);
       said ? answer(200, *said) : answer(503, {});
@@ -430,9 +477,11 @@
     all &= a->say.jobs[i].said() != Word::none;
   }
   const auto tell = [a, answer] {
-    if (!std::exchange(a->told, true)) answer(200, a->say);
+    if (!std::exchange(a->told, true))
+      answer(200, a->say);
   };
-  if (all) return tell();
+  if (all)
+    return tell();
   out_.after(kAnswerWithin, tell);
 }
 
@@ -440,16 +489,25 @@
 void Node::answer_word(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from) {
   peer::JobWord& w = a->say.jobs[i];
   const Word asked = w.said();
-  const auto say = [&w](Word word) { w.word = raw(word); };
-  if (const auto it = finals_.find(w.ref); it != finals_.end()) return say(word_of(it->second.phase));
-  if (!wire::valid_ref(w.ref) || fenced_.contains(w.ref)) return say(Word::none);
-  if (asked == Word::offer) return offered_guest(a, i, from);
-  if (asked == Word::recall || asked == Word::cancel) return end_guest(a, i, from);
-  if (asked != Word::state) return say(Word::none);
+  const auto say = [&w](Word word) {
+    w.word = raw(word);
+  };
+  if (const auto it = finals_.find(w.ref); it != finals_.end())
+    return say(word_of(it->second.phase));
+  if (!wire::valid_ref(w.ref) || fenced_.contains(w.ref))
+    return say(Word::none);
+  if (asked == Word::offer)
+    return offered_guest(a, i, from);
+  if (asked == Word::recall || asked == Word::cancel)
+    return end_guest(a, i, from);
+  if (asked != Word::state)
+    return say(Word::none);
   if (const jobs::Job* job = registry_.find(w.ref)) {
-    if (job->guest != from) return say(Word::withdrawn);  // a namesake of this cell's own
+    if (job->guest != from)
+      return say(Word::withdrawn);  // a namesake of this cell's own
     // Its end is being recorded: what is live here would be an older answer soon.
-    if (!job->open() || job->end_sent) return say(Word::none);
+    if (!job->open() || job->end_sent)
+      return say(Word::none);
     w.done = job->done;
     w.running = job->running;
     return say(job->aborting ? Word::ending : Word::held);
@@ -457,26 +515,37 @@
   say(Word::none);
   fresh(w.ref, store::Urgency::user, true,
         [this, a, i](int st, std::optional<wire::Phase> phase, const wire::Value& live) {
-          if (st == 200 && !live.is_null() && entitled()) found_live(live);
-          if (a->told) return;
-          if (st == 404) a->say.jobs[i].word = raw(Word::unknown);
-          if (st == 200 && live.is_null()) a->say.jobs[i].word = raw(word_of(*phase));
+          if (st == 200 && !live.is_null() && entitled())
+            found_live(live);
+          if (a->told)
+            return;
+          if (st == 404)
+            a->say.jobs[i].word = raw(Word::unknown);
+          if (st == 200 && live.is_null())
+            a->say.jobs[i].word = raw(word_of(*phase));
         });
 }
 
 void Node::offered_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from) {
   peer::JobWord& w = a->say.jobs[i];
-  const auto say = [&w](Word word) { w.word = raw(word); };
+  const auto say = [&w](Word word) {
+    w.word = raw(word);
+  };
   if (const jobs::Job* job = registry_.find(w.ref)) {
-    if (job->guest != from) return say(Word::withdrawn);
-    if (!job->open() || job->end_sent || job->aborting) return say(Word::none);
+    if (job->guest != from)
+      return say(Word::withdrawn);
+    if (!job->open() || job->end_sent || job->aborting)
+      return say(Word::none);
     return say(Word::held);
   }
   const auto record = wire::decode_cbor(w.record);
   auto spec = record ? wire::parse_job(*record) : wire::Result<wire::JobSpec>::fail("not CBOR");
-  if (!spec || spec->ref != w.ref) return say(Word::never);
-  if (catalog_.empty() || !room_known_) return say(Word::none);
-  if (impossible(*spec)) return say(Word::never);
+  if (!spec || spec->ref != w.ref)
+    return say(Word::never);
+  if (catalog_.empty() || !room_known_)
+    return say(Word::none);
+  if (impossible(*spec))
+    return say(Word::never);
   const double cores = spec->tasks * spec->need.cpus;
   // A cell that is being emptied hands on what will have to wait here, too.
   const auto& known = settings_.cells.neighbours;
@@ -493,7 +562,8 @@
   }
   wire::Value kept = wire::job_record(*spec, wire::submitted_at(*record).value_or(out_.time_of_day()));
   kept[jobs::kGuest] = from;
-  if (kept.dump().size() > settings_.value_bytes()) return say(Word::never);
+  if (kept.dump().size() > settings_.value_bytes())
+    return say(Word::never);
   room_.guests_waiting += cores;  // until they are counted again
   say(Word::none);
   wire::JobSpec turn = *spec;
@@ -502,13 +572,16 @@
     using Outcome = admission::Intake::Outcome;
     if (r.outcome == Outcome::created) {
       ++stats_.guests_taken;
-      if (entitled()) job_seen(kept, r.revision, r.sheet);
-      if (!a->told) a->say.jobs[i].word = raw(Word::held);
+      if (entitled())
+        job_seen(kept, r.revision, r.sheet);
+      if (!a->told)
+        a->say.jobs[i].word = raw(Word::held);
     } else if (r.outcome == Outcome::exists) {
       // Live since another try of the same offer, or over; it is said when it is asked about next.
       fresh(ref, store::Urgency::user, true,
             [this](int st, std::optional<wire::Phase>, const wire::Value& live) {
-              if (st == 200 && !live.is_null() && entitled()) found_live(live);
+              if (st == 200 && !live.is_null() && entitled())
+                found_live(live);
             });
     }
   });
@@ -518,10 +591,14 @@
 void Node::end_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from) {
   peer::JobWord& w = a->say.jobs[i];
   const bool cancels = w.said() == Word::cancel;
-  const auto say = [&w](Word word) { w.word = raw(word); };
+  const auto say = [&w](Word word) {
+    w.word = raw(word);
+  };
   if (jobs::Job* job = registry_.find(w.ref)) {
-    if (job->guest != from) return say(Word::withdrawn);
-    if (!job->open()) return say(Word::none);
+    if (job->guest != from)
+      return say(Word::withdrawn);
+    if (!job->open())
+      return say(Word::none);
     const bool begun = job->placed > 0 || job->done > 0 || !scheduler_.gates().accounted().open(*job);
     if (!cancels && begun && !job->aborting) {
       w.done = job->done;
@@ -534,9 +611,12 @@
   say(Word::none);
   fresh(w.ref, store::Urgency::user, true,
         [this, ref = w.ref](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (!entitled()) return;
-          if (st == 200 && !live.is_null()) found_live(live);
-          if (st == 404) fence(ref);
+          if (!entitled())
+            return;
+          if (st == 200 && !live.is_null())
+            found_live(live);
+          if (st == 404)
+            fence(ref);
         });
 }
 
@@ -544,7 +624,8 @@
 // the home wants to start the job: it gets a final state, beside which it can never be created. Until that is
 // certain nothing is known of the job here: a creation on a sheet does not exclude the final state.
 void Node::fence(const std::string& ref) {
-  if (registry_.find(ref) || finals_.contains(ref) || !fenced_.insert(ref).second) return;
+  if (registry_.find(ref) || finals_.contains(ref) || !fenced_.insert(ref).second)
+    return;
   ++stats_.fences;
   write_fence(ref);
 }
@@ -557,16 +638,19 @@
   txn.put(jobs::kFinal + ref, wire::ended_record(ended));
   store_.txn(std::move(txn), store::Urgency::user, election_.authority_until(),
              [this, ref, ended, term = term_](const store::Reply& r) {
-               if (term != term_) return;
+               if (term != term_)
+                 return;
                // Without an answer it may have been applied, or be applied late, beside a creation that came
                // after it: so it is written again until that is known.
                if (r.status == 0 && r.delivered) {
                  return out_.after(kAgain, [this, ref, term] {
-                   if (term == term_) write_fence(ref);
+                   if (term == term_)
+                     write_fence(ref);
                  });
                }
                fenced_.erase(ref);
-               if (r.status == 200) remember(ref, ended);
+               if (r.status == 200)
+                 remember(ref, ended);
              });
 }
 
--- a/src/daemon/custody.cpp
+++ b/src/daemon/custody.cpp
@@ -46,43 +46,57 @@
   auto r = wire::Result<wire::Report>::fail("");
   if (settings_.tunables.custody_consent && !store_.healthy()) {
     r = wire::parse_report(bytes);
-    if (!r) return std::nullopt;
-    for (const wire::TaskReport& t : r->tasks) honest_ = std::max(honest_, custody::honest_token(t.attempt));
+    if (!r)
+      return std::nullopt;
+    for (const wire::TaskReport& t : r->tasks)
+      honest_ = std::max(honest_, custody::honest_token(t.attempt));
   }
   if (election_.leading()) {
-    if (modern()) custodian_.granted(election_.token(), election_.renewed_at(), grant_span());
+    if (modern())
+      custodian_.granted(election_.token(), election_.renewed_at(), grant_span());
   } else if (leader_answers() ||
              out_.now() - started_at_ < (store_.healthy() ? vacancy_s() : kNobodyElected)) {
     return std::nullopt;
   }
-  if (out_.now() >= custodian_.until()) return std::nullopt;  // spares reading the report
-  if (!r) r = wire::parse_report(bytes);
-  if (!r) return std::nullopt;
+  if (out_.now() >= custodian_.until())
+    return std::nullopt;  // spares reading the report
+  if (!r)
+    r = wire::parse_report(bytes);
+  if (!r)
+    return std::nullopt;
   // A leadership that told cancellations at once may have told one whose task is on this very worker. That
   // none has since this worker heard of one is known from before, or from what workers show.
   const bool honest = modern() || (honest_ > 0 && r->token <= honest_);
   const auto token = custodian_.may_answer(out_.now(), r->token, honest);
-  if (!token) return std::nullopt;
+  if (!token)
+    return std::nullopt;
   if (election_.leading()) {
-    if (!loaded_) return std::nullopt;
+    if (!loaded_)
+      return std::nullopt;
     auto answer = agents_.report(*r, false);
-    if (answer) custodian_.answered(out_.now());
+    if (answer)
+      custodian_.answered(out_.now());
     return answer;
   }
   // One with nothing on it has nothing to lose, and finds the leader sooner if it goes on looking.
-  if (r->tasks.empty()) return std::nullopt;
+  if (r->tasks.empty())
+    return std::nullopt;
   custodian_.answered(out_.now());
   return wire::report_answer(*token, {});
 }
 
 // An office that fell vacant by a crash is taken again within the leader's lease; that long nobody steps in.
-Seconds Node::vacancy_s() const { return settings_.tunables.leader_lease_s + 0.5; }
+Seconds Node::vacancy_s() const {
+  return settings_.tunables.leader_lease_s + 0.5;
+}
 
 // Whether workers should be sent to the leader.
 bool Node::leader_answers() const {
   for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (settings_.peers[i].name != election_.leader()) continue;
-    if (peers_[i].answers && out_.now() - peers_[i].last_ok < vacancy_s()) return true;
+    if (settings_.peers[i].name != election_.leader())
+      continue;
+    if (peers_[i].answers && out_.now() - peers_[i].last_ok < vacancy_s())
+      return true;
   }
   return out_.now() - leader_seen_ < vacancy_s();
 }
@@ -108,9 +122,11 @@
 }
 
 bool Node::modern() const {
-  if (!all_modern()) return false;
+  if (!all_modern())
+    return false;
   Seconds since = modern_since_;
-  for (const PeerView& p : peers_) since = std::min(since, p.modern_since);
+  for (const PeerView& p : peers_)
+    since = std::min(since, p.modern_since);
   return out_.now() - since >= settings_.cancel_s;
 }
 
@@ -118,7 +134,8 @@
 
 void Node::read_mark(const std::function<void()>& then) {
   if (!settings_.tunables.custody_consent && custody_span_ > 0) {
-    if (then) then();
+    if (then)
+      then();
     return;
   }
   store_.get(kMarkKey, store::Urgency::lease, [this, then, life = mark_reads_](const store::Reply& r) {
@@ -128,7 +145,8 @@
       mark_span_ = wire::amount(item->value, "span_s").value_or(0);
       grants_.earlier(mark_span_);
       // What was seen since it was asked for counts for more.
-      if (life == mark_reads_) marked_ = custody_span_ > 0;
+      if (life == mark_reads_)
+        marked_ = custody_span_ > 0;
       know_modern();
     } else if (r.status == 404) {
       mark_version_ = 0;
@@ -136,25 +154,29 @@
     } else {
       return out_.after(0.3, [this, then] { read_mark(then); });
     }
-    if (then) then();
+    if (then)
+      then();
   });
 }
 
 // The leader writes it once; whoever sees a node that may tell cancellations at once takes it away.
 void Node::keep_mark() {
-  if ((!settings_.tunables.custody_consent && custody_span_ > 0) || mark_busy_) return;
+  if ((!settings_.tunables.custody_consent && custody_span_ > 0) || mark_busy_)
+    return;
   const bool old = custody_span_ <= 0 || std::any_of(peers_.begin(), peers_.end(), [](const PeerView& p) {
                      return p.level && !has_custody(p);
                    });
   if (old) {
     ++mark_reads_;
     marked_ = false;
-    if (mark_version_ == 0) return;
+    if (mark_version_ == 0)
+      return;
     wire::Txn txn;
     txn.require(kMarkKey, mark_version_).erase(kMarkKey);
     return write_mark(std::move(txn), ports::kNever, 0);
   }
-  if (!entitled() || !modern() || (marked_ && mark_span_ >= custody_span_)) return;
+  if (!entitled() || !modern() || (marked_ && mark_span_ >= custody_span_))
+    return;
   const double span = std::max(mark_span_, custody_span_);
   wire::Txn txn;
   txn.require(lead::kKey, election_.token()).require(kMarkKey, mark_version_);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -65,8 +65,10 @@
                    [this](net::Request r) { return serve_peer(std::move(r)); }) {}
 
 std::optional<std::string> Daemon::run() {
-  if (auto why = client_server_.listen()) return why;
-  if (auto why = peer_server_.listen()) return why;
+  if (auto why = client_server_.listen())
+    return why;
+  if (auto why = peer_server_.listen())
+    return why;
   spdlog::info("{} in {}: serving users and workers on {}, peers on {}", settings_.node, settings_.zone,
                settings_.client_listen.text(), settings_.peer_listen.text());
   loop_.refresh();
@@ -83,7 +85,8 @@
 // The time of day is set and slewed from outside, so it is looked at again and again.
 void Daemon::tell_time() {
   constexpr Seconds kEvery = 1;
-  if (loop_.now() < told_time_ + kEvery) return;
+  if (loop_.now() < told_time_ + kEvery)
+    return;
   told_time_ = loop_.refresh();
   const std::chrono::duration<double> day = std::chrono::system_clock::now().time_since_epoch();
   node_.set_day_offset(day.count() - told_time_);
@@ -91,10 +94,12 @@
 
 // Ticks the node if it is time, and carries out what it decided.
 void Daemon::act() {
-  if (acting_) return;
+  if (acting_)
+    return;
   acting_ = true;
   tell_time();
-  if (node_.next_wake() <= loop_.now()) node_.tick(loop_.now());
+  if (node_.next_wake() <= loop_.now())
+    node_.tick(loop_.now());
   for (auto actions = node_.drain(); !actions.empty(); actions = node_.drain()) {
     for (ports::Action& action : actions) {
       if (auto* call = std::get_if<ports::Call>(&action)) {
@@ -102,7 +107,8 @@
       } else {
         auto& answer = std::get<ports::Answer>(action);
         auto it = open_.find(answer.request);
-        if (it != open_.end()) it->second->set(std::move(answer));
+        if (it != open_.end())
+          it->second->set(std::move(answer));
       }
     }
   }
@@ -147,7 +153,8 @@
              by_worker = call.target == ports::Target::worker;
   net::Outcome outcome = co_await client_.call(to.host, to.port, std::move(request), std::move(content_type),
                                                loop_.now() + call.timeout_s, call.not_after);
-  if (scope_.cancelled()) co_return;
+  if (scope_.cancelled())
+    co_return;
   ports::Reply reply;
   reply.status = outcome.status;
   reply.delivered = outcome.delivered;
@@ -193,7 +200,8 @@
   }
   response.status = answer->status;
   response.retry_after_s = answer->retry_after_s;
-  if (!answer->body.is_null()) response.body = wire::encode_cbor(answer->body);
+  if (!answer->body.is_null())
+    response.body = wire::encode_cbor(answer->body);
   co_return response;
 }
 
@@ -319,14 +327,17 @@
   for (const auto& [who, count] : s.put_off_by)
     put_off.Add({{"team", who.first}, {"class", who.second}}).Set(static_cast<double>(count));
   auto& zones = by("wingtrail_zone_cores", "cores in use, by zone");
-  for (const auto& [zone, cores] : s.zones) zones.Add({{"zone", zone}}).Set(cores);
+  for (const auto& [zone, cores] : s.zones)
+    zones.Add({{"zone", zone}}).Set(cores);
   auto& lives = by("wingtrail_zone_state", "1 for the state that each zone is in");
-  for (const auto& [zone, life] : s.zone_lives) lives.Add({{"zone", zone}, {"state", life}}).Set(1);
+  for (const auto& [zone, life] : s.zone_lives)
+    lives.Add({{"zone", zone}, {"state", life}}).Set(1);
   total("wingtrail_zones_lost_total", "zones whose leases ran out while they were out of reach",
         s.zones_lost);
   total("wingtrail_zones_back_total", "zones that came back", s.zones_back);
   auto& reasons = by("wingtrail_waiting_for_cores", "cores that wait, by what holds them back");
-  for (const auto& [why, cores] : s.reasons) reasons.Add({{"why", why}}).Set(cores);
+  for (const auto& [why, cores] : s.reasons)
+    reasons.Add({{"why", why}}).Set(cores);
   if (!s.cells.empty()) {
     auto& away = by("wingtrail_cell_jobs_away", "jobs of this cell that a neighbour holds, or may hold");
     auto& heard = by("wingtrail_cell_heard_seconds", "since this node, leading, heard of the neighbour");
--- a/src/daemon/leading.cpp
+++ b/src/daemon/leading.cpp
@@ -39,7 +39,8 @@
   ++term_;
   loaded_ = false;
   for (const Abort& a : std::exchange(aborts_, {})) {
-    if (a.from) try_later(*a.from);
+    if (a.from)
+      try_later(*a.from);
   }
   ledger_.end();
   agents_.end();
@@ -53,27 +54,35 @@
 
 void Node::load(const char* prefix, const std::string& after, std::uint64_t term) {
   store_.range(prefix, after, [this, prefix, after, term](const store::Reply& r) {
-    if (term != term_) return;
+    if (term != term_)
+      return;
     auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
     read_at_ = range ? out_.now() : read_at_;
     if (!range) {
       return out_.after(0.2, [this, prefix, after, term] {
-        if (term == term_) load(prefix, after, term);
+        if (term == term_)
+          load(prefix, after, term);
       });
     }
     // Changes after the first page's revision are seen by the watch; seeing one twice does no harm.
-    if (prefix == jobs::kLive && after.empty()) jobs_revision_ = range->revision;
-    for (const wire::Item& item : range->items) load_item(prefix, item);
-    if (range->more && !range->items.empty()) return load(prefix, range->items.back().key, term);
+    if (prefix == jobs::kLive && after.empty())
+      jobs_revision_ = range->revision;
+    for (const wire::Item& item : range->items)
+      load_item(prefix, item);
+    if (range->more && !range->items.empty())
+      return load(prefix, range->items.back().key, term);
     if (prefix == jobs::kLive) {
       return drop_over([this, term] {
-        if (term == term_) load(jobs::kProgress, "", term);
+        if (term == term_)
+          load(jobs::kProgress, "", term);
       });
     }
-    if (prefix == jobs::kProgress) return load(jobs::kRoster, "", term);
+    if (prefix == jobs::kProgress)
+      return load(jobs::kRoster, "", term);
     // How long earlier leaders may have granted is read before the first lease is taken for over.
     read_mark([this, term] {
-      if (term == term_) loaded();
+      if (term == term_)
+        loaded();
     });
   });
 }
@@ -87,8 +96,10 @@
     jobs::each_record(item.value, [&](const std::string& ref, const wire::Value& record) {
       jobs::Job* known = registry_.find(ref);
       jobs::Job* job = known ? known : learn_job(record, item.version);
-      if (!job) return;
-      if (!known) job->own_key = false;
+      if (!job)
+        return;
+      if (!known)
+        job->own_key = false;
       // It may be on two sheets, and have a key too: what it is as old as is the first of them.
       job->created = std::min(job->created, item.version);
       ledger_.sheets().hold(item.key, job->ix);
@@ -108,7 +119,8 @@
     const bool good =
         ledger_.load_roster(item.key, item.value, item.version,
                             [this](const wire::Value& record) { return agents_.roster(record).ix; });
-    if (!good) spdlog::error("{}: an unreadable page of the roster", item.key);
+    if (!good)
+      spdlog::error("{}: an unreadable page of the roster", item.key);
   }
 }
 
@@ -120,13 +132,16 @@
   fleet_.begin();
   agents_.tick();
   load_away();
-  for (const std::string& key : std::exchange(intents_, {})) intent_seen(key);
+  for (const std::string& key : std::exchange(intents_, {}))
+    intent_seen(key);
   std::vector<jobs::Job*> all;
   registry_.each([&all](jobs::Job& job) { all.push_back(&job); });
   if (settings_.tunables.admission <= 0) {
-    for (jobs::Job* job : all) ledger_.unfold(*job);
+    for (jobs::Job* job : all)
+      ledger_.unfold(*job);
   }
-  for (jobs::Job* job : all) chains_.join(*job);
+  for (jobs::Job* job : all)
+    chains_.join(*job);
   chains_.spread_urgency();
   for (jobs::Job* job : all) {
     done_if_complete(*job);
@@ -139,11 +154,13 @@
 
 void Node::follow_jobs(std::uint64_t after, std::uint64_t term) {
   store_.watch(jobs::kLive, after, [this, after, term](const store::Reply& r) {
-    if (term != term_) return;
+    if (term != term_)
+      return;
     auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
     if (changes) {
       for (const wire::Change& c : changes->events) {
-        if (!c.deleted) live_key_seen(c.key, c.value, c.version);
+        if (!c.deleted)
+          live_key_seen(c.key, c.value, c.version);
       }
       return follow_jobs(std::max(after, changes->revision), term);
     }
@@ -152,7 +169,8 @@
       return out_.after(0.2, [this, term] { read_again(term); });
     }
     out_.after(0.3, [this, after, term] {
-      if (term == term_) follow_jobs(after, term);
+      if (term == term_)
+        follow_jobs(after, term);
     });
   });
 }
@@ -165,19 +183,24 @@
 };
 
 void Node::read_again(std::uint64_t term) {
-  if (term == term_) read_more(std::make_shared<Rereading>(Rereading{term, 0, {}}));
+  if (term == term_)
+    read_more(std::make_shared<Rereading>(Rereading{term, 0, {}}));
 }
 
 void Node::read_more(const std::shared_ptr<Rereading>& all) {
   const std::string after = all->items.empty() ? "" : all->items.back().key;
   store_.range(jobs::kLive, after, [this, all](const store::Reply& r) {
-    if (all->term != term_) return;
+    if (all->term != term_)
+      return;
     auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
-    if (!range) return out_.after(0.3, [this, all] { read_again(all->term); });
-    if (all->items.empty()) all->revision = range->revision;
+    if (!range)
+      return out_.after(0.3, [this, all] { read_again(all->term); });
+    if (all->items.empty())
+      all->revision = range->revision;
     all->items.insert(all->items.end(), range->items.begin(), range->items.end());
     // A deployment may have more live keys than one answer holds; those behind it would stay unknown.
-    if (range->more && !range->items.empty()) return read_more(all);
+    if (range->more && !range->items.empty())
+      return read_more(all);
     take_again(all);
   });
 }
@@ -186,16 +209,22 @@
   // On sheets that are new here there may be jobs that were over long ago.
   std::vector<std::string> unknown;
   for (const wire::Item& i : all->items) {
-    if (!jobs::is_sheet(i.key) || ledger_.sheets().known(i.key)) continue;
+    if (!jobs::is_sheet(i.key) || ledger_.sheets().known(i.key))
+      continue;
     jobs::each_record(i.value, [&](const std::string& ref, const wire::Value&) {
-      if (!registry_.find(ref)) unknown.push_back(ref);
+      if (!registry_.find(ref))
+        unknown.push_back(ref);
     });
   }
   ask_over(std::move(unknown), [this, all](const std::set<std::string>& over) {
-    if (all->term != term_) return;
-    const auto is_mark = [](const wire::Item& i) { return i.key.ends_with(jobs::kAbortMark); };
+    if (all->term != term_)
+      return;
+    const auto is_mark = [](const wire::Item& i) {
+      return i.key.ends_with(jobs::kAbortMark);
+    };
     for (const wire::Item& i : all->items) {
-      if (is_mark(i)) continue;  // its job may be on a sheet, and those come later
+      if (is_mark(i))
+        continue;  // its job may be on a sheet, and those come later
       if (!jobs::is_sheet(i.key)) {
         live_key_seen(i.key, i.value, i.version);
       } else if (!ledger_.sheets().known(i.key)) {
@@ -203,22 +232,26 @@
       }
     }
     for (const wire::Item& i : all->items) {
-      if (is_mark(i)) intent_seen(i.key);
+      if (is_mark(i))
+        intent_seen(i.key);
     }
     follow_jobs(all->revision, all->term);
   });
 }
 
 void Node::live_key_seen(const std::string& key, const wire::Value& value, std::uint64_t version) {
-  if (key.ends_with(jobs::kAbortMark)) return intent_seen(key);
-  if (cells::is_away(key)) return;  // this leader's own
+  if (key.ends_with(jobs::kAbortMark))
+    return intent_seen(key);
+  if (cells::is_away(key))
+    return;  // this leader's own
   jobs::is_sheet(key) ? sheet_seen(key, value, version) : job_seen(value, version);
 }
 
 void Node::sheet_seen(const std::string& key, const wire::Value& value, std::uint64_t version,
                       const std::set<std::string>& over) {
   jobs::each_record(value, [&](const std::string& ref, const wire::Value& record) {
-    if (!over.contains(ref)) job_seen(record, version, key);
+    if (!over.contains(ref))
+      job_seen(record, version, key);
   });
   ledger_.sheets().read(key);
   ledger_.sweep_empty_sheets();
@@ -226,25 +259,30 @@
 
 void Node::job_seen(const wire::Value& value, std::uint64_t version, const std::string& sheet) {
   const auto ref = wire::text(value, "ref").value_or("");
-  if (finals_.contains(ref) || fenced_.contains(ref)) return;
+  if (finals_.contains(ref) || fenced_.contains(ref))
+    return;
   if (jobs::Job* known = registry_.find(ref)) {
     known->created = std::min(known->created, version);
-    if (known->closed) return;
+    if (known->closed)
+      return;
     sheet.empty() ? void(known->own_key = true) : ledger_.sheets().hold(sheet, known->ix);
     return;
   }
   jobs::Job* job = learn_job(value, version);
-  if (!job) return;
+  if (!job)
+    return;
   agents_.claim(*job);
   if (!sheet.empty()) {
     job->own_key = false;
     ledger_.sheets().hold(sheet, job->ix);
-    if (settings_.tunables.admission <= 0) ledger_.unfold(*job);
+    if (settings_.tunables.admission <= 0)
+      ledger_.unfold(*job);
   }
   chains_.join(*job);
   chains_.spread_urgency();
   if (!job->held()) {
-    if (spills_ && may_go(*job)) hold_for_spill(*job);
+    if (spills_ && may_go(*job))
+      hold_for_spill(*job);
     scheduler_.offered(*job);
     scheduler_.arrived(*job);
   }
@@ -260,9 +298,11 @@
   // Versions before chains kept no time: then it counts from when this leader learns of the job.
   const auto at = wire::submitted_at(value);
   const auto guest = wire::text(value, jobs::kGuest);
-  if (guest) spec->priority = wire::Priority::low;  // it gives way to all of this cell's own work
+  if (guest)
+    spec->priority = wire::Priority::low;  // it gives way to all of this cell's own work
   jobs::Job& job = registry_.add(*spec, version, at ? steady(*at) : out_.now());
-  if (guest) job.guest = *guest;
+  if (guest)
+    job.guest = *guest;
   return &job;
 }
 
@@ -271,7 +311,8 @@
 }
 
 void Node::done_if_complete(jobs::Job& job) {
-  if (!job.open() || job.service() || job.done < job.spec.tasks) return;
+  if (!job.open() || job.service() || job.done < job.spec.tasks)
+    return;
   ledger_.close(job, wire::Phase::done, {});
 }
 
@@ -297,7 +338,8 @@
 void Node::follow_chains() {
   for (const jobs::Ix ix : chains_.take_ready()) {
     jobs::Job* job = registry_.at(ix);
-    if (!job || !job->open()) continue;
+    if (!job || !job->open())
+      continue;
     ++stats_.chains_ready;
     spdlog::debug("{}: all that it needs is done", job->spec.ref);
     scheduler_.offered(*job);
@@ -305,13 +347,15 @@
   }
   for (const jobs::Ix ix : chains_.take_orphans()) {
     jobs::Job* job = registry_.at(ix);
-    if (!job || !job->open()) continue;
+    if (!job || !job->open())
+      continue;
     ++stats_.orphaned;
     spdlog::info("{} is cancelled with a job that it needs", job->spec.ref);
     ledger_.close_orphan(*job);
     agents_.cancel(*job);  // nothing of it runs, unless a version without chains led in between
   }
-  for (std::string& ref : chains_.take_unknown()) to_ask_.push_back(std::move(ref));
+  for (std::string& ref : chains_.take_unknown())
+    to_ask_.push_back(std::move(ref));
   ask_about_needs();
 }
 
@@ -321,7 +365,8 @@
   while (entitled() && asking_ < kAtOnce && !to_ask_.empty()) {
     const std::string ref = std::move(to_ask_.front());
     to_ask_.pop_front();
-    if (chains_.asks_for(ref)) ask_about(ref);
+    if (chains_.asks_for(ref))
+      ask_about(ref);
   }
 }
 
@@ -330,7 +375,8 @@
 void Node::ask_about(const std::string& ref) {
   ++asking_;
   store_.get(jobs::kFinal + ref, store::Urgency::user, [this, ref, term = term_](const store::Reply& r) {
-    if (term != term_) return;
+    if (term != term_)
+      return;
     --asking_;
     const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
     if (const auto ended = item ? wire::parse_ended(item->value) : std::nullopt) {
@@ -339,21 +385,25 @@
     }
     const auto again = [this, ref, term] {
       out_.after(0.5, [this, ref, term] {
-        if (term == term_ && chains_.asks_for(ref)) to_ask_.push_back(ref);
+        if (term == term_ && chains_.asks_for(ref))
+          to_ask_.push_back(ref);
       });
     };
-    if (r.status != 404) return again();
+    if (r.status != 404)
+      return again();
     ++asking_;
     fresh(ref, store::Urgency::user, true,
           [this, ref, term, again](int st, std::optional<wire::Phase>, const wire::Value& live) {
-            if (term != term_) return;
+            if (term != term_)
+              return;
             --asking_;
             if (st == 200 && !live.is_null())
               found_live(live);
             else if (st == 404)
               spdlog::error("{} is needed but was never accepted", ref);
             follow_chains();
-            if (chains_.asks_for(ref)) again();
+            if (chains_.asks_for(ref))
+              again();
           });
   });
 }
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -45,10 +45,13 @@
       "Environment:\n  LOG_LEVEL   error, info (the default) or debug\n\nExit status: 0 on success, 1 if "
       "the service cannot start, 2 for wrong settings.");
   CLI11_PARSE(app, argc, argv);
-  if (!set_up_logging()) return 2;
+  if (!set_up_logging())
+    return 2;
   const auto loaded = wingtrail::settings::load(config, tunables);
-  for (const std::string& p : loaded.problems) std::cerr << "wingtrail: " << p << "\n";
-  if (!loaded.problems.empty()) return 2;
+  for (const std::string& p : loaded.problems)
+    std::cerr << "wingtrail: " << p << "\n";
+  if (!loaded.problems.empty())
+    return 2;
   if (check) {
     std::cout << "wingtrail: the settings of " << loaded.settings.node << " are in order\n";
     return 0;
--- a/src/daemon/node.cpp
+++ b/src/daemon/node.cpp
@@ -22,7 +22,8 @@
 
 std::vector<std::string> neighbour_names(const settings::Cells& cells) {
   std::vector<std::string> names;
-  for (const auto& n : cells.neighbours) names.push_back(n.name);
+  for (const auto& n : cells.neighbours)
+    names.push_back(n.name);
   return names;
 }
 
@@ -38,7 +39,11 @@
     : settings_(std::move(settings)),
       store_(out_, settings_),
       registry_(settings_),
-      election_(out_, store_, settings_, {[this] { elected(); }, [this] { lost(); }}),
+      election_(out_, store_, settings_,
+                {[this] { elected(); },
+                 [this] {
+                   lost();
+                 }}),
       custody_span_(settings_.tunables.custody_leases * settings_.lease_s),
       custodian_(custody_span_, settings_.peers.size()),
       grants_(custody_span_, settings_.lease_s, settings_.peers.size()),
@@ -47,18 +52,23 @@
       intake_(out_, store_, settings_, life_name(seed)),
       chains_(registry_, {[this](const std::string& ref) -> std::optional<jobs::Chains::End> {
                             const auto it = finals_.find(ref);
-                            if (it == finals_.end()) return std::nullopt;
+                            if (it == finals_.end())
+                              return std::nullopt;
                             const wire::Ended& e = it->second;
                             return jobs::Chains::End{e.phase == wire::Phase::done, e.at ? steady(*e.at) : 0};
                           },
-                          [this](const jobs::Job& job) { return scheduler_.span(job); }}),
+                          [this](const jobs::Job& job) {
+                            return scheduler_.span(job);
+                          }}),
       ledger_(out_, store_, registry_, settings_,
               {[this] { return election_.token(); }, [this] { return election_.authority_until(); },
                [this] { election_.superseded("a write found another leader"); }, lead::kKey}),
       agents_(out_, settings_, registry_, ledger_,
               {[this] { return election_.token(); }, [this] { return election_.authority_until(); },
                [this](Seconds own) { return grants_.lease_end(own); },
-               [this] { return settings_.tunables.custody_consent && custody_span_ > 0 && modern(); }},
+               [this] {
+                 return settings_.tunables.custody_consent && custody_span_ > 0 && modern();
+               }},
               {[this](agents::Machine& m) { scheduler_.room(m); },
                [this](agents::Machine& m) { scheduler_.room(m); },
                [this](agents::Machine& m) { scheduler_.gone(m); },
@@ -69,23 +79,36 @@
                    registry_.drop_if_over(*job);
                  }
                },
-               [this] { election_.superseded("a worker knows a newer leader"); }}),
+               [this] {
+                 election_.superseded("a worker knows a newer leader");
+               }}),
       scheduler_(
           out_, settings_, registry_, agents_, [this] { return election_.token(); }, seed),
       fleet_(out_, settings_, registry_, agents_, scheduler_,
              {[this] { return election_.token(); }, [this] { return entitled(); },
-              [this] { return election_.authority_until(); }}),
+              [this] {
+                return election_.authority_until();
+              }}),
       peers_(settings_.peers.size()),
       stays_(neighbour_names(settings_.cells), page_bytes(settings_)),
       cell_views_(settings_.cells.neighbours.size()) {
   ledger_.set_events({[this](jobs::Job& job) { job_closed(job); },
                       [this](const std::vector<jobs::Ledger::Ended>& ended) { agents_.forget(ended); },
                       [this](jobs::Ix ix) { agents_.enlisted(ix); },
-                      [this](jobs::Ix ix) { return agents_.record(ix); }});
-  registry_.on_pending = [this](jobs::Job& job) { scheduler_.waits(job); };
-  intake_.sheets_allowed = [this] { return all_admit(); };
-  intake_.fixed_parts = [this] { return fixed_parts(); };
-  if (settings_.tunables.admission > 0) store_.shared([this] { return state_parts(); });
+                      [this](jobs::Ix ix) {
+                        return agents_.record(ix);
+                      }});
+  registry_.on_pending = [this](jobs::Job& job) {
+    scheduler_.waits(job);
+  };
+  intake_.sheets_allowed = [this] {
+    return all_admit();
+  };
+  intake_.fixed_parts = [this] {
+    return fixed_parts();
+  };
+  if (settings_.tunables.admission > 0)
+    store_.shared([this] { return state_parts(); });
 }
 
 void Node::start(Seconds now) {
@@ -95,7 +118,8 @@
   read_catalog();
   read_mark({});
   fetch_catalog();
-  if (settings_.tunables.admission > 0) read_anew();
+  if (settings_.tunables.admission > 0)
+    read_anew();
   probe_store();
   greet();
   periodic();
@@ -113,8 +137,10 @@
 }
 
 std::vector<ports::Action> Node::drain() {
-  if (election_.leading()) follow_aborts();
-  if (entitled()) agents_.flush();
+  if (election_.leading())
+    follow_aborts();
+  if (entitled())
+    agents_.flush();
   return out_.drain();
 }
 
@@ -156,7 +182,8 @@
     s.zone_lives.emplace_back(registry_.zones[zone], zones::name(zone_lives_[zone].last));
   for (jobs::Ix zone = 0; zone < picture.zones().size(); ++zone)
     s.zones.emplace_back(registry_.zones[zone], picture.zones()[zone]);
-  for (const auto& [why, cores] : picture.reasons()) s.reasons.emplace_back(std::string(why), cores);
+  for (const auto& [why, cores] : picture.reasons())
+    s.reasons.emplace_back(std::string(why), cores);
   for (const auto cause : {spread::Cause::slow, spread::Cause::emptied}) {
     const auto& c = scheduler_.moves().counts(cause);
     s.moves_begun += c.begun;
@@ -172,7 +199,8 @@
   s.swept = ledger_.writes().swept;
   s.admissions_waiting = intake_.waiting();
   s.sheets_live = index_.sheets();
-  if (settings_.tunables.admission > 0) s.state_share = state_parts().writes;
+  if (settings_.tunables.admission > 0)
+    s.state_share = state_parts().writes;
   s.state_asked = store_.asked().writes;
   s.agreed_age_s = election_.entitled() ? 0 : std::min(1e6, writes_shared_.age(out_.now()));
   s.put_off_by.assign(intake_.put_off().begin(), intake_.put_off().end());
@@ -195,13 +223,15 @@
 void Node::route(const From& from, const std::string& method, const std::string& path,
                  const std::string& body) {
   auto wrong_method = [&](const char* wanted) {
-    if (method == wanted) return false;
+    if (method == wanted)
+      return false;
     respond(from, 405);
     return true;
   };
   const std::string jobs_path = wire::kJobsPath;
   if (path == jobs_path) {
-    if (wrong_method("POST")) return;
+    if (wrong_method("POST"))
+      return;
     return submit(from, body);
   }
   if (path.starts_with(jobs_path + "/")) {
@@ -209,20 +239,26 @@
     const std::string suffix = wire::kAbortSuffix;
     if (ref.ends_with(suffix)) {
       ref.resize(ref.size() - suffix.size());
-      if (wrong_method("POST")) return;
-      if (!wire::valid_ref(ref)) return respond(from, 404);
+      if (wrong_method("POST"))
+        return;
+      if (!wire::valid_ref(ref))
+        return respond(from, 404);
       return abort(from, ref);
     }
-    if (wrong_method("GET")) return;
-    if (!wire::valid_ref(ref)) return respond(from, 404);
+    if (wrong_method("GET"))
+      return;
+    if (!wire::valid_ref(ref))
+      return respond(from, 404);
     return status(from, ref);
   }
   if (path == wire::kReportPath && !from.by_peer) {
-    if (wrong_method("POST")) return;
+    if (wrong_method("POST"))
+      return;
     return report(from, body);
   }
   if (path == wire::kReadyPath && !from.by_peer) {
-    if (wrong_method("GET")) return;
+    if (wrong_method("GET"))
+      return;
     const bool ready =
         !catalog_.empty() && (store_.healthy() || served_peer() || entitled() || everybody_waits());
     return ready ? respond(from, 200, wire::Value::object()) : try_later(from);
@@ -244,7 +280,8 @@
     peer::Frame f = frame();
     f.status = status;
     f.retry_after_s = retry_after.value_or(0);
-    if (!body.is_null()) f.body = wire::encode_cbor(body);
+    if (!body.is_null())
+      f.body = wire::encode_cbor(body);
     a.status = 200;
     a.retry_after_s = {};
     a.frame = std::move(f);
@@ -264,7 +301,8 @@
       return respond(from, 200, std::move(*kept));
     }
     bounced_.push_back(out_.now());
-    while (bounced_.size() > 10'000) bounced_.pop_front();
+    while (bounced_.size() > 10'000)
+      bounced_.pop_front();
     // Only a leader that somebody else is: naming this node would send the worker around in a circle.
     const bool other = !election_.leader().empty() && election_.leader() != settings_.node;
     return respond(from, 421, wire::steward(other ? election_.leader() : ""));
@@ -276,7 +314,8 @@
   }
   last_report_ = out_.now();
   auto answer = agents_.report(*r);
-  if (!answer) return respond(from, 503);
+  if (!answer)
+    return respond(from, 503);
   respond(from, 200, std::move(*answer));
 }
 
@@ -302,7 +341,8 @@
   f.wants = 2 * (asked.writes + intake_.backlog() / std::max(1.0, settings_.state_write_rps)) -
             writes_shared_.floor();
   f.wants_requests = 2 * asked.requests - requests_shared_.floor();
-  if (f.admission) f.tries = intake_.tries().tell(out_.time_of_day());
+  if (f.admission)
+    f.tries = intake_.tries().tell(out_.time_of_day());
   f.answers = entitled() || (election_.leading() && loaded_ && out_.now() < custodian_.until());
   return f;
 }
@@ -311,7 +351,8 @@
   custodian_.heard(election_.leader_token());
   know_modern();
   keep_mark();
-  while (!bounced_.empty() && bounced_.front() < out_.now() - kBouncedWindow) bounced_.pop_front();
+  while (!bounced_.empty() && bounced_.front() < out_.now() - kBouncedWindow)
+    bounced_.pop_front();
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
     ports::Call call;
     call.target = ports::Target::peer;
@@ -321,7 +362,8 @@
     call.frame = frame();
     call.timeout_s = 0.9;
     out_.call(std::move(call), [this, i, asked = out_.now()](const ports::Reply& r) {
-      if (!r.frame) return;
+      if (!r.frame)
+        return;
       heard(i, *r.frame);
       if (r.frame->grant && r.frame->node == r.frame->leader)
         custodian_.granted(r.frame->token, asked, granted_for(*r.frame));
@@ -347,26 +389,33 @@
   peers_[i].level = f.level;
   peers_[i].answers = f.answers;
   peers_[i].modern_since = ports::kNever;
-  if (f.modern_s >= 0) peers_[i].modern_since = out_.now() - f.modern_s;
-  if (f.level >= peer::kConsent) peers_[i].span_s = f.span_s;
+  if (f.modern_s >= 0)
+    peers_[i].modern_since = out_.now() - f.modern_s;
+  if (f.level >= peer::kConsent)
+    peers_[i].span_s = f.span_s;
   peers_[i].admission = f.admission;
-  if (!f.tries.empty()) intake_.tries().heard(f.tries, out_.time_of_day());
+  if (!f.tries.empty())
+    intake_.tries().heard(f.tries, out_.time_of_day());
   know_modern();
-  if (!f.leader.empty()) election_.heard(f.leader, f.token);
+  if (!f.leader.empty())
+    election_.heard(f.leader, f.token);
   custodian_.heard(std::max(election_.leader_token(), f.newest));
   honest_ = std::max(honest_, f.honest);
   if (f.answers && f.node == election_.leader()) {
     leader_seen_ = out_.now();
-    if (f.store_ok) leader_able_ = out_.now();
+    if (f.store_ok)
+      leader_able_ = out_.now();
   }
 }
 
 void Node::peer(Seconds now, std::uint64_t id, const peer::Frame& f) {
   out_.set_now(now);
   // Names of nodes say nothing between cells.
-  if (!f.cell.empty() && !f.relayed) return between(id, f);
+  if (!f.cell.empty() && !f.relayed)
+    return between(id, f);
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
-    if (settings_.peers[i].name != f.node) continue;
+    if (settings_.peers[i].name != f.node)
+      continue;
     heard(i, f);
     // Before it has read its jobs, too: it answers nobody itself until then.
     const bool grant = election_.entitled() && modern() && custody_span_ > 0;
@@ -375,7 +424,8 @@
     if (f.path.empty() && f.cell.empty() && (grant || consent || lends)) {
       // What is agreed on past this node's authority must be reckoned with if a renewal gets through after
       // all.
-      if (grant || (consent && election_.leading())) grants_.granted(i, out_.now());
+      if (grant || (consent && election_.leading()))
+        grants_.granted(i, out_.now());
       stats_.grants += grant;
       ports::Answer a;
       a.request = id;
@@ -387,13 +437,16 @@
         a.frame->lends = writes_shared_.lend(i, f.wants, out_.now());
         a.frame->lends_requests = requests_shared_.lend(i, f.wants_requests, out_.now());
       }
-      if (consent) a.frame->consent = static_cast<std::int64_t>(custodian_.newest());
+      if (consent)
+        a.frame->consent = static_cast<std::int64_t>(custodian_.newest());
       return out_.answer(std::move(a));
     }
   }
-  if (!f.cell.empty()) return between(id, f);
+  if (!f.cell.empty())
+    return between(id, f);
   const From from{id, true};
-  if (f.path.empty()) return respond(from, 200);
+  if (f.path.empty())
+    return respond(from, 200);
   route(from, f.method, f.path, f.body);
 }
 
@@ -410,9 +463,11 @@
     return out_.now() - peers_[i].last_ok < kPeerFresh && peers_[i].store_ok &&
            peers_[i].level.value_or(0) >= level;
   };
-  if (auto leader = leader_peer(); leader && served(*leader)) return leader;
+  if (auto leader = leader_peer(); leader && served(*leader))
+    return leader;
   for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (served(i)) return i;
+    if (served(i))
+      return i;
   }
   return std::nullopt;
 }
@@ -436,15 +491,18 @@
       // It is not waited for again before it is heard of. One that was heard of meanwhile only takes long
       // over this: a cancellation, say, that waits for its tasks. Taken for dead, it cost every question of a
       // second a fresh read, and those the budget (a flood of cub-meterlink-fleet: 20,450 answers of 429).
-      if (peers_[peer].last_ok <= asked) peers_[peer].last_ok = -1e9;
+      if (peers_[peer].last_ok <= asked)
+        peers_[peer].last_ok = -1e9;
       return then(0, nullptr);
     }
     heard(peer, *r.frame);
     const int st = r.frame->status;
-    if (st == 503 || st == 429) return then(st, nullptr);
+    if (st == 503 || st == 429)
+      return then(st, nullptr);
     auto decoded =
         r.frame->body.empty() ? std::optional<wire::Value>(nullptr) : wire::decode_cbor(r.frame->body);
-    if (!decoded) return then(0, nullptr);
+    if (!decoded)
+      return then(0, nullptr);
     then(st, *decoded);
   });
 }
@@ -454,8 +512,10 @@
 bool Node::everybody_waits() const {
   bool any = false;
   for (const PeerView& p : peers_) {
-    if (out_.now() - p.last_ok >= kPeerFresh) continue;
-    if (p.store_ok) return false;
+    if (out_.now() - p.last_ok >= kPeerFresh)
+      continue;
+    if (p.store_ok)
+      return false;
     any = true;
   }
   return any;
@@ -463,10 +523,12 @@
 
 void Node::hand_on(const From& from, std::optional<std::size_t> peer, std::string method, std::string path,
                    std::string body, Seconds timeout, const std::function<void(int)>& otherwise) {
-  if (!peer) return otherwise(0);
+  if (!peer)
+    return otherwise(0);
   ask_peer(*peer, std::move(method), std::move(path), std::move(body), timeout,
            [this, from, otherwise](int status, const wire::Value& answer) {
-             if (status == 0 || status == 503 || status == 429) return otherwise(status);
+             if (status == 0 || status == 503 || status == 429)
+               return otherwise(status);
              respond(from, status, answer);
            });
 }
@@ -482,7 +544,8 @@
   out_.call(std::move(call), [this](const ports::Reply& r) {
     if (r.status == 200) {
       use_catalog(r.body);
-      if (entitled()) keep_catalog();
+      if (entitled())
+        keep_catalog();
     }
     out_.after(catalog_.empty() ? 0.5 : kCatalogEvery, [this] { fetch_catalog(); });
   });
@@ -490,7 +553,8 @@
 
 void Node::use_catalog(const wire::Value& raw) {
   auto catalog = wire::parse_catalog(raw);
-  if (!catalog) return spdlog::error("catalog: {}", catalog.error());
+  if (!catalog)
+    return spdlog::error("catalog: {}", catalog.error());
   catalog_ = std::move(*catalog);
   catalog_raw_ = raw;
   agents_.set_catalog(catalog_);
@@ -503,12 +567,14 @@
 void Node::read_catalog() {
   store_.get(kCatalogKey, store::Urgency::user, [this](const store::Reply& r) {
     auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
-    if (item && catalog_.empty()) use_catalog(item->value);
+    if (item && catalog_.empty())
+      use_catalog(item->value);
   });
 }
 
 void Node::keep_catalog() {
-  if (catalog_raw_.is_null() || catalog_raw_.dump().size() > settings_.value_bytes()) return;
+  if (catalog_raw_.is_null() || catalog_raw_.dump().size() > settings_.value_bytes())
+    return;
   wire::Txn txn;
   txn.require(lead::kKey, election_.token()).put(kCatalogKey, catalog_raw_);
   store_.txn(std::move(txn), store::Urgency::background, election_.authority_until(),
@@ -517,7 +583,8 @@
 
 // A follower asks the state service little; this tells it, and through it its peers, whether it is served.
 void Node::probe_store() {
-  if (!election_.leading()) store_.get(lead::kKey, store::Urgency::lease, [](const store::Reply&) {});
+  if (!election_.leading())
+    store_.get(lead::kKey, store::Urgency::lease, [](const store::Reply&) {});
   out_.after(kGreeting, [this] { probe_store(); });
 }
 
@@ -557,7 +624,8 @@
       loss = scheduler_.loss_of(zone);
       looked_at = out_.now();
     }
-    if (now == last || now == Life::quiet) continue;
+    if (now == last || now == Life::quiet)
+      continue;
     const std::string& name = registry_.zones[zone];
     const double finds = loss.elsewhere > 0 ? std::min(1.0, loss.room / loss.elsewhere) : 1.0;
     if (now == Life::cut)
@@ -577,7 +645,8 @@
       spdlog::info("zone {}: back after {:.0f} s, for the {}. time without rest", name, out_.now() - since,
                    zones.flaps(zone));
     }
-    if (now == Life::sound) spdlog::info("zone {}: sound", name);
+    if (now == Life::sound)
+      spdlog::info("zone {}: sound", name);
     last = now;
     since = out_.now();
   }
@@ -602,7 +671,8 @@
         "{:.3f} served",
         l.job_class, l.team, l.held, l.waiting, l.oldest_s, l.offered, l.surge, l.served_share);
   }
-  for (const auto& [why, cores] : s.reasons) spdlog::debug("{:.0f} cores wait for {}", cores, why);
+  for (const auto& [why, cores] : s.reasons)
+    spdlog::debug("{:.0f} cores wait for {}", cores, why);
   out_.after(kStatsEvery, [this] { tell_stats(); });
 }
 
@@ -610,7 +680,8 @@
 // here, one of them should lead.
 void Node::check_reach() {
   bool elsewhere = false;
-  for (const PeerView& p : peers_) elsewhere |= out_.now() - p.last_ok < kPeerFresh && p.bounced > 0;
+  for (const PeerView& p : peers_)
+    elsewhere |= out_.now() - p.last_ok < kPeerFresh && p.bounced > 0;
   const Seconds since = out_.now() - std::max(last_report_, reach_since_);
   if (!elsewhere || since < 2 * settings_.report_s + 1) {
     unreached_since_ = 0;
@@ -618,8 +689,10 @@
   }
   // The first report of a new machine may go to a peer when no other machine is up; it comes here a moment
   // later.
-  if (unreached_since_ == 0) unreached_since_ = out_.now();
-  if (out_.now() - unreached_since_ < kRedirected) return;
+  if (unreached_since_ == 0)
+    unreached_since_ = out_.now();
+  if (out_.now() - unreached_since_ < kRedirected)
+    return;
   unreached_since_ = 0;
   election_.resign(5 * settings_.report_s, "workers reach other nodes but not this one");
 }
--- a/src/daemon/node.hpp
+++ b/src/daemon/node.hpp
@@ -85,19 +85,35 @@
   void request(Seconds now, const Incoming& in);  // from users and workers
   void peer(Seconds now, std::uint64_t id, const peer::Frame& frame);
   void reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
-  void tick(Seconds now);                                              // when next_wake() has come
-  void set_day_offset(double offset) { out_.set_day_offset(offset); }  // time of day less steady time
-  Seconds next_wake() const { return out_.next_wake(); }
+  void tick(Seconds now);  // when next_wake() has come
+  void set_day_offset(double offset) {
+    out_.set_day_offset(offset);
+  }  // time of day less steady time
+  Seconds next_wake() const {
+    return out_.next_wake();
+  }
   std::vector<ports::Action> drain();
 
-  bool entitled() const { return election_.entitled() && loaded_; }
-  Seconds authority_until() const { return election_.authority_until(); }
+  bool entitled() const {
+    return election_.entitled() && loaded_;
+  }
+  Seconds authority_until() const {
+    return election_.authority_until();
+  }
   Stats stats() const;
   // For the tests that look inside.
-  const lead::Election& election() const { return election_; }
-  agents::Agents& agents() { return agents_; }
-  jobs::Registry& registry() { return registry_; }
-  const sched::Scheduler& scheduler() const { return scheduler_; }
+  const lead::Election& election() const {
+    return election_;
+  }
+  agents::Agents& agents() {
+    return agents_;
+  }
+  jobs::Registry& registry() {
+    return registry_;
+  }
+  const sched::Scheduler& scheduler() const {
+    return scheduler_;
+  }
 
  private:
   // Where an answer goes: a request of this node's own, or one that a peer handed on.
--- a/src/daemon/sheets.cpp
+++ b/src/daemon/sheets.cpp
@@ -49,7 +49,8 @@
       std::string most;
       std::uint64_t n = 0;
       for (const auto& [who, count] : intake_.put_off()) {
-        if (count > n) n = count, most = who.second + " of " + who.first;
+        if (count > n)
+          n = count, most = who.second + " of " + who.first;
       }
       spdlog::info("overload: submissions are put off, so far most often {}; {:.0f} % of the budget is ours",
                    most, 100 * state_parts().writes);
@@ -67,8 +68,10 @@
 // Whether there may be sheets that this node does not know of. Where no node writes any, it has to have
 // looked once, after those that took it for its own earlier life have heard of this one.
 bool Node::sheets_matter() const {
-  if (!index_.complete() || !index_.empty() || settings_.tunables.admission > 0) return true;
-  if (index_read_ < started_at_ + kHeardOf) return true;
+  if (!index_.complete() || !index_.empty() || settings_.tunables.admission > 0)
+    return true;
+  if (index_read_ < started_at_ + kHeardOf)
+    return true;
   return std::any_of(peers_.begin(), peers_.end(), [](const PeerView& p) {
     return p.admission.value_or(p.level.value_or(peer::kSheets) >= peer::kSheets);
   });
@@ -78,33 +81,41 @@
   store_.range(jobs::kSheet, after, [this, after](const store::Reply& r) {
     auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
     if (!range) {
-      for (const auto& then : std::exchange(to_catch_up_, {})) then(false);
+      for (const auto& then : std::exchange(to_catch_up_, {}))
+        then(false);
       return out_.after(kRetry, [this, after] { read_sheets(after); });
     }
-    if (after.empty()) sheets_revision_ = range->revision, index_since_ = out_.now();
-    for (const wire::Item& i : range->items) index_.sheet(i.key, i.value);
-    if (range->more && !range->items.empty()) return read_sheets(range->items.back().key);
+    if (after.empty())
+      sheets_revision_ = range->revision, index_since_ = out_.now();
+    for (const wire::Item& i : range->items)
+      index_.sheet(i.key, i.value);
+    if (range->more && !range->items.empty())
+      return read_sheets(range->items.back().key);
     // Later than the first part was read, some may have come to it or gone from it; the changes tell.
     index_.reached(sheets_revision_, out_.now());
     reading_sheets_ = false;
     catch_up_now();
     // Where no sheets are written there is nothing to follow; it is looked up when somebody asks.
-    if (settings_.tunables.admission > 0) follow_sheets();
+    if (settings_.tunables.admission > 0)
+      follow_sheets();
   });
 }
 
 void Node::follow_sheets() {
   store_.watch(jobs::kSheet, index_.revision(), [this](const store::Reply& r) {
     auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
-    if (changes) take_changes(*changes);
-    if (r.status == 410) return read_anew();
+    if (changes)
+      take_changes(*changes);
+    if (r.status == 410)
+      return read_anew();
     out_.after(changes ? kFollowEvery : kRetry, [this] { follow_sheets(); });
   });
 }
 
 // The service no longer tells what has changed since: all is read again.
 void Node::read_anew() {
-  if (reading_sheets_) return;
+  if (reading_sheets_)
+    return;
   reading_sheets_ = true;
   index_.begin();
   read_sheets("");
@@ -112,7 +123,8 @@
 
 void Node::take_changes(const wire::Changes& changes) {
   // Two readings may overtake each other; what an older one tells is known.
-  if (changes.revision < index_.revision()) return;
+  if (changes.revision < index_.revision())
+    return;
   for (const wire::Change& c : changes.events)
     c.deleted ? index_.gone(c.key, out_.now()) : index_.sheet(c.key, c.value);
   index_.reached(changes.revision, out_.now());
@@ -121,12 +133,15 @@
 // Runs `then` when the index holds all that was there at this moment; with false if that cannot be had now.
 void Node::catch_up(std::function<void(bool)> then) {
   to_catch_up_.push_back(std::move(then));
-  if (!catching_up_) catch_up_now();
+  if (!catching_up_)
+    catch_up_now();
 }
 
 void Node::catch_up_now() {
-  if (to_catch_up_.empty()) return;
-  if (!index_.complete()) return read_anew();
+  if (to_catch_up_.empty())
+    return;
+  if (!index_.complete())
+    return read_anew();
   catching_up_ = true;
   store_.changes(
       jobs::kSheet, index_.revision(),
@@ -137,8 +152,10 @@
           take_changes(*changes);
           index_read_ = asked;
         }
-        for (const auto& then : waiting) then(bool(changes));
-        if (r.status == 410 && settings_.tunables.admission <= 0) read_anew();
+        for (const auto& then : waiting)
+          then(bool(changes));
+        if (r.status == 410 && settings_.tunables.admission <= 0)
+          read_anew();
         catch_up_now();  // those that came meanwhile need one that began after
       });
 }
@@ -148,11 +165,14 @@
                            const OnFresh& then) {
   catch_up([this, ref, urgency, need_spec, asked, then, term = term_](bool good) {
     // An index read anew since has forgotten which sheets went lately.
-    if (!good || index_since_ >= asked) return then(503, {}, nullptr);
+    if (!good || index_since_ >= asked)
+      return then(503, {}, nullptr);
     const auto key = index_.find(ref);
     // Its sheet went while it was looked for: it has become final, and asking again will tell.
-    if (!key && index_.lately(ref)) return then(503, {}, nullptr);
-    if (!key) return then(404, {}, nullptr);
+    if (!key && index_.lately(ref))
+      return then(503, {}, nullptr);
+    if (!key)
+      return then(404, {}, nullptr);
     if (!need_spec) {
       // It may have ended while it was looked for.
       wire::Txn txn;
@@ -166,9 +186,11 @@
       wire::Value found;
       if (item)
         jobs::each_record(item->value, [&](const std::string& name, const wire::Value& record) {
-          if (name == ref) found = record;
+          if (name == ref)
+            found = record;
         });
-      if (found.is_null()) return then(503, {}, nullptr);
+      if (found.is_null())
+        return then(503, {}, nullptr);
       then(200, wire::Phase::queued, live_record(found, *item, term));
     });
   });
@@ -181,7 +203,8 @@
 // The leader learns of a job by a read of its own. One that an earlier leadership of this node asked for
 // tells nothing: the job may have been ended, and its end told, by a leader in between.
 void Node::found_live(const wire::Value& live) {
-  if (live["term"].get<std::uint64_t>() != term_) return;
+  if (live["term"].get<std::uint64_t>() != term_)
+    return;
   const auto key = live["key"].get<std::string>();
   job_seen(live["spec"], live["version"].get<std::uint64_t>(), jobs::is_sheet(key) ? key : "");
 }
@@ -193,11 +216,13 @@
 void Node::drop_over(std::function<void()> then) {
   std::vector<std::string> refs;
   registry_.each([&](const jobs::Job& job) {
-    if (ledger_.sheets().holds(job.ix)) refs.push_back(job.spec.ref);
+    if (ledger_.sheets().holds(job.ix))
+      refs.push_back(job.spec.ref);
   });
   ask_over(std::move(refs), [this, then = std::move(then)](const std::set<std::string>& over) {
     for (const std::string& ref : over) {
-      if (const jobs::Job* job = registry_.find(ref)) ledger_.sheets().over(job->ix);
+      if (const jobs::Job* job = registry_.find(ref))
+        ledger_.sheets().over(job->ix);
       registry_.forget(ref);
     }
     ledger_.sweep_empty_sheets();
@@ -216,7 +241,8 @@
 
 void Node::ask_over(std::vector<std::string> refs, std::function<void(const std::set<std::string>&)> then) {
   auto o = std::make_shared<Over>(Over{std::move(refs), {}, 0, false, term_, std::move(then)});
-  for (int n = 0; n < kAskAtOnce; ++n) ask_some_over(o);
+  for (int n = 0; n < kAskAtOnce; ++n)
+    ask_some_over(o);
 }
 
 void Node::ask_some_over(const std::shared_ptr<Over>& o) {
@@ -225,7 +251,8 @@
   // leader renewed its lease without ever having read its jobs (looks day of our own, cub-meterlink-hunt:
   // every task was killed by its lease).
   if (o->refs.empty()) {
-    if (o->open == 0 && !std::exchange(o->told, true)) o->then(o->over);
+    if (o->open == 0 && !std::exchange(o->told, true))
+      o->then(o->over);
     return;
   }
   wire::Txn txn;
@@ -238,21 +265,25 @@
   ++o->open;
   store_.txn(std::move(txn), store::Urgency::lease, ports::kNever,
              [this, o, asked = std::move(asked)](const store::Reply& r) {
-               if (o->term != term_) return;
+               if (o->term != term_)
+                 return;
                --o->open;
-               if (r.status == 200 || r.status == 409) read_at_ = out_.now();
+               if (r.status == 200 || r.status == 409)
+                 read_at_ = out_.now();
                if (r.status != 200 && r.status != 409) {
                  o->refs.insert(o->refs.end(), asked.begin(), asked.end());
                  ++o->open;
                  return out_.after(kRetry, [this, o] {
-                   if (o->term != term_) return;
+                   if (o->term != term_)
+                     return;
                    --o->open;
                    ask_some_over(o);
                  });
                }
                constexpr std::size_t prefix = std::string_view(jobs::kFinal).size();
                if (r.status == 409) {
-                 for (const std::string& key : wire::failed_keys(r.body)) o->over.insert(key.substr(prefix));
+                 for (const std::string& key : wire::failed_keys(r.body))
+                   o->over.insert(key.substr(prefix));
                }
                ask_some_over(o);
              });
--- a/src/emulator/cells_world.cpp
+++ b/src/emulator/cells_world.cpp
@@ -15,11 +15,13 @@
   reach_->send = [this](std::size_t from, std::size_t to, std::function<void()> fn) {
     send(from, to, std::move(fn));
   };
-  for (auto& w : worlds_) w->join(reach_);
+  for (auto& w : worlds_)
+    w->join(reach_);
 }
 
 void Cells::begin() {
-  for (auto& w : worlds_) w->begin();
+  for (auto& w : worlds_)
+    w->begin();
 }
 
 // In the order of time over all cells, so that none sees another's future.
@@ -27,9 +29,11 @@
   while (true) {
     World* first = nullptr;
     for (auto& w : worlds_) {
-      if (!first || w->next() < first->next()) first = w.get();
+      if (!first || w->next() < first->next())
+        first = w.get();
     }
-    if (first->next() >= until || !broken().empty()) break;
+    if (first->next() >= until || !broken().empty())
+      break;
     now_ = first->next();
     first->step(std::nextafter(now_, 1e18));
   }
@@ -55,7 +59,8 @@
   World& w = *worlds_[cell];
   for (double t = 0; t < for_s; t += 0.5) {
     w.at_time(now_ + t, [&w] {
-      for (std::size_t i = 0; i < w.nodes(); ++i) w.crash(i);
+      for (std::size_t i = 0; i < w.nodes(); ++i)
+        w.crash(i);
     });
   }
 }
@@ -64,24 +69,29 @@
   const Link& l = links_[{from, to}];
   double at = worlds_[from]->now() + between(0.001, 0.02);
   if (at < l.until) {
-    if (!l.hold || between(0, 1) < 0.5) return;
+    if (!l.hold || between(0, 1) < 0.5)
+      return;
     at = l.until + between(0, 0.1);
   }
-  if (between(0, 1) < doubled) worlds_[to]->at_time(at + between(0.5, 60), fn);
+  if (between(0, 1) < doubled)
+    worlds_[to]->at_time(at + between(0.5, 60), fn);
   worlds_[to]->at_time(at, std::move(fn));
 }
 
 void Cells::trouble_links(double every_s, double until) {
   const double at = now_ + between(0, 2 * every_s);
-  if (at > until) return;
+  if (at > until)
+    return;
   worlds_[0]->at_time(at, [this, every_s, until] {
     const std::size_t a = rng_(static_cast<std::uint32_t>(size()));
     const std::size_t b = (a + 1 + rng_(static_cast<std::uint32_t>(size() - 1))) % size();
     const double span = between(1, 30);
     const bool hold = between(0, 1) < 0.5;
     cut(a, b, span, hold);
-    if (between(0, 1) < 0.6) cut(b, a, span, hold);
-    if (between(0, 1) < 0.15) down(a, between(0.5, 25));
+    if (between(0, 1) < 0.6)
+      cut(b, a, span, hold);
+    if (between(0, 1) < 0.15)
+      down(a, between(0.5, 25));
     trouble_links(every_s, until);
   });
 }
@@ -110,7 +120,8 @@
   for (double t = 270; undone > 0 && t < 150 + plans[0].settle_s && cells.broken().empty(); t += 60) {
     cells.step(t);
     undone = 0;
-    for (std::size_t c = 0; c < n; ++c) undone += cells[c].undone();
+    for (std::size_t c = 0; c < n; ++c)
+      undone += cells[c].undone();
   }
   cells.step(cells.now() + 60);
   CellsDay day;
--- a/src/emulator/cells_world.hpp
+++ b/src/emulator/cells_world.hpp
@@ -13,11 +13,17 @@
   // One plan for each; their numbers are set here.
   explicit Cells(std::vector<Plan> plans, std::uint64_t seed = 1);
 
-  World& operator[](std::size_t c) { return *worlds_[c]; }
-  std::size_t size() const { return worlds_.size(); }
+  World& operator[](std::size_t c) {
+    return *worlds_[c];
+  }
+  std::size_t size() const {
+    return worlds_.size();
+  }
   void begin();
   void step(double until);
-  double now() const { return now_; }
+  double now() const {
+    return now_;
+  }
   std::vector<std::string> broken() const;  // by all cells
 
   // From now on for so long nothing that `a` says reaches `b`; `hold`: it does afterwards.
@@ -35,7 +41,9 @@
     bool hold = false;
   };
   void send(std::size_t from, std::size_t to, std::function<void()> fn);
-  double between(double a, double b) { return a + (b - a) * std::ldexp(static_cast<double>(rng_()), -32); }
+  double between(double a, double b) {
+    return a + (b - a) * std::ldexp(static_cast<double>(rng_()), -32);
+  }
 
   pcg32 rng_;
   double now_ = 0;
--- a/src/emulator/cloud.cpp
+++ b/src/emulator/cloud.cpp
@@ -28,8 +28,10 @@
   h->sick = boot > 0 && odds(0.05);
   Host& out = *h;
   hosts_[h->name] = std::move(h);
-  if (t_ < quick_boots_until_ && boot > 0) boot = between(0.2, 1.5), out.never = false;
-  if (!out.never) later(boot + between(0, 0.5), [this, n = out.name] { worker_up(*hosts_.at(n)); });
+  if (t_ < quick_boots_until_ && boot > 0)
+    boot = between(0.2, 1.5), out.never = false;
+  if (!out.never)
+    later(boot + between(0, 0.5), [this, n = out.name] { worker_up(*hosts_.at(n)); });
   return out;
 }
 
@@ -46,7 +48,8 @@
 void World::snapshot_list() {
   Value hosts = Value::array();
   for (auto& [name, h] : hosts_) {
-    if (h->gone) continue;
+    if (h->gone)
+      continue;
     hosts.push_back({{"ref", name},
                      {"addr", h->addr},
                      {"flavour", catalog_[h->type].name},
@@ -56,11 +59,13 @@
                      {"ageS", t_ - h->hired}});
   }
   lists_.emplace_back(t_, std::move(hosts));
-  if (lists_.size() > 40) lists_.erase(lists_.begin());
+  if (lists_.size() > 40)
+    lists_.erase(lists_.begin());
 }
 
 void World::cloud(const std::string& method, const std::string& path, const Value& body, Reply reply) {
-  if (t_ < cloud_down_until_) return reply(503, {{"error", "trouble"}});
+  if (t_ < cloud_down_until_)
+    return reply(503, {{"error", "trouble"}});
   if (path == "/catalog") {
     Value list = Value::array();
     for (const auto& c : catalog_) {
@@ -82,16 +87,20 @@
     const double when = t_ - settings_.list_lag_s * between(1, 2);
     Value hosts = Value::array();
     for (const auto& [at_time, list] : lists_) {
-      if (at_time <= when) hosts = list;
+      if (at_time <= when)
+        hosts = list;
     }
     return reply(200, {{"hosts", hosts}, {"more", false}});
   }
   if (path == "/machines") {
     const auto name = body["hire"].get<std::string>();
-    if (auto it = hires_.find(name); it != hires_.end()) return reply(200, it->second);
+    if (auto it = hires_.find(name); it != hires_.end())
+      return reply(200, it->second);
     std::size_t live = 0;
-    for (auto& [n, h] : hosts_) live += !h->gone;
-    if (t_ < no_capacity_until_ || live >= plan_.most_machines) return reply(503, {{"error", "no capacity"}});
+    for (auto& [n, h] : hosts_)
+      live += !h->gone;
+    if (t_ < no_capacity_until_ || live >= plan_.most_machines)
+      return reply(503, {{"error", "no capacity"}});
     Value names = Value::array();
     const std::size_t type = body["flavour"] == catalog_[0].name ? 0 : 1;
     const auto hall =
@@ -110,7 +119,8 @@
   }
   for (const Value& n : body["hosts"]) {
     auto it = hosts_.find(n.get<std::string>());
-    if (it != hosts_.end()) remove_host(*it->second);
+    if (it != hosts_.end())
+      remove_host(*it->second);
   }
   reply(200, Value::object());
 }
--- a/src/emulator/controllers.cpp
+++ b/src/emulator/controllers.cpp
@@ -14,15 +14,19 @@
 }
 
 void World::boot(std::size_t i) {
-  if (outside_.boot) return outside_.boot(i);
+  if (outside_.boot)
+    return outside_.boot(i);
   Ctl& c = *ctls_[i];
-  if (c.node) return;
+  if (c.node)
+    return;
   settings::Settings s = c.former ? former_ : settings_;
-  if (plan_.one_fixed && i + 1 == plan_.nodes) s.tunables.admission = 0;
+  if (plan_.one_fixed && i + 1 == plan_.nodes)
+    s.tunables.admission = 0;
   s.node = node_name(i);
   s.zone = settings_.zones[i % plan_.zones];
   for (std::size_t p = 0; p < plan_.nodes; ++p) {
-    if (p != i) s.peers.push_back({node_name(p), settings_.zones[p % plan_.zones], {}});
+    if (p != i)
+      s.peers.push_back({node_name(p), settings_.zones[p % plan_.zones], {}});
   }
   ++c.life;
   c.open.clear();
@@ -35,8 +39,10 @@
 
 void World::crash(std::size_t i) {
   Ctl& c = *ctls_[i];
-  if (outside_.crash) outside_.crash(i);
-  if (!c.node && !outside_.crash) return;
+  if (outside_.crash)
+    outside_.crash(i);
+  if (!c.node && !outside_.crash)
+    return;
   spdlog::debug("{:.3f} {} ends", t_, node_name(i));
   troubled(plan_.back_to);
   c.node.reset();
@@ -47,7 +53,8 @@
 
 void World::act(std::size_t i) {
   Ctl& c = *ctls_[i];
-  if (!c.node) return;
+  if (!c.node)
+    return;
   for (auto actions = c.node->drain(); !actions.empty(); actions = c.node->drain()) {
     for (auto& action : actions) {
       if (auto* call = std::get_if<ports::Call>(&action)) {
@@ -55,36 +62,43 @@
       } else {
         auto& answer = std::get<ports::Answer>(action);
         auto node = c.open.extract(answer.request);
-        if (!node.empty()) node.mapped()(answer);
+        if (!node.empty())
+          node.mapped()(answer);
       }
     }
   }
   if (c.node->entitled() != c.led) {
     c.led = c.node->entitled();
     verdict_.elections += c.led;
-    if (c.led && !kept_reports_.empty()) release_reports(i);
+    if (c.led && !kept_reports_.empty())
+      release_reports(i);
   }
   // Two nodes that may both give orders would break everything else.
   std::size_t entitled = 0;
-  for (auto& other : ctls_) entitled += other->node && node_time(*other) < other->node->authority_until();
-  if (entitled > 1) broke("two_leaders", node_name(i) + " acts beside another");
+  for (auto& other : ctls_)
+    entitled += other->node && node_time(*other) < other->node->authority_until();
+  if (entitled > 1)
+    broke("two_leaders", node_name(i) + " acts beside another");
   poke(i);
 }
 
 void World::poke(std::size_t i) {
   Ctl& c = *ctls_[i];
   const double wake = (c.node->next_wake() - 1000) / c.rate;
-  if (!std::isfinite(wake) || (c.wake >= t_ && c.wake <= wake + 1e-9)) return;
+  if (!std::isfinite(wake) || (c.wake >= t_ && c.wake <= wake + 1e-9))
+    return;
   c.wake = std::max(wake, t_) + 1e-6;
   at(c.wake, [this, i, life = c.life, due = c.wake] {
     Ctl& ctl = *ctls_[i];
-    if (!ctl.node || ctl.life != life || ctl.wake != due) return;
+    if (!ctl.node || ctl.life != life || ctl.wake != due)
+      return;
     ctl.wake = -1;
     if (t_ < ctl.paused_until) {  // a stalled process: its timers fire when it goes on
       ctl.wake = ctl.paused_until;
       return at(ctl.paused_until, [this, i, life] {
         Ctl& again = *ctls_[i];
-        if (!again.node || again.life != life) return;
+        if (!again.node || again.life != life)
+          return;
         again.wake = -1;
         again.node->tick(node_time(again));
         act(i);
@@ -99,7 +113,8 @@
   Ctl& c = *ctls_[i];
   if (plan_.sabotage != "no_authority_check" && node_time(c) >= call.not_after) {
     later(0, [this, i, life = c.life, id = call.id] {
-      if (!ctls_[i]->node || ctls_[i]->life != life) return;
+      if (!ctls_[i]->node || ctls_[i]->life != life)
+        return;
       ports::Reply none;
       none.delivered = false;
       ctls_[i]->node->reply(node_time(*ctls_[i]), id, none);
@@ -109,14 +124,17 @@
   }
   auto answered = std::make_shared<bool>(false);
   auto finish = [this, i, life = c.life, id = call.id, answered](ports::Reply r) {
-    if (*answered) return;
+    if (*answered)
+      return;
     *answered = true;
     Ctl& ctl = *ctls_[i];
-    if (!ctl.node || ctl.life != life) return;
+    if (!ctl.node || ctl.life != life)
+      return;
     if (t_ < ctl.paused_until) {
       at(ctl.paused_until, [this, i, life, id, r] {
         Ctl& again = *ctls_[i];
-        if (!again.node || again.life != life) return;
+        if (!again.node || again.life != life)
+          return;
         again.node->reply(node_time(again), id, r);
         act(i);
       });
@@ -150,7 +168,8 @@
     to = node_name(peer);
   } else if (call.target == ports::Target::worker) {
     for (auto& [name, h] : hosts_) {
-      if (h->addr == call.address) host = h.get();
+      if (h->addr == call.address)
+        host = h.get();
     }
     to = host ? host->name : "nowhere";
   }
@@ -181,7 +200,8 @@
         return cloud(call.method, call.path, call.body, back);
       case ports::Target::peer: {
         Ctl& other = *ctls_[peer];
-        if (!other.node || t_ < other.paused_until) return;
+        if (!other.node || t_ < other.paused_until)
+          return;
         const std::uint64_t id = ++other.requests;
         other.open[id] = [this, me, to, finish](const ports::Answer& a) {
           send(to, me, [finish, a] {
@@ -195,12 +215,15 @@
         return act(peer);
       }
       case ports::Target::worker: {
-        if (!host || host->gone || host->dead || !host->up) return;
-        if (t_ < host->deaf_until) return void(++verdict_.unheard);
+        if (!host || host->gone || host->dead || !host->up)
+          return;
+        if (t_ < host->deaf_until)
+          return void(++verdict_.unheard);
         const std::string name = host->name;
         auto arrive = [this, name, call, back] {
           Host& h = *hosts_.at(name);
-          if (h.gone || h.dead || !h.up) return;
+          if (h.gone || h.dead || !h.up)
+            return;
           check_lease(h);
           const int status = execute(h, call.body, true);
           back(status, status == 400 ? Value::object() : report_value(h));
@@ -209,17 +232,20 @@
           ++verdict_.late_commands;
           return later(between(2, 16), [this, name, body = call.body] {
             Host& h = *hosts_.at(name);
-            if (h.gone || h.dead || !h.up) return;
+            if (h.gone || h.dead || !h.up)
+              return;
             const auto carried_out = [this, name, body] {
               Host& there = *hosts_.at(name);
-              if (there.gone || there.dead) return;
+              if (there.gone || there.dead)
+                return;
               check_lease(there);
               execute(there, body, true);
             };
             t_ < h.hung_until ? at(h.hung_until + 1e-6, carried_out) : carried_out();
           });
         }
-        if (t_ < host->hung_until) return at(host->hung_until + 1e-6, arrive);
+        if (t_ < host->hung_until)
+          return at(host->hung_until + 1e-6, arrive);
         return arrive();
       }
     }
@@ -233,7 +259,8 @@
 
 void World::frame(std::size_t node, const peer::Frame& frame, OnAnswer then) {
   Ctl& c = *ctls_[node];
-  if (!c.node || t_ < c.paused_until) return;
+  if (!c.node || t_ < c.paused_until)
+    return;
   const std::uint64_t id = ++c.requests;
   c.open[id] = std::move(then);
   c.node->peer(node_time(c), id, *peer::decode(peer::encode(frame)));
@@ -241,12 +268,15 @@
 }
 
 void World::deliver(std::size_t i, daemon::Incoming in, OnAnswer then) {
-  if (outside_.deliver) return outside_.deliver(i, std::move(in), std::move(then));
+  if (outside_.deliver)
+    return outside_.deliver(i, std::move(in), std::move(then));
   Ctl& c = *ctls_[i];
-  if (!c.node) return;
+  if (!c.node)
+    return;
   if (t_ < c.paused_until) {
     at(c.paused_until, [this, i, in, then, life = c.life] {
-      if (ctls_[i]->life == life) deliver(i, in, then);
+      if (ctls_[i]->life == life)
+        deliver(i, in, then);
     });
     return;
   }
--- a/src/emulator/history.cpp
+++ b/src/emulator/history.cpp
@@ -14,7 +14,8 @@
 
 std::size_t World::held_at_home() const {
   const auto i = leader();
-  if (!i) return jobs_waiting();
+  if (!i)
+    return jobs_waiting();
   std::size_t n = 0;
   ctls_[*i]->node->registry().each([&n](const jobs::Job& job) {
     n += job.open() && !job.held() && !job.service() && job.placed == 0 && job.done == 0;
@@ -39,14 +40,17 @@
 double World::over_within(const std::string& job_class, double s, double from, double to) const {
   double came = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
-    if (job->spec.job_class != job_class || job->came < from || job->came >= to || job->want_abort) continue;
+    if (job->spec.job_class != job_class || job->came < from || job->came >= to || job->want_abort)
+      continue;
     ++came;
     in_time += job->over_at >= 0 && job->over_at <= job->came + s;
   }
   return came > 0 ? in_time / came : 1;
 }
 
-bool World::over(const std::string& ref) const { return jobs_.at(ref)->over(); }
+bool World::over(const std::string& ref) const {
+  return jobs_.at(ref)->over();
+}
 
 double World::served(const std::string& team, double older_than) const {
   double came = 0, over = 0;
@@ -63,7 +67,8 @@
 double World::accepted_within(const std::string& job_class, double s, double from, double to) const {
   double came = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
-    if (job->spec.job_class != job_class || job->came < from || job->came >= to) continue;
+    if (job->spec.job_class != job_class || job->came < from || job->came >= to)
+      continue;
     ++came;
     in_time += job->accepted && job->accepted_at <= job->came + s;
   }
@@ -73,22 +78,26 @@
 std::size_t World::replicas_up(const std::string& ref) const {
   std::size_t up = 0;
   for (const auto& [name, h] : hosts_) {
-    if (h->gone || h->dead) continue;
-    for (const TaskOn& x : h->tasks) up += x.job && x.job->spec.ref == ref && x.on();
+    if (h->gone || h->dead)
+      continue;
+    for (const TaskOn& x : h->tasks)
+      up += x.job && x.job->spec.ref == ref && x.on();
   }
   return up;
 }
 
 std::size_t World::machines_in(std::size_t zone) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : hosts_) n += h->zone == zone && !h->gone && !h->dead;
+  for (const auto& [name, h] : hosts_)
+    n += h->zone == zone && !h->gone && !h->dead;
   return n;
 }
 
 std::size_t World::slow_and_running(double factor) const {
   std::size_t n = 0;
   for (const auto& [name, h] : hosts_) {
-    if (h->gone || h->dead || h->slow < factor) continue;
+    if (h->gone || h->dead || h->slow < factor)
+      continue;
     n += static_cast<std::size_t>(
         std::count_if(h->tasks.begin(), h->tasks.end(), [](const TaskOn& x) { return x.on(); }));
   }
--- a/src/emulator/meetings.cpp
+++ b/src/emulator/meetings.cpp
@@ -13,10 +13,12 @@
   troubled(for_s);
   std::vector<Host*> up;
   for (auto& [name, h] : hosts_) {
-    if (!h->gone && !h->dead && h->up) up.push_back(h.get());
+    if (!h->gone && !h->dead && h->up)
+      up.push_back(h.get());
   }
   if (ref.empty()) {
-    for (std::size_t k = up.size(); k > 1; --k) std::swap(up[k - 1], up[pick(k)]);
+    for (std::size_t k = up.size(); k > 1; --k)
+      std::swap(up[k - 1], up[pick(k)]);
   } else {
     const auto has = [&ref](const Host* h) {
       return std::any_of(h->tasks.begin(), h->tasks.end(), [&ref](const TaskOn& x) {
@@ -29,11 +31,16 @@
   for (Host* h : up) {
     const double until = t_ + for_s * between(0.95, 1.05);
     spdlog::debug("{:.3f} {}: ails ({}) until {:.1f}", t_, h->name, static_cast<int>(what), until);
-    if (what == Ail::hung) h->hung_until = until;
-    if (what == Ail::deaf) h->deaf_until = until;
-    if (what == Ail::mute) h->mute_until = until;
-    if (what != Ail::unreachable) continue;
-    for (std::size_t k = 0; k < plan_.nodes; ++k) cut(node_name(k), h->name, for_s, false);
+    if (what == Ail::hung)
+      h->hung_until = until;
+    if (what == Ail::deaf)
+      h->deaf_until = until;
+    if (what == Ail::mute)
+      h->mute_until = until;
+    if (what != Ail::unreachable)
+      continue;
+    for (std::size_t k = 0; k < plan_.nodes; ++k)
+      cut(node_name(k), h->name, for_s, false);
   }
   return up.size();
 }
@@ -59,18 +66,22 @@
       // Before the first answer of any worker; a worker's copies in no particular order.
       later(between(0, 0.0005), [this, in] {
         ++verdict_.kept_reports;
-        for (std::size_t i = 0; i < plan_.nodes; ++i) deliver(i, in, [](const ports::Answer&) {});
+        for (std::size_t i = 0; i < plan_.nodes; ++i)
+          deliver(i, in, [](const ports::Answer&) {});
       });
       continue;
     }
     later(odds(0.3) ? between(0, 0.2) : between(0.2, 5), [this, in] {
       ++verdict_.kept_reports;
-      for (std::size_t i = 0; i < plan_.nodes; ++i) deliver(i, in, [](const ports::Answer&) {});
+      for (std::size_t i = 0; i < plan_.nodes; ++i)
+        deliver(i, in, [](const ports::Answer&) {});
     });
   }
 }
 
-void World::quick_boots(double for_s) { quick_boots_until_ = t_ + for_s; }
+void World::quick_boots(double for_s) {
+  quick_boots_until_ = t_ + for_s;
+}
 
 void World::slow_links(double for_s) {
   troubled(for_s);
@@ -88,9 +99,11 @@
 void World::cancel_now(std::size_t n, double hang_s) {
   std::set<UserJob*> running;
   for (const auto& [name, h] : hosts_) {
-    if (h->gone || h->dead) continue;
+    if (h->gone || h->dead)
+      continue;
     for (const TaskOn& x : h->tasks) {
-      if (x.on() && x.job->accepted && !x.job->want_abort && !x.job->over()) running.insert(x.job);
+      if (x.on() && x.job->accepted && !x.job->want_abort && !x.job->over())
+        running.insert(x.job);
     }
   }
   std::vector<UserJob*> some(running.begin(), running.end());
@@ -108,7 +121,8 @@
       job->want_abort = true;
       abort(*job);
     });
-    if (hang_s > 0 && hung < 8) hung += ail(Ail::hung, 1, hang_s, job->spec.ref);
+    if (hang_s > 0 && hung < 8)
+      hung += ail(Ail::hung, 1, hang_s, job->spec.ref);
   }
 }
 
@@ -117,7 +131,9 @@
   cancel_at_end_until_ = t_ + for_s;
 }
 
-void World::close_looks(double for_s) { looks_until_ = t_ + for_s; }
+void World::close_looks(double for_s) {
+  looks_until_ = t_ + for_s;
+}
 
 // At all nodes, again and again within milliseconds; the submission too; some call the job off at once.
 void World::look_closely(UserJob& job) {
@@ -131,7 +147,8 @@
   for (std::size_t i = 0; i < plan_.nodes; ++i) {
     later(between(0, 0.02), [this, i, &job] { submit_at(job, t_ - 100, i); });
   }
-  if (job.want_abort || job.told_done || job.spec.shape == wire::Shape::service || !odds(0.2)) return;
+  if (job.want_abort || job.told_done || job.spec.shape == wire::Shape::service || !odds(0.2))
+    return;
   later(between(0, 0.03), [this, &job] {
     job.want_abort = true;
     abort(job);
@@ -144,13 +161,16 @@
 }
 
 void World::odd_request() {
-  if (t_ > odd_until_) return;
+  if (t_ > odd_until_)
+    return;
   later(between(0.1, 1), [this] { odd_request(); });
   const std::size_t i = pick(plan_.nodes);
   std::vector<UserJob*> open, done;
   for (auto& [ref, job] : jobs_) {
-    if (job->accepted && !job->told_done && job->told_cancelled < 0) open.push_back(job.get());
-    if (job->told_done) done.push_back(job.get());
+    if (job->accepted && !job->told_done && job->told_cancelled < 0)
+      open.push_back(job.get());
+    if (job->told_done)
+      done.push_back(job.get());
   }
   const auto kind = pick(4);
   if (kind == 0 && !open.empty()) {
@@ -161,7 +181,8 @@
     ++verdict_.odd_answers;
     return abort_at(*done[pick(done.size())], i);
   }
-  if (jobs_.empty() || kind < 2) return;
+  if (jobs_.empty() || kind < 2)
+    return;
   // Of one that can't run, or lacks a field, no node may take charge, and none may know it later.
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-6" + std::to_string(1'000'000 + ++odd_made_);
@@ -169,10 +190,14 @@
   Value body = wire::job_value(s);
   if (kind == 2) {
     const auto what = pick(4);
-    if (what == 0) body["cores"] = 1000.0;
-    if (what == 1) body["owner"] = "nobody";
-    if (what == 2) body["flavours"] = {"no-such"};
-    if (what == 3) body["hall"] = "nowhere";
+    if (what == 0)
+      body["cores"] = 1000.0;
+    if (what == 1)
+      body["owner"] = "nobody";
+    if (what == 2)
+      body["flavours"] = {"no-such"};
+    if (what == 3)
+      body["hall"] = "nowhere";
   } else {
     static constexpr const char* kNeeded[] = {
         "jobclass", "owner",     "shape", "urgency",   "shards",         "cores",        "memGb",  "bundle",
@@ -195,7 +220,8 @@
     question.method = "GET";
     question.path = std::string(wire::kJobsPath) + "/" + ref;
     deliver(k, question, [this, ref](const ports::Answer& a) {
-      if (a.status == 200) broke("invented", ref);
+      if (a.status == 200)
+        broke("invented", ref);
     });
   });
 }
@@ -203,29 +229,39 @@
 // A planted fault: an order of nobody's brings a task of it to some machine.
 void World::start_anywhere(const UserJob& job) {
   for (auto& [name, h] : hosts_) {
-    if (h->gone || h->dead || !h->up) continue;
+    if (h->gone || h->dead || !h->up)
+      continue;
     return order(*h, {{"verb", "start"}, {"shard", job.spec.ref + "/0"}, {"try", std::uint64_t{1} << 60}});
   }
 }
 
 // ---------------------------------------------------------------- what tests ask
 
-double World::began_at(const std::string& ref) const { return jobs_.at(ref)->began_at; }
+double World::began_at(const std::string& ref) const {
+  return jobs_.at(ref)->began_at;
+}
 
-double World::cancelled_at(const std::string& ref) const { return jobs_.at(ref)->told_cancelled; }
+double World::cancelled_at(const std::string& ref) const {
+  return jobs_.at(ref)->told_cancelled;
+}
 
 std::size_t World::cancellations_open() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
     return j.second->want_abort && j.second->accepted && !j.second->told_done && j.second->told_cancelled < 0;
   }));
 }
-bool World::told_done(const std::string& ref) const { return jobs_.at(ref)->told_done; }
-bool World::accepted(const std::string& ref) const { return jobs_.at(ref)->accepted; }
+bool World::told_done(const std::string& ref) const {
+  return jobs_.at(ref)->told_done;
+}
+bool World::accepted(const std::string& ref) const {
+  return jobs_.at(ref)->accepted;
+}
 
 std::size_t World::on_machines(const std::string& ref) const {
   std::size_t n = 0;
   for (const auto& [name, h] : hosts_) {
-    if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease) continue;
+    if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+      continue;
     n += static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(), [&ref](const TaskOn& x) {
       return x.job && x.job->spec.ref == ref && x.phase != "exited";
     }));
