--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -7,24 +7,31 @@
 
 namespace wingtrail::world {
 
-World::Link& World::link(const std::string& a, const std::string& b) { return links_[std::minmax(a, b)]; }
+World::Link& World::link(const std::string& a, const std::string& b) {
+  return links_[std::minmax(a, b)];
+}
 
 double World::latency() {
-  if (t_ < slow_links_until_) return between(0.05, 0.5);
+  if (t_ < slow_links_until_)
+    return between(0.05, 0.5);
   return odds(0.01) ? between(0.05, 0.6) : between(0.0003, 0.003);
 }
 
 bool World::send(const std::string& a, const std::string& b, std::function<void()> fn) {
   Link l = link(a, b);
-  if (const auto [until, hold] = zone_cut(a, b); until > l.cut_until) l.cut_until = until, l.hold = hold;
-  if (t_ >= l.cut_until) return later(latency(), std::move(fn)), true;
-  if (!l.hold || odds(0.4)) return !l.hold && odds(0.5);  // lost on its way, or no connection could be made
+  if (const auto [until, hold] = zone_cut(a, b); until > l.cut_until)
+    l.cut_until = until, l.hold = hold;
+  if (t_ >= l.cut_until)
+    return later(latency(), std::move(fn)), true;
+  if (!l.hold || odds(0.4))
+    return !l.hold && odds(0.5);  // lost on its way, or no connection could be made
   at(l.cut_until + latency(), std::move(fn));
   return true;
 }
 
 std::optional<std::size_t> World::zone_of(const std::string& who) const {
-  if (who.starts_with("node-")) return static_cast<std::size_t>(who.back() - '0') % settings_.zones.size();
+  if (who.starts_with("node-"))
+    return static_cast<std::size_t>(who.back() - '0') % settings_.zones.size();
   const auto host = hosts_.find(who);
   return host == hosts_.end() ? std::nullopt : std::optional(host->second->zone);
 }
@@ -34,9 +41,11 @@
   if (std::none_of(zone_cuts_.begin(), zone_cuts_.end(), [this](const ZoneCut& c) { return t_ < c.until; }))
     return most;
   const auto za = zone_of(a), zb = zone_of(b);
-  if (za == zb) return most;
+  if (za == zb)
+    return most;
   for (const auto& z : {za, zb}) {
-    if (z && zone_cuts_[*z].until > most.first) most = {zone_cuts_[*z].until, zone_cuts_[*z].hold};
+    if (z && zone_cuts_[*z].until > most.first)
+      most = {zone_cuts_[*z].until, zone_cuts_[*z].hold};
   }
   return most;
 }
@@ -45,7 +54,8 @@
   spdlog::debug("{:.3f} {} is cut off for {:.1f} s", t_, settings_.zones[zone], for_s);
   troubled(for_s);
   ZoneCut& cut = zone_cuts_[zone];
-  if (t_ >= cut.until) cut.from = t_;
+  if (t_ >= cut.until)
+    cut.from = t_;
   cut.until = std::max(cut.until, t_ + for_s);
   cut.hold = hold;
 }
--- a/src/emulator/parts.hpp
+++ b/src/emulator/parts.hpp
@@ -11,8 +11,10 @@
     20;  // of a zone's end of contact, with as few machines as some tests have
 inline constexpr double kReport = 3, kLease = 20, kCancel = 30, kGangWait = 25, kGangPeer = 8;
 inline constexpr double kFreeCheckEvery = 0.25;  // of what is free to start; a walk over all machines
-inline constexpr double kUnanswered = 75;  // after which a job counts as forgotten, troubles being over
-inline std::string node_name(std::size_t i) { return "node-" + std::to_string(i); }
+inline constexpr double kUnanswered = 75;        // after which a job counts as forgotten, troubles being over
+inline std::string node_name(std::size_t i) {
+  return "node-" + std::to_string(i);
+}
 
 struct World::TaskOn {
   std::string name;
@@ -21,7 +23,9 @@
   std::string cause;
   UserJob* job = nullptr;
   std::uint32_t index = 0;
-  bool on() const { return phase == "running" || phase == "gathering"; }
+  bool on() const {
+    return phase == "running" || phase == "gathering";
+  }
 };
 
 struct World::Host {
@@ -49,13 +53,16 @@
   double told_cancelled = -1;
   bool told_done = false;
   std::set<std::uint32_t> done, begun;
-  std::map<std::uint32_t, std::uint64_t> done_heard;  // by task, the token of the leader that heard of its end
+  std::map<std::uint32_t, std::uint64_t>
+      done_heard;  // by task, the token of the leader that heard of its end
   std::vector<UserJob*> needs, needed_by;
   double came = 0, accepted_at = -1, began_at = -1, over_at = -1;
   double beside_room_since = -1;  // a task of it waits though some machine could take it
   double answered_at = -1;        // its user's last question that was
   double doomed_at = -1;          // since when a job that it needs, or itself, is known to be cancelled
-  bool over() const { return done.size() >= spec.tasks; }
+  bool over() const {
+    return done.size() >= spec.tasks;
+  }
 };
 
 struct World::Ctl {
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -11,13 +11,17 @@
 // What the leader takes for used on a machine is what its tasks there need, once no move is under way.
 void World::check_rooms() {
   for (const auto& c : ctls_) {
-    if (!c->node || !c->node->entitled()) continue;
+    if (!c->node || !c->node->entitled())
+      continue;
     const daemon::Stats stats = c->node->stats();
-    if (stats.moves_begun > stats.moves_done + stats.moves_failed) continue;
+    if (stats.moves_begun > stats.moves_done + stats.moves_failed)
+      continue;
     for (const agents::Machine& m : c->node->agents().all()) {
-      if (m.gone) continue;
+      if (m.gone)
+        continue;
       double cpus = 0;
-      for (const agents::Slot& s : m.slots) cpus += s.counted && !s.ends_at_once() ? s.need.cpus : 0;
+      for (const agents::Slot& s : m.slots)
+        cpus += s.counted && !s.ends_at_once() ? s.need.cpus : 0;
       if (std::abs(cpus - m.used.cpus) > 1e-6)
         broke("room",
               m.host + ": " + std::to_string(m.used.cpus) + " used, " + std::to_string(cpus) + " held");
@@ -26,24 +30,31 @@
 }
 
 World::UserJob* World::described(const std::string& ref) {
-  if (const auto job = jobs_.find(ref); job != jobs_.end()) return job->second.get();
-  if (!reach_) return nullptr;
+  if (const auto job = jobs_.find(ref); job != jobs_.end())
+    return job->second.get();
+  if (!reach_)
+    return nullptr;
   for (World* other : reach_->cells) {
-    if (const auto job = other->jobs_.find(ref); job != other->jobs_.end()) return job->second.get();
+    if (const auto job = other->jobs_.find(ref); job != other->jobs_.end())
+      return job->second.get();
   }
   return nullptr;
 }
 
 // A job has one holder among cells: nothing of it is on a machine of another.
 void World::check_other_cells(const TaskOn& task, const UserJob& job) {
-  if (!reach_) return;
+  if (!reach_)
+    return;
   verdict_.guests_started += !jobs_.contains(job.spec.ref);
   for (World* other : reach_->cells) {
-    if (other == this) continue;
+    if (other == this)
+      continue;
     for (const auto& [name, h] : other->hosts_) {
-      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease) continue;
+      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+        continue;
       for (const TaskOn& x : h->tasks) {
-        if (x.job != &job || !x.on()) continue;
+        if (x.job != &job || !x.on())
+          continue;
         broke(x.index == task.index ? "ran_twice" : "two_holders",
               task.name + " begins in " + settings_.cells.name + ", " + x.name + " is on " + name + " of " +
                   other->settings_.cells.name);
@@ -54,7 +65,8 @@
 
 void World::check_start(Host& h, TaskOn& task, UserJob& job) {
   ++verdict_.started;
-  if (job.began_at < 0) job.began_at = t_;
+  if (job.began_at < 0)
+    job.began_at = t_;
   verdict_.started_again += !job.begun.insert(task.index).second;
   check_after_done(task, job);
   check_other_cells(task, job);
@@ -62,15 +74,22 @@
   std::map<std::size_t, int> zones;
   double team = 0;
   for (auto& [name, other] : hosts_) {
-    if (other->gone || other->dead) continue;
+    if (other->gone || other->dead)
+      continue;
     // Beyond its lease a hanging worker's tasks are over: it kills them before it does anything else.
-    if ((t_ - other->lease_from) * other->rate > kLease) continue;
+    if ((t_ - other->lease_from) * other->rate > kLease)
+      continue;
     for (const TaskOn& x : other->tasks) {
-      if (!x.on()) continue;
-      if (x.job->spec.team == s.team) team += x.job->spec.need.cpus;
-      if (x.job != &job) continue;
-      if (&x == &task) continue;
-      if (x.index == task.index) broke("ran_twice", task.name + " on " + h.name + " and on " + name);
+      if (!x.on())
+        continue;
+      if (x.job->spec.team == s.team)
+        team += x.job->spec.need.cpus;
+      if (x.job != &job)
+        continue;
+      if (&x == &task)
+        continue;
+      if (x.index == task.index)
+        broke("ran_twice", task.name + " on " + h.name + " and on " + name);
       ++zones[other->zone];
     }
   }
@@ -79,7 +98,8 @@
       broke("quota", s.team + " uses " + std::to_string(team));
     }
   }
-  if (h.spot && !s.spot) broke("wrong_place", task.name + " on spot");
+  if (h.spot && !s.spot)
+    broke("wrong_place", task.name + " on spot");
   if (s.zone && *s.zone != settings_.zones[h.zone])
     broke("wrong_place", task.name + " in a zone it may not be in");
   if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end()) {
@@ -89,31 +109,40 @@
     broke("wrong_place", task.name + " spread");
   if (s.one_zone) {
     for (const auto& [zone, n] : zones) {
-      if (zone != h.zone && n > 0) broke("wrong_place", task.name + " away from its zone");
+      if (zone != h.zone && n > 0)
+        broke("wrong_place", task.name + " away from its zone");
     }
   }
-  if (job.doomed_at >= 0 && t_ > job.doomed_at + kCancel) broke("ran_cancelled", task.name + " started");
+  if (job.doomed_at >= 0 && t_ > job.doomed_at + kCancel)
+    broke("ran_cancelled", task.name + " started");
   // From the answer on nothing of it may start, however soon.
-  if (job.told_cancelled >= 0) broke("started_cancelled", task.name + " on " + h.name);
+  if (job.told_cancelled >= 0)
+    broke("started_cancelled", task.name + " on " + h.name);
   for (const UserJob* need : job.needs) {
-    if (!need->over()) broke("too_early", task.name + " before " + need->spec.ref);
+    if (!need->over())
+      broke("too_early", task.name + " before " + need->spec.ref);
   }
 }
 
 // Whatever a leader decides next may start what is free to start, so this fails before `ran_twice` does.
 void World::check_free_to_start() {
-  if (t_ < free_checked_at_ + kFreeCheckEvery) return;
+  if (t_ < free_checked_at_ + kFreeCheckEvery)
+    return;
   free_checked_at_ = t_;
   for (const auto& c : ctls_) {
-    if (!c->node || !c->node->entitled() || node_time(*c) >= c->node->authority_until()) continue;
+    if (!c->node || !c->node->entitled() || node_time(*c) >= c->node->authority_until())
+      continue;
     for (const auto& [name, h] : hosts_) {
-      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease) continue;
+      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+        continue;
       for (const TaskOn& x : h->tasks) {
-        if (!x.job || x.phase == "exited") continue;
+        if (!x.job || x.phase == "exited")
+          continue;
         const jobs::Job* job = c->node->registry().find(x.job->spec.ref);
         if (!job || x.index >= job->tasks.size() || job->tasks[x.index].state != jobs::TaskState::pending)
           continue;
-        if (c->node->scheduler().gates().open(*job)) return broke("free_to_start", x.name + " is on " + name);
+        if (c->node->scheduler().gates().open(*job))
+          return broke("free_to_start", x.name + " is on " + name);
       }
     }
   }
@@ -122,10 +151,12 @@
 void World::done_heard(Host& h, const Value& report, const ports::Answer& answer) {
   const std::uint64_t token = wire::count(answer.body, "mandate").value_or(0);
   for (const Value& shown : report["shards"]) {
-    if (!shown.contains("cause") || shown["cause"] != "done") continue;
+    if (!shown.contains("cause") || shown["cause"] != "done")
+      continue;
     const auto parsed = wire::parse_task(shown["shard"].get<std::string>());
     UserJob* job = parsed ? described(parsed->ref) : nullptr;
-    if (!job || !job->done_heard.emplace(parsed->index, token).second) continue;
+    if (!job || !job->done_heard.emplace(parsed->index, token).second)
+      continue;
     if (plan_.sabotage == "again_after_done") {
       const std::uint64_t attempt = shown["try"].get<std::uint64_t>() + (std::uint64_t{1} << 20);
       order(h, {{"verb", "start"}, {"shard", shown["shard"]}, {"try", attempt}});
@@ -137,30 +168,36 @@
 // earlier one ended.
 void World::check_after_done(const TaskOn& task, const UserJob& job) {
   const auto heard = job.done_heard.find(task.index);
-  if (heard == job.done_heard.end()) return;
+  if (heard == job.done_heard.end())
+    return;
   ++verdict_.again_after_done;
   const std::uint64_t started_by = (task.attempt & ~custody::kHonest) >> custody::kTokenShift;
   if (started_by == heard->second)
-    broke("again_after_done", task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
+    broke("again_after_done",
+          task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
 }
 
 void World::check_cancelled() {
   check_free_to_start();
   // A walk over all machines after each step would be most of a large world's time; what it looks for lasts.
-  if (plan_.machines > 100 && t_ < checked_at_ + 0.5) return;
+  if (plan_.machines > 100 && t_ < checked_at_ + 0.5)
+    return;
   checked_at_ = t_;
   // What waits for others takes nothing: neither room nor a part of its team's limit.
   for (auto& c : ctls_) {
-    if (!c->node || !c->node->entitled() || !plan_.chains) continue;
+    if (!c->node || !c->node->entitled() || !plan_.chains)
+      continue;
     c->node->registry().each([this](const jobs::Job& job) {
       const UserJob& real = *described(job.spec.ref);
       const bool waits =
           std::any_of(real.needs.begin(), real.needs.end(), [](const UserJob* n) { return !n->over(); });
-      if (waits && job.placed > 0) broke("waiting_placed", job.spec.ref);
+      if (waits && job.placed > 0)
+        broke("waiting_placed", job.spec.ref);
     });
   }
   for (auto& [name, h] : hosts_) {
-    if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease) continue;
+    if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+      continue;
     for (const TaskOn& x : h->tasks) {
       if (x.on() && x.job->doomed_at >= 0 && t_ > x.job->doomed_at + kCancel) {
         return broke("ran_cancelled", x.name + " on " + name);
@@ -173,9 +210,11 @@
 void World::doom(UserJob& job, double since) {
   // One that is still being submitted is accepted all the same, and counts from then (seed 700681: it took
   // its user 40 s of retries).
-  if (job.doomed_at >= 0 || !job.accepted) return;
+  if (job.doomed_at >= 0 || !job.accepted)
+    return;
   job.doomed_at = since;
-  for (UserJob* next : job.needed_by) doom(*next, since);
+  for (UserJob* next : job.needed_by)
+    doom(*next, since);
 }
 
 bool World::may_be_cancelled(const UserJob& job) const {
@@ -187,22 +226,28 @@
 
 // Neither done nor bound to be: cancelled, submitted with a mistake, or in need of one that is.
 bool World::hopeless(const UserJob& job) const {
-  if (job.bad || job.told_cancelled >= 0 || job.doomed_at >= 0) return true;
+  if (job.bad || job.told_cancelled >= 0 || job.doomed_at >= 0)
+    return true;
   return std::any_of(job.needs.begin(), job.needs.end(),
                      [this](const UserJob* n) { return !n->over() && (n->want_abort || hopeless(*n)); });
 }
 
-void World::troubled(double for_s) { troubled_until_ = std::max(troubled_until_, t_ + for_s); }
+void World::troubled(double for_s) {
+  troubled_until_ = std::max(troubled_until_, t_ + for_s);
+}
 
 double World::calm_at() const {
   return std::max(troubled_until_, plan_.fault_every_s > 0 ? plan_.duration_s : 0.0);
 }
 
-void World::answered(UserJob& job) { job.answered_at = t_; }
+void World::answered(UserJob& job) {
+  job.answered_at = t_;
+}
 
 // Troubles being over, an accepted job about which nobody gets an answer counts as forgotten.
 void World::check_answered(UserJob& job) {
-  if (!job.accepted || job.told_done || job.told_cancelled >= 0) return;
+  if (!job.accepted || job.told_done || job.told_cancelled >= 0)
+    return;
   const double spell = t_ - std::max({job.answered_at, job.accepted_at, calm_at()});
   verdict_.longest_unanswered = std::max(verdict_.longest_unanswered, spell);
   if (spell > kUnanswered)
@@ -215,32 +260,39 @@
   double team = 0;
   std::map<std::size_t, std::uint32_t> zones;
   for (const auto& [name, h] : hosts_) {
-    if (h->gone || h->dead) continue;
+    if (h->gone || h->dead)
+      continue;
     for (const TaskOn& x : h->tasks) {
-      if (x.phase == "exited" || !x.job) continue;
-      if (x.job->spec.team == s.team) team += x.job->spec.need.cpus;
+      if (x.phase == "exited" || !x.job)
+        continue;
+      if (x.job->spec.team == s.team)
+        team += x.job->spec.need.cpus;
       zones[h->zone] += x.job == &job;
     }
   }
   for (const auto& t : settings_.teams) {
-    if (t.name == s.team && t.cpus_max > 0 && team + s.need.cpus > t.cpus_max + 1e-6) return false;
+    if (t.name == s.team && t.cpus_max > 0 && team + s.need.cpus > t.cpus_max + 1e-6)
+      return false;
   }
   return std::any_of(hosts_.begin(), hosts_.end(), [&](const auto& entry) {
     const Host& h = *entry.second;
     if (h.gone || h.dead || !h.up || h.sick || h.slow > 1 ||
         t_ < std::max({h.hung_until, h.deaf_until, h.mute_until}))
       return false;
-    if ((h.spot && !s.spot) || (s.zone && *s.zone != settings_.zones[h.zone])) return false;
+    if ((h.spot && !s.spot) || (s.zone && *s.zone != settings_.zones[h.zone]))
+      return false;
     if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end())
       return false;
     const auto here = zones.find(h.zone);
-    if (s.spread && here != zones.end() && here->second + 1 > (s.tasks + 1) / 2) return false;
+    if (s.spread && here != zones.end() && here->second + 1 > (s.tasks + 1) / 2)
+      return false;
     if (s.one_zone && std::any_of(zones.begin(), zones.end(),
                                   [&h](const auto& z) { return z.second > 0 && z.first != h.zone; }))
       return false;
     double cpus = s.need.cpus, memory = s.need.memory_gb;
     for (const TaskOn& x : h.tasks) {
-      if (x.phase == "exited" || !x.job) continue;
+      if (x.phase == "exited" || !x.job)
+        continue;
       cpus += x.job->spec.need.cpus;
       memory += x.job->spec.need.memory_gb;
     }
@@ -252,12 +304,15 @@
 // everywhere backs off.
 void World::check_waiting() {
   later(5, [this] { check_waiting(); });
-  if (t_ < calm_at()) return;
+  if (t_ < calm_at())
+    return;
   std::map<const UserJob*, std::set<std::uint32_t>> on_machines;
   for (const auto& [name, h] : hosts_) {
-    if (h->gone || h->dead) continue;
+    if (h->gone || h->dead)
+      continue;
     for (const TaskOn& x : h->tasks) {
-      if (x.job && x.phase != "exited") on_machines[x.job].insert(x.index);
+      if (x.job && x.phase != "exited")
+        on_machines[x.job].insert(x.index);
     }
   }
   for (auto& [ref, job] : jobs_) {
@@ -273,7 +328,8 @@
       j.beside_room_since = -1;
       continue;
     }
-    if (j.beside_room_since < 0) j.beside_room_since = t_;
+    if (j.beside_room_since < 0)
+      j.beside_room_since = t_;
     if (t_ - j.beside_room_since > verdict_.longest_beside_room)
       spdlog::debug("{:.3f} {} waits beside room since {:.1f}", t_, ref, j.beside_room_since);
     verdict_.longest_beside_room = std::max(verdict_.longest_beside_room, t_ - j.beside_room_since);
--- a/src/emulator/state_service.cpp
+++ b/src/emulator/state_service.cpp
@@ -34,8 +34,10 @@
   troubled(for_s);
   state_down_until_ = std::max(state_down_until_, t_ + for_s);
   at(state_down_until_, [this] {
-    if (t_ < state_down_until_) return;
-    for (auto& [id, lease] : leases_) lease.second = t_ + lease.first;
+    if (t_ < state_down_until_)
+      return;
+    for (auto& [id, lease] : leases_)
+      lease.second = t_ + lease.first;
     serve_watches();
   });
 }
@@ -50,7 +52,8 @@
 }
 
 void World::expire_leases() {
-  if (t_ < state_down_until_) return;
+  if (t_ < state_down_until_)
+    return;
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (t_ < it->second.second) {
       ++it;
@@ -73,31 +76,39 @@
 }
 
 void World::serve_watches() {
-  if (t_ < state_down_until_) return;
+  if (t_ < state_down_until_)
+    return;
   std::vector<std::pair<std::shared_ptr<Watch>, Value>> ready;
   for (auto& w : watches_) {
-    if (!w->open || t_ < state_refuses_[w->node]) continue;
+    if (!w->open || t_ < state_refuses_[w->node])
+      continue;
     Value events = Value::array();
     for (const Change& c : changes_) {
-      if (c.revision <= w->after || !c.key.starts_with(w->prefix)) continue;
+      if (c.revision <= w->after || !c.key.starts_with(w->prefix))
+        continue;
       events.push_back(c.erased ? Value{{"delete", c.key}, {"stamp", c.revision}}
                                 : Value{{"put", c.key}, {"data", c.value}, {"stamp", c.revision}});
     }
-    if (events.empty()) continue;
+    if (events.empty())
+      continue;
     w->open = false;
     ready.emplace_back(w, Value{{"ledgerRev", revision_}, {"events", std::move(events)}});
   }
   std::erase_if(watches_, [](const auto& w) { return !w->open; });
-  for (auto& [w, body] : ready) w->reply(200, std::move(body));
+  for (auto& [w, body] : ready)
+    w->reply(200, std::move(body));
 }
 
 // Its time is over: it is answered, with nothing if nothing has changed. While its node is refused, or the
 // service is down, it waits; an answer without what has changed meanwhile would be a wrong one (seed 100101).
 void World::end_watch(const std::shared_ptr<Watch>& w) {
-  if (!w->open) return;
-  if (t_ < state_down_until_ || t_ < state_refuses_[w->node]) return later(0.3, [this, w] { end_watch(w); });
+  if (!w->open)
+    return;
+  if (t_ < state_down_until_ || t_ < state_refuses_[w->node])
+    return later(0.3, [this, w] { end_watch(w); });
   serve_watches();
-  if (!w->open) return;
+  if (!w->open)
+    return;
   w->open = false;
   std::erase(watches_, w);
   w->reply(200, {{"ledgerRev", revision_}, {"events", Value::array()}});
@@ -120,7 +131,8 @@
 void World::state(std::size_t node, const std::string& method, const std::string& path, const Value& body,
                   Reply reply) {
   expire_leases();
-  if (t_ < state_down_until_ || t_ < state_refuses_[node]) return reply(503, Value::object());
+  if (t_ < state_down_until_ || t_ < state_refuses_[node])
+    return reply(503, Value::object());
   const double passed = t_ - state_at_;
   state_level_ = std::min(settings_.state_rps, state_level_ + passed * settings_.state_rps);
   state_at_ = t_;
@@ -131,11 +143,13 @@
       later(between(0.02, 0.4), [reply, status, out = std::move(out)] { reply(status, out); });
     };
   }
-  if (state_level_ < 1) return reply(429, Value::object());
+  if (state_level_ < 1)
+    return reply(429, Value::object());
   state_level_ -= 1;
   auto query = [&](const char* name) {
     const auto from = path.find(std::string(name) + "=");
-    if (from == std::string::npos) return std::string();
+    if (from == std::string::npos)
+      return std::string();
     const auto begin = from + std::string(name).size() + 1;
     return path.substr(begin, path.find('&', begin) - begin);
   };
@@ -147,9 +161,11 @@
   if (path.starts_with("/leases/")) {
     const std::uint64_t id = std::stoull(path.substr(8));
     auto it = leases_.find(id);
-    if (it == leases_.end()) return reply(404, Value::object());
+    if (it == leases_.end())
+      return reply(404, Value::object());
     it->second.second = method == "DELETE" ? t_ : t_ + it->second.first;
-    if (method == "DELETE") expire_leases();
+    if (method == "DELETE")
+      expire_leases();
     return reply(200, Value::object());
   }
   if (path.starts_with("/follow")) {
@@ -166,7 +182,8 @@
     bool more = false;
     for (auto it = store_.upper_bound(std::max(after, prefix.substr(0, prefix.size() - 1)));
          it != store_.end(); ++it) {
-      if (!it->first.starts_with(prefix) || it->first <= after) continue;
+      if (!it->first.starts_with(prefix) || it->first <= after)
+        continue;
       if (items.size() == most) {
         more = true;
         break;
@@ -177,7 +194,8 @@
   }
   if (path.starts_with("/kv/")) {
     auto it = store_.find(path.substr(4));
-    if (it == store_.end()) return reply(404, {{"ledgerRev", revision_}});
+    if (it == store_.end())
+      return reply(404, {{"ledgerRev", revision_}});
     return reply(200, {{"path", it->first}, {"data", it->second.value}, {"stamp", it->second.version}});
   }
   // A node that knows of lower limits to come keeps to them from its first second; what it sent before may be
@@ -196,7 +214,8 @@
       later(between(2, 12), [this, node, body] { carry_out_late(node, body); });
       return;
     }
-    reply = [](int, const Value&) {};
+    reply = [](int, const Value&) {
+    };
   }
   if (path == "/txn") {
     if (over_limits(body, granted, plan_.undeclared)) {
@@ -211,16 +230,20 @@
       write_asks_.pop_front();
     }
     verdict_.most_writes = std::max(verdict_.most_writes, asked_in_span_ / granted.state_write_rps / kSpan);
-    if (changes > 0 && write_level_ < changes) return reply(429, Value::object());
+    if (changes > 0 && write_level_ < changes)
+      return reply(429, Value::object());
     write_level_ -= changes;
     Value failed = Value::array();
     for (const Value& c : body["if"]) {
       auto it = store_.find(c["path"].get<std::string>());
       const std::uint64_t version = it == store_.end() ? 0 : it->second.version;
-      if (version != c["stamp"].get<std::uint64_t>()) failed.push_back(c["path"]);
+      if (version != c["stamp"].get<std::uint64_t>())
+        failed.push_back(c["path"]);
     }
-    if (!failed.empty()) return reply(409, {{"failed", failed}, {"ledgerRev", revision_}});
-    if (body["apply"].empty()) return reply(200, {{"ledgerRev", revision_}});
+    if (!failed.empty())
+      return reply(409, {{"failed", failed}, {"ledgerRev", revision_}});
+    if (body["apply"].empty())
+      return reply(200, {{"ledgerRev", revision_}});
     for (const Value& op : body["apply"]) {
       if (op.contains("permit") && !leases_.contains(op["permit"].get<std::uint64_t>())) {
         return reply(400, {{"error", "no such lease"}});
@@ -230,7 +253,8 @@
     for (const Value& op : body["apply"]) {
       if (op.contains("put")) {
         const auto key = op["put"].get<std::string>();
-        if (jobs::is_sheet(key)) verdict_.on_sheets += op["data"].size();
+        if (jobs::is_sheet(key))
+          verdict_.on_sheets += op["data"].size();
         store_[key] = {op["data"], revision_, op.contains("permit") ? op["permit"].get<std::uint64_t>() : 0};
         bump(key, op["data"], false);
       } else if (store_.erase(op["delete"].get<std::string>())) {
--- a/src/emulator/troubles.cpp
+++ b/src/emulator/troubles.cpp
@@ -6,16 +6,20 @@
 namespace wingtrail::world {
 
 void World::cut_node(std::size_t i, bool from_state, bool from_peers, double for_s, bool hold) {
-  if (from_state) cut(node_name(i), "state", for_s, hold);
+  if (from_state)
+    cut(node_name(i), "state", for_s, hold);
   for (std::size_t k = 0; k < plan_.nodes; ++k) {
-    if (from_peers && k != i) cut(node_name(i), node_name(k), for_s, hold);
+    if (from_peers && k != i)
+      cut(node_name(i), node_name(k), for_s, hold);
   }
 }
 
 void World::slow_machines(std::size_t n, double factor) {
   for (auto& [name, h] : hosts_) {
-    if (n == 0) return;
-    if (h->gone || h->dead || !h->up) continue;
+    if (n == 0)
+      return;
+    if (h->gone || h->dead || !h->up)
+      continue;
     h->slow = factor;
     --n;
   }
@@ -23,8 +27,10 @@
 
 void World::kill_machines(std::size_t n) {
   for (auto& [name, h] : hosts_) {
-    if (n == 0) return;
-    if (h->gone || h->dead || !h->up) continue;
+    if (n == 0)
+      return;
+    if (h->gone || h->dead || !h->up)
+      continue;
     h->dead = true;
     h->tasks.clear();
     --n;
@@ -33,8 +39,10 @@
 
 void World::kill_in_zone(std::size_t zone, std::size_t n) {
   for (auto& [name, h] : hosts_) {
-    if (n == 0) return;
-    if (h->gone || h->dead || !h->up || h->zone != zone) continue;
+    if (n == 0)
+      return;
+    if (h->gone || h->dead || !h->up || h->zone != zone)
+      continue;
     h->dead = true;
     h->tasks.clear();
     --n;
@@ -59,13 +67,15 @@
       return void(ail(odds(0.5) ? Ail::deaf : Ail::mute, 1 + pick(4), span));
     case 5:  // the leader alone, then everybody
       state_refuses(on, between(3, 15));
-      if (odds(0.5)) later(between(0, 8), [this, span] { state_outage(1.5 * span); });
+      if (odds(0.5))
+        later(between(0, 8), [this, span] { state_outage(1.5 * span); });
       return;
     case 6:
       return cut_node(on, true, true, span, odds(0.5));
     case 7:
       cancel_now(1 + pick(6), odds(0.5) ? between(2, 35) : 0);
-      if (odds(0.5)) later(between(0, 3), [this] { crash(leader().value_or(0)); });
+      if (odds(0.5))
+        later(between(0, 3), [this] { crash(leader().value_or(0)); });
       return;
     case 8:
       return cancel_at_end(0.5, span);
@@ -91,17 +101,20 @@
 }
 
 void World::trouble() {
-  if (t_ > plan_.duration_s) return;
+  if (t_ > plan_.duration_s)
+    return;
   later(between(0, 2 * plan_.fault_every_s), [this] { trouble(); });
   troubled(40);  // what is not said more exactly below
   std::vector<Host*> live;
   for (auto& [n, h] : hosts_) {
-    if (!h->gone && !h->dead && h->up) live.push_back(h.get());
+    if (!h->gone && !h->dead && h->up)
+      live.push_back(h.get());
   }
   const std::size_t i = pick(plan_.nodes);
   const bool hold = odds(0.5);
   const double span = between(1, 25);
-  if (plan_.meetings && odds(0.5)) return meeting();
+  if (plan_.meetings && odds(0.5))
+    return meeting();
   const auto kind = pick(plan_.cuts ? 18 : 13);
   spdlog::debug("{:.3f} trouble {} for {:.1f} s, node {}", t_, kind, span, i);
   switch (kind) {
@@ -109,7 +122,8 @@
       return crash(i);
     case 1:
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
-        if (odds(0.8)) crash(k);
+        if (odds(0.8))
+          crash(k);
       }
       return;
     case 2:
@@ -119,17 +133,21 @@
     case 4:
       return cut(node_name(i), "state", span, hold);
     case 5:
-      for (auto& [n, h] : hosts_) cut(node_name(i), n, span, hold);
+      for (auto& [n, h] : hosts_)
+        cut(node_name(i), n, span, hold);
       return;
     case 6:
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
-        if (k != i) cut(node_name(i), node_name(k), span, hold);
+        if (k != i)
+          cut(node_name(i), node_name(k), span, hold);
       }
       return;
     case 7:
-      for (auto& [n, h] : hosts_) cut(node_name(i), n, span, hold);
+      for (auto& [n, h] : hosts_)
+        cut(node_name(i), n, span, hold);
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
-        if (k != i) cut(node_name(i), node_name(k), span, hold);
+        if (k != i)
+          cut(node_name(i), node_name(k), span, hold);
       }
       cut(node_name(i), "state", span, hold);
       cut(node_name(i), "users", span, hold);
@@ -157,13 +175,15 @@
         return;
       }
       for (Host* h : live) {
-        if (odds(0.5)) h->hung_until = t_ + span * between(0.9, 1.1);
+        if (odds(0.5))
+          h->hung_until = t_ + span * between(0.9, 1.1);
       }
       return;
     default:
       break;
   }
-  if (live.empty()) return;
+  if (live.empty())
+    return;
   Host& h = *live[pick(live.size())];
   const auto harm = pick(5);
   spdlog::debug("{:.3f} {}: trouble {}", t_, h.name, harm);
@@ -182,7 +202,8 @@
       h.slow = 3;
       return;
     default:
-      for (std::size_t k = 0; k < plan_.nodes; ++k) cut(node_name(k), h.name, span, hold);
+      for (std::size_t k = 0; k < plan_.nodes; ++k)
+        cut(node_name(k), h.name, span, hold);
   }
 }
 
--- a/src/emulator/users.cpp
+++ b/src/emulator/users.cpp
@@ -13,11 +13,13 @@
     if (other->accepted && other->spec.shape != wire::Shape::service && other.get() != &job)
       known.push_back(other.get());
   }
-  if (known.empty()) return;
+  if (known.empty())
+    return;
   const std::size_t late = std::min<std::size_t>(known.size(), 6);
   for (std::size_t k = 0, n = 1 + pick(odds(0.2) ? 5 : 2); k < n; ++k) {
     UserJob* need = odds(0.8) ? known[known.size() - 1 - pick(late)] : known[pick(known.size())];
-    if (std::find(job.needs.begin(), job.needs.end(), need) != job.needs.end()) continue;
+    if (std::find(job.needs.begin(), job.needs.end(), need) != job.needs.end())
+      continue;
     job.needs.push_back(need);
     need->needed_by.push_back(&job);
     job.spec.waits_on.push_back(need->spec.ref);
@@ -30,7 +32,8 @@
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-8" + std::to_string(pick(100000));
   s.waits_on = {odds(0.3) ? s.ref : "req-7" + std::to_string(pick(100000))};
-  if (odds(0.5)) s.waits_on.push_back(jobs_.begin()->first);
+  if (odds(0.5))
+    s.waits_on.push_back(jobs_.begin()->first);
   daemon::Incoming in;
   in.method = "POST";
   in.path = wire::kJobsPath;
@@ -58,7 +61,8 @@
   }
   jobs_[spec.ref] = std::move(job);
   submit(j, t_);
-  if (cancel_at < 0) return;
+  if (cancel_at < 0)
+    return;
   at(cancel_at, [this, &j] {
     j.want_abort = true;
     abort(j);
@@ -66,7 +70,8 @@
 }
 
 void World::watch_closely(const std::string& ref, int users) {
-  for (int n = 0; n < users; ++n) later(between(0, 4), [this, &job = *jobs_.at(ref)] { poll(job); });
+  for (int n = 0; n < users; ++n)
+    later(between(0, 4), [this, &job = *jobs_.at(ref)] { poll(job); });
 }
 
 void World::submit_one() {
@@ -93,14 +98,21 @@
     job->run_s = odds(0.1) ? between(40, 90) : between(1, 15);
     s.estimate_s = job->run_s * between(0.5, 2);
     job->bad = odds(0.03);
-    if (s.tasks > 1 && s.tasks <= 4 && odds(0.3)) s.shape = wire::Shape::gang;
+    if (s.tasks > 1 && s.tasks <= 4 && odds(0.3))
+      s.shape = wire::Shape::gang;
   }
-  if (s.shape != wire::Shape::gang) s.tasks *= plan_.size;
-  if (odds(0.1)) s.zone = settings_.zones[pick(plan_.zones)];
-  if (odds(0.1)) s.types = {catalog_[pick(2)].name};
-  if (plan_.chains && t_ >= chains_from_ && s.shape != wire::Shape::service && odds(0.5)) name_needs(*job);
-  if (s.waits_on.empty() == false && odds(0.5)) s.deadline_s = between(20, 300);
-  if (plan_.chains && t_ >= chains_from_ && !jobs_.empty() && odds(0.1)) submit_impossible();
+  if (s.shape != wire::Shape::gang)
+    s.tasks *= plan_.size;
+  if (odds(0.1))
+    s.zone = settings_.zones[pick(plan_.zones)];
+  if (odds(0.1))
+    s.types = {catalog_[pick(2)].name};
+  if (plan_.chains && t_ >= chains_from_ && s.shape != wire::Shape::service && odds(0.5))
+    name_needs(*job);
+  if (s.waits_on.empty() == false && odds(0.5))
+    s.deadline_s = between(20, 300);
+  if (plan_.chains && t_ >= chains_from_ && !jobs_.empty() && odds(0.1))
+    submit_impossible();
   job->body = wire::job_value(s);
   UserJob& j = *job;
   jobs_[s.ref] = std::move(job);
@@ -116,12 +128,14 @@
 }
 
 void World::submit_some() {
-  if (t_ > plan_.duration_s) return;
+  if (t_ > plan_.duration_s)
+    return;
   submit_one();
   later(between(plan_.arrival_s / 12, plan_.arrival_s), [this] { submit_some(); });
   // With sheets some come together; of many, few may find others under way.
   if (plan_.admission && odds(0.15)) {
-    for (std::size_t n = 1 + pick(6); n > 0; --n) submit_one();
+    for (std::size_t n = 1 + pick(6); n > 0; --n)
+      submit_one();
   }
   // Somebody asks about a job that nobody submitted.
   if (odds(0.2)) {
@@ -131,13 +145,16 @@
       in.method = "GET";
       in.path = std::string(wire::kJobsPath) + "/" + name;
       deliver(i, in, [this, name](const ports::Answer& a) {
-        if (a.status == 200) broke("invented", name);
+        if (a.status == 200)
+          broke("invented", name);
       });
     });
   }
 }
 
-void World::submit(UserJob& job, double since) { submit_at(job, since, pick(plan_.nodes)); }
+void World::submit(UserJob& job, double since) {
+  submit_at(job, since, pick(plan_.nodes));
+}
 
 void World::submit_at(UserJob& job, double since, std::size_t i) {
   daemon::Incoming in;
@@ -148,12 +165,14 @@
   const bool was_over = job.told_done || job.told_cancelled >= 0;
   send("users", node_name(i), [this, i, in, &job, settled, was_over, since] {
     deliver(i, in, [this, &job, settled, was_over, since](const ports::Answer& a) {
-      if (*settled) return;
+      if (*settled)
+        return;
       verdict_.put_off += a.status == 429;
       if (plan_.admission && !job.accepted && (a.status == 429 || a.status == 503)) {
         *settled = true;
         const double back = std::max(1, a.retry_after_s.value_or(1));
-        if (t_ + back <= since + 60) later(back, [this, &job, since] { submit(job, since); });
+        if (t_ + back <= since + 60)
+          later(back, [this, &job, since] { submit(job, since); });
         return;
       }
       if (a.status == 200 || a.status == 201) {
@@ -162,15 +181,19 @@
           ++verdict_.accepted;
           job.accepted_at = t_;
           for (const UserJob* need : job.needs) {
-            if (need->doomed_at >= 0) doom(job, t_);
+            if (need->doomed_at >= 0)
+              doom(job, t_);
           }
           later(between(0.5, 5), [this, &job] { poll(job); });
-          if (t_ < looks_until_) look_closely(job);
+          if (t_ < looks_until_)
+            look_closely(job);
         }
         const bool over = job.told_done || job.told_cancelled >= 0;
         // An answer that a poll's overtook on its way is no step back (seed 5 without troubles).
-        if (a.status == 200 && over == was_over) heard(job, 200, a.body, "submission");
-        if (odds(0.2)) later(between(1, 60), [this, &job] { submit(job, t_ - 100); });
+        if (a.status == 200 && over == was_over)
+          heard(job, 200, a.body, "submission");
+        if (odds(0.2))
+          later(between(1, 60), [this, &job] { submit(job, t_ - 100); });
       } else if (a.status == 400 || a.status == 422 || a.status == 404) {
         if (job.accepted)
           broke("forgotten", job.spec.ref + " submitted again got " + std::to_string(a.status));
@@ -178,28 +201,39 @@
     });
   });
   later(5, [this, settled, &job, since] {
-    if (*settled || job.accepted || t_ - since > 60) return;
+    if (*settled || job.accepted || t_ - since > 60)
+      return;
     submit(job, since);
   });
 }
 
 void World::heard(UserJob& job, int status, const Value& body, const char* how) {
-  if (status == 404 && job.accepted) return broke("forgotten", job.spec.ref + " by " + how);
-  if (status != 200) return;
+  if (status == 404 && job.accepted)
+    return broke("forgotten", job.spec.ref + " by " + how);
+  if (status != 200)
+    return;
   const auto phase = wire::parse_phase(body);
-  if (!phase) return broke("protocol", "an answer without a phase");
+  if (!phase)
+    return broke("protocol", "an answer without a phase");
   if (*phase == wire::Phase::done) {
-    if (job.done.size() < job.spec.tasks) broke("not_done", job.spec.ref);
-    if (job.told_cancelled >= 0) broke("went_back", job.spec.ref + " from cancelled to done");
-    if (!job.told_done) ++verdict_.finished;
-    if (!std::exchange(job.told_done, true) && t_ < looks_until_) look_closely(job);
+    if (job.done.size() < job.spec.tasks)
+      broke("not_done", job.spec.ref);
+    if (job.told_cancelled >= 0)
+      broke("went_back", job.spec.ref + " from cancelled to done");
+    if (!job.told_done)
+      ++verdict_.finished;
+    if (!std::exchange(job.told_done, true) && t_ < looks_until_)
+      look_closely(job);
   } else if (*phase == wire::Phase::cancelled) {
-    if (!may_be_cancelled(job)) broke("went_back", job.spec.ref + " is called cancelled");
+    if (!may_be_cancelled(job))
+      broke("went_back", job.spec.ref + " is called cancelled");
     if (job.told_cancelled < 0) {
       job.told_cancelled = t_;
       ++verdict_.told_gone;
-      if (plan_.sabotage == "start_after_told") start_anywhere(job);
-      if (t_ < looks_until_) look_closely(job);
+      if (plan_.sabotage == "start_after_told")
+        start_anywhere(job);
+      if (t_ < looks_until_)
+        look_closely(job);
       ++verdict_.cancelled;
       verdict_.orphans += !job.want_abort;
     }
@@ -227,8 +261,10 @@
   const bool was_over = job.told_done || job.told_cancelled >= 0;
   send("users", node_name(i), [this, i, in, &job, asked, was_over, how] {
     deliver(i, in, [this, &job, asked, was_over, how](const ports::Answer& a) {
-      if (t_ - asked > 2 || plan_.sabotage == "questions_unanswered") return;
-      if (a.status == 200) answered(job);
+      if (t_ - asked > 2 || plan_.sabotage == "questions_unanswered")
+        return;
+      if (a.status == 200)
+        answered(job);
       if (plan_.sabotage == "older_answer" && was_over)
         return heard(job, 200, wire::job_progress(job.spec.ref, wire::Phase::running, 0, 1), how);
       const bool over = job.told_done || job.told_cancelled >= 0;
@@ -246,7 +282,8 @@
   }
   abort_at(job, pick(plan_.nodes));
   later(2, [this, &job] {
-    if (!job.aborted) abort(job);
+    if (!job.aborted)
+      abort(job);
   });
 }
 
@@ -256,9 +293,11 @@
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref + wire::kAbortSuffix;
   send("users", node_name(i), [this, i, in, &job] {
     deliver(i, in, [this, &job](const ports::Answer& a) {
-      if (a.status == 404) return broke("forgotten", job.spec.ref + " by abort");
+      if (a.status == 404)
+        return broke("forgotten", job.spec.ref + " by abort");
       verdict_.aborts_put_off += a.status != 200;
-      if (a.status != 200) return;
+      if (a.status != 200)
+        return;
       job.aborted = true;
       heard(job, 200, a.body, "abort");
     });
--- a/src/emulator/workers.cpp
+++ b/src/emulator/workers.cpp
@@ -8,7 +8,8 @@
 namespace wingtrail::world {
 
 void World::worker_up(Host& h) {
-  if (h.gone) return;
+  if (h.gone)
+    return;
   h.up = true;
   h.lease_from = t_;
   h.node = pick(plan_.nodes);
@@ -16,7 +17,8 @@
 }
 
 void World::check_lease(Host& h) {
-  if ((t_ - h.lease_from) * h.rate <= kLease) return;
+  if ((t_ - h.lease_from) * h.rate <= kLease)
+    return;
   spdlog::debug("{:.3f} {}: its lease is over, next session", t_, h.name);
   if (!h.dead && t_ >= h.hung_until)
     verdict_.lost_by_lease += static_cast<std::size_t>(
@@ -29,9 +31,11 @@
 Value World::report_value(Host& h) {
   Value tasks = Value::array();
   for (const TaskOn& x : h.tasks) {
-    if (plan_.sabotage == "task_hidden" && x.phase == "running" && x.name == "req-10/0") continue;
+    if (plan_.sabotage == "task_hidden" && x.phase == "running" && x.name == "req-10/0")
+      continue;
     Value v{{"shard", x.name}, {"try", x.attempt}, {"phase", x.phase}};
-    if (x.phase == "exited") v["cause"] = x.cause;
+    if (x.phase == "exited")
+      v["cause"] = x.cause;
     tasks.push_back(std::move(v));
   }
   return {{"host", h.name},
@@ -47,11 +51,13 @@
 
 void World::report_soon(Host& h, double delay) {
   const double when = std::max(t_ + delay, h.last_beat + 0.5);
-  if (h.reporting || (h.next_beat > t_ && h.next_beat <= when)) return;
+  if (h.reporting || (h.next_beat > t_ && h.next_beat <= when))
+    return;
   h.next_beat = when;
   at(when, [this, n = h.name, when] {
     Host& x = *hosts_.at(n);
-    if (x.gone || x.dead || x.reporting || x.next_beat != when) return;
+    if (x.gone || x.dead || x.reporting || x.next_beat != when)
+      return;
     if (t_ < x.hung_until) {
       x.next_beat = 0;
       return at(x.hung_until + 1e-6, [this, n] { report_soon(*hosts_.at(n), 0); });
@@ -74,15 +80,18 @@
   in.body = wire::encode_cbor(report);
   auto next = [this, me, serial](double delay, bool other) {
     Host& x = *hosts_.at(me);
-    if (x.gone || x.dead || x.beat_serial != serial || !x.reporting) return;
+    if (x.gone || x.dead || x.beat_serial != serial || !x.reporting)
+      return;
     x.reporting = false;
-    if (other) x.node = (x.node + 1) % plan_.nodes;
+    if (other)
+      x.node = (x.node + 1) % plan_.nodes;
     report_soon(x, delay);
   };
   auto got = [this, me, next, session, sent, serial](const ports::Answer& a) {
     auto handle = [this, me, next, session, sent, serial, a] {
       Host& x = *hosts_.at(me);
-      if (x.gone || x.dead || x.beat_serial != serial || !x.reporting) return;
+      if (x.gone || x.dead || x.beat_serial != serial || !x.reporting)
+        return;
       check_lease(x);
       if (a.status == 421) {
         const auto steward = wire::text(a.body, "steward");
@@ -91,18 +100,22 @@
           return next(between(0, 0.5), false);
         }
       }
-      if (a.status != 200) return next(1, true);
+      if (a.status != 200)
+        return next(1, true);
       const std::uint64_t token = wire::count(a.body, "mandate").value_or(0);
       if (token >= x.token && session == x.session) {
         verdict_.kept_in_custody += leader() != x.node;
         x.token = token;
         x.lease_from = sent;
-        for (const Value& o : a.body["orders"]) order(x, o);
+        for (const Value& o : a.body["orders"])
+          order(x, o);
       }
       next(kReport * between(0.75, 1.25), false);
     };
-    if (t_ < hosts_.at(me)->deaf_until) return void(++verdict_.unheard);
-    if (t_ < hosts_.at(me)->hung_until) return at(hosts_.at(me)->hung_until + 1e-6, handle);
+    if (t_ < hosts_.at(me)->deaf_until)
+      return void(++verdict_.unheard);
+    if (t_ < hosts_.at(me)->hung_until)
+      return at(hosts_.at(me)->hung_until + 1e-6, handle);
     handle();
   };
   if (t_ < h.mute_until) {
@@ -116,14 +129,16 @@
       troubled(2.5 * kLease);
       later(odds(0.5) ? between(2, 10) : between(2, 2.5 * kLease), [this, in] {
         ++verdict_.late_reports;
-        for (std::size_t i = 0; i < plan_.nodes; ++i) deliver(i, in, [](const ports::Answer&) {});
+        for (std::size_t i = 0; i < plan_.nodes; ++i)
+          deliver(i, in, [](const ports::Answer&) {});
       });
     }
   }
   send(me, to, [this, in, got, me, to, i = h.node, report = std::move(report)] {
     deliver(i, in, [this, got, me, to, i, report](const ports::Answer& a) {
       const bool by_leader = a.status == 200 && ctls_[i]->node && ctls_[i]->node->entitled();
-      if (by_leader) done_heard(*hosts_.at(me), report, a);
+      if (by_leader)
+        done_heard(*hosts_.at(me), report, a);
       send(to, me, [got, a] { got(a); });
     });
   });
@@ -132,9 +147,11 @@
 
 std::optional<std::pair<int, Value>> World::commands(const std::string& host, const Value& body) {
   auto it = hosts_.find(host);
-  if (it == hosts_.end()) return std::nullopt;
+  if (it == hosts_.end())
+    return std::nullopt;
   Host& h = *it->second;
-  if (h.gone || h.dead || !h.up || t_ < h.hung_until) return std::nullopt;
+  if (h.gone || h.dead || !h.up || t_ < h.hung_until)
+    return std::nullopt;
   check_lease(h);
   const int status = execute(h, body, true);
   return std::pair(status, status == 400 ? Value::object() : report_value(h));
@@ -142,12 +159,16 @@
 
 int World::execute(Host& h, const Value& body, bool) {
   const auto token = wire::count(body, "mandate"), session = wire::count(body, "tenure");
-  if (!token || !session) return 400;
-  if (*token < h.token || *session != h.session) return 409;
+  if (!token || !session)
+    return 400;
+  if (*token < h.token || *session != h.session)
+    return 409;
   const bool higher = *token > h.token;
   h.token = *token;
-  for (const Value& o : body["orders"]) order(h, o);
-  if (higher) report_soon(h, 0.5);
+  for (const Value& o : body["orders"])
+    order(h, o);
+  if (higher)
+    report_soon(h, 0.5);
   return 200;
 }
 
@@ -158,15 +179,19 @@
   auto it = std::find_if(h.tasks.begin(), h.tasks.end(),
                          [&](const TaskOn& x) { return x.name == name && x.attempt == attempt; });
   if (verb == "reap") {
-    if (it != h.tasks.end() && it->phase == "exited") h.tasks.erase(it);
+    if (it != h.tasks.end() && it->phase == "exited")
+      h.tasks.erase(it);
     return;
   }
   if (verb == "halt") {
-    if (it != h.tasks.end() && it->phase != "exited") finish(h, attempt, name, "halted");
+    if (it != h.tasks.end() && it->phase != "exited")
+      finish(h, attempt, name, "halted");
     return;
   }
-  if (it != h.tasks.end()) return;
-  if (plan_.sabotage == "start_ignored" && name.starts_with("req-10/")) return;
+  if (it != h.tasks.end())
+    return;
+  if (plan_.sabotage == "start_ignored" && name.starts_with("req-10/"))
+    return;
   TaskOn x;
   x.name = name;
   x.attempt = attempt;
@@ -178,13 +203,16 @@
     h.tasks.push_back(x);
     report_soon(h, 0);
   };
-  if (!job || !job->submitted) return refuse("unknown");
+  if (!job || !job->submitted)
+    return refuse("unknown");
   x.job = job;
   x.index = parsed->index;
   double cpus = x.job->spec.need.cpus, memory = x.job->spec.need.memory_gb;
   for (const TaskOn& other : h.tasks) {
-    if (other.phase == "exited") continue;
-    if (other.name == name) return refuse("busy");
+    if (other.phase == "exited")
+      continue;
+    if (other.name == name)
+      return refuse("busy");
     cpus += other.job->spec.need.cpus;
     memory += other.job->spec.need.memory_gb;
   }
@@ -200,14 +228,16 @@
 }
 
 void World::image_ready(Host& h, std::uint64_t attempt, const std::string& name) {
-  if (h.gone || h.dead) return;
+  if (h.gone || h.dead)
+    return;
   if (t_ < h.hung_until) {
     return at(h.hung_until + 1e-6,
               [this, n = h.name, attempt, name] { image_ready(*hosts_.at(n), attempt, name); });
   }
   check_lease(h);
   for (TaskOn& x : h.tasks) {
-    if (x.name != name || x.attempt != attempt || x.phase != "pulling") continue;
+    if (x.name != name || x.attempt != attempt || x.phase != "pulling")
+      continue;
     x.phase = "running";
     h.images.insert(x.job->spec.image);
     verdict_.services_late +=
@@ -224,7 +254,8 @@
       later(kGangWait, [this, n = h.name, attempt, name] {
         const Host& there = *hosts_.at(n);
         for (const TaskOn& y : there.tasks) {
-          if (y.name != name || y.attempt != attempt || y.phase != "gathering") continue;
+          if (y.name != name || y.attempt != attempt || y.phase != "gathering")
+            continue;
           return finish(*hosts_.at(n), attempt, name, "incomplete");
         }
       });
@@ -241,9 +272,11 @@
 void World::gather(UserJob& job, std::uint64_t attempt, double run) {
   std::vector<std::pair<Host*, TaskOn*>> ready;
   each_mate(job, attempt, [&ready](Host& h, TaskOn& x) {
-    if (x.phase == "gathering") ready.emplace_back(&h, &x);
+    if (x.phase == "gathering")
+      ready.emplace_back(&h, &x);
   });
-  if (ready.size() + job.done.size() < job.spec.tasks) return;
+  if (ready.size() + job.done.size() < job.spec.tasks)
+    return;
   for (auto& [h, x] : ready) {
     x->phase = "running";
     later(run,
@@ -257,11 +290,14 @@
 void World::miss_mates(UserJob& job, std::uint64_t attempt) {
   std::vector<std::pair<Host*, std::string>> left;
   each_mate(job, attempt, [&left](Host& h, TaskOn& x) {
-    if (x.phase == "running") left.emplace_back(&h, x.name);
+    if (x.phase == "running")
+      left.emplace_back(&h, x.name);
   });
-  if (left.empty()) return;
+  if (left.empty())
+    return;
   if (left.size() + job.done.size() < job.spec.tasks) {
-    for (auto& [h, name] : left) finish(*h, attempt, name, "mates_gone");
+    for (auto& [h, name] : left)
+      finish(*h, attempt, name, "mates_gone");
   }
   later(kGangPeer, [this, &job, attempt] { miss_mates(job, attempt); });
 }
@@ -269,25 +305,31 @@
 void World::each_mate(const UserJob& job, std::uint64_t attempt,
                       const std::function<void(Host&, TaskOn&)>& f) {
   for (auto& [name, h] : hosts_) {
-    if (h->gone || h->dead) continue;
+    if (h->gone || h->dead)
+      continue;
     for (TaskOn& x : h->tasks) {
-      if (x.job == &job && x.attempt == attempt) f(*h, x);
+      if (x.job == &job && x.attempt == attempt)
+        f(*h, x);
     }
   }
 }
 
 void World::finish(Host& h, std::uint64_t attempt, const std::string& name, const std::string& cause) {
-  if (h.gone || h.dead) return;
+  if (h.gone || h.dead)
+    return;
   if (t_ < h.hung_until) {
     return at(h.hung_until + 1e-6,
               [this, n = h.name, attempt, name, cause] { finish(*hosts_.at(n), attempt, name, cause); });
   }
   check_lease(h);
   for (TaskOn& x : h.tasks) {
-    if (x.name != name || x.attempt != attempt || x.phase == "exited") continue;
+    if (x.name != name || x.attempt != attempt || x.phase == "exited")
+      continue;
     spdlog::debug("{:.3f} {}: {} try {} exits: {}", t_, h.name, name, attempt, cause);
-    if (cause == "done") x.job->done.insert(x.index);
-    if (cause == "done" && x.job->over() && x.job->over_at < 0) x.job->over_at = t_;
+    if (cause == "done")
+      x.job->done.insert(x.index);
+    if (cause == "done" && x.job->over() && x.job->over_at < 0)
+      x.job->over_at = t_;
     if (t_ < cancel_at_end_until_ && cause == "done" && x.job->over() && x.job->accepted &&
         !x.job->want_abort && odds(cancel_at_end_share_)) {
       ++verdict_.at_the_end;
@@ -296,7 +338,8 @@
         abort(*job);
       });
     }
-    if (cause == "error") x.job->begun.erase(x.index);  // of a faulty machine; it has to start again
+    if (cause == "error")
+      x.job->begun.erase(x.index);  // of a faulty machine; it has to start again
     x.phase = "exited";
     x.cause = cause;
     report_soon(h, 0);
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -13,20 +13,25 @@
   plan.limits = seed % 4 != 0;
   plan.chains = seed % 2 != 0;
   // Stage after stage on a machine that is three times slower takes longer than any one job (seed 21279).
-  if (plan.chains) plan.settle_s = 1500;
+  if (plan.chains)
+    plan.settle_s = 1500;
   plan.upgrade = seed % 3 == 0;
   plan.cuts = seed % 5 < 2;
   plan.spread = seed / 2 % 2 == 0;
   plan.lives = seed / 3 % 2 == 0;
   plan.agreed = seed / 4 % 2 == 0;
-  if (plan.agreed) plan.custody_leases = 4;
-  if (seed % 7 < 3) plan.back_from = 0.05, plan.back_to = 0.3;
-  if (seed % 6 == 1) plan.zones = 3;
+  if (plan.agreed)
+    plan.custody_leases = 4;
+  if (seed % 7 < 3)
+    plan.back_from = 0.05, plan.back_to = 0.3;
+  if (seed % 6 == 1)
+    plan.zones = 3;
   plan.admission = seed / 5 % 2 == 0;
   plan.meetings = seed >= 1'000'000;
   plan.late_commands = seed >= 2'000'000;
   // A team's limit lets large tasks through a few at a time (seed 2000174: 102 of them, 12 at a time).
-  if (plan.late_commands) plan.settle_s = 1500;
+  if (plan.late_commands)
+    plan.settle_s = 1500;
   return plan;
 }
 
@@ -57,7 +62,8 @@
     settings_.cells.name = std::string("c").append(std::to_string(plan_.cell));
     settings_.cells.drain = plan_.drain;
     for (std::size_t c = 0; c < plan_.cells; ++c) {
-      if (c == plan_.cell) continue;
+      if (c == plan_.cell)
+        continue;
       settings_.cells.neighbours.push_back(
           {std::string("c").append(std::to_string(c)), std::vector<settings::Endpoint>(plan_.nodes)});
     }
@@ -72,13 +78,15 @@
     settings_.max_connections = 2 * plan_.machines;
     settings_.state_write_rps = 30;
   }
-  if (plan_.write_rps > 0) settings_.state_write_rps = plan_.write_rps;
+  if (plan_.write_rps > 0)
+    settings_.state_write_rps = plan_.write_rps;
   former_ = settings_;
   if (plan_.upgrade) {
     settings_.value_kb = 2;
     settings_.txn_ops = 4;
     settings_.state_write_rps *= 0.7;
-    for (auto& c : ctls_) c->former = true;
+    for (auto& c : ctls_)
+      c->former = true;
     former_.tunables.admission = 0;  // of a version that does not know them
   }
   state_level_ = settings_.state_rps, write_level_ = former_.state_write_rps;
@@ -88,7 +96,9 @@
 
 World::~World() = default;
 
-void World::at(double when, std::function<void()> fn) { events_.emplace(std::max(when, t_), std::move(fn)); }
+void World::at(double when, std::function<void()> fn) {
+  events_.emplace(std::max(when, t_), std::move(fn));
+}
 
 Verdict World::run() {
   begin();
@@ -97,21 +107,27 @@
 }
 
 void World::begin() {
-  for (std::size_t i = 0; i < plan_.nodes; ++i) at(between(0, 0.2), [this, i] { boot(i); });
-  if (!plan_.script) at(1, [this] { submit_some(); });
-  if (plan_.fault_every_s > 0) at(plan_.fault_every_s, [this] { trouble(); });
+  for (std::size_t i = 0; i < plan_.nodes; ++i)
+    at(between(0, 0.2), [this, i] { boot(i); });
+  if (!plan_.script)
+    at(1, [this] { submit_some(); });
+  if (plan_.fault_every_s > 0)
+    at(plan_.fault_every_s, [this] { trouble(); });
   at(0, [this] { keep_listing(); });
   at(0, [this] { check_waiting(); });
-  if (!plan_.upgrade) return;
+  if (!plan_.upgrade)
+    return;
   // One after the other, whatever else goes on; a node that dies before its turn comes back as it was.
   double when = between(15, 60);
   for (std::size_t i = 0; i < plan_.nodes; ++i, when += between(4, 20)) {
     at(when, [this, i] {
       ctls_[i]->former = false;
-      if (ctls_[i]->node || outside_.crash) crash(i);
+      if (ctls_[i]->node || outside_.crash)
+        crash(i);
     });
   }
-  if (outside_.boot) chains_from_ = when;
+  if (outside_.boot)
+    chains_from_ = when;
   at(when + between(0, 40), [this] {
     spdlog::debug("{:.3f} the state service lowers its limits", t_);
     lowered_ = true;
@@ -126,17 +142,20 @@
     expire_leases();
     check_cancelled();
   }
-  if (outside_.deliver) t_ = std::max(t_, until);
+  if (outside_.deliver)
+    t_ = std::max(t_, until);
 }
 
 const Verdict& World::close() {
   check_rooms();
   for (auto& [ref, job] : jobs_) {
-    if (!job->accepted || job->spec.shape == wire::Shape::service || job->over() || hopeless(*job)) continue;
+    if (!job->accepted || job->spec.shape == wire::Shape::service || job->over() || hopeless(*job))
+      continue;
     ++verdict_.unfinished;
     spdlog::debug("unfinished: {} {} of {}: {}", ref, job->done.size(), job->spec.tasks, job->body.dump());
     for (auto& c : ctls_) {
-      if (!c->node || !c->node->entitled()) continue;
+      if (!c->node || !c->node->entitled())
+        continue;
       jobs::Job* known = c->node->registry().find(ref);
       spdlog::debug("  leader: known {}, pending {}, placed {}, failed on {} machines", known != nullptr,
                     known ? known->pending.size() : 0, known ? known->placed : 0,
@@ -146,7 +165,8 @@
                       known->unmet, known->orphan, known->closing, known->away, known->aborting,
                       known->not_before - node_time(*c));
       for (auto& m : c->node->agents().all()) {
-        if (m.gone) continue;
+        if (m.gone)
+          continue;
         spdlog::debug(
             "    {} type {} zone {} spot {} used {}/{} reporting {} settled {} enlisted {} health {} unknown "
             "{} "
@@ -161,7 +181,8 @@
 
 std::optional<daemon::Stats> World::leader_stats() const {
   for (const auto& c : ctls_) {
-    if (c->node && c->node->entitled()) return c->node->stats();
+    if (c->node && c->node->entitled())
+      return c->node->stats();
   }
   return std::nullopt;
 }
@@ -173,13 +194,18 @@
 
 std::optional<std::size_t> World::leader() const {
   for (std::size_t i = 0; i < ctls_.size(); ++i) {
-    if (ctls_[i]->node && ctls_[i]->node->entitled()) return i;
+    if (ctls_[i]->node && ctls_[i]->node->entitled())
+      return i;
   }
   return std::nullopt;
 }
 
-bool World::former(std::size_t node) const { return ctls_[node]->former; }
+bool World::former(std::size_t node) const {
+  return ctls_[node]->former;
+}
 
-double World::node_time(const Ctl& c) const { return 1000 + t_ * c.rate; }
+double World::node_time(const Ctl& c) const {
+  return 1000 + t_ * c.rate;
+}
 
 }  // namespace wingtrail::world
--- a/src/emulator/world.hpp
+++ b/src/emulator/world.hpp
@@ -88,7 +88,7 @@
   // What the troubles of meetings came to.
   std::size_t late_writes = 0, lost_answers = 0;   // transactions carried out late, or at once unheard
   std::size_t late_reports = 0, kept_reports = 0;  // copies that arrived again; of these, after a new leader
-  std::size_t late_commands = 0;   // direct commands held up on their way
+  std::size_t late_commands = 0;                   // direct commands held up on their way
   // Tasks that an answered report had shown as done to an earlier leader, and that started once more.
   std::size_t again_after_done = 0;
   std::size_t unheard = 0;         // answers and orders that deaf machines lost, reports that mute ones did
@@ -127,7 +127,9 @@
 
   void begin();
   void step(double until);  // plays what is due by then
-  double next() const { return events_.empty() ? t_ + 1 : events_.begin()->first; }
+  double next() const {
+    return events_.empty() ? t_ + 1 : events_.begin()->first;
+  }
   const Verdict& close();  // counts what is left undone
   // A user submits the job now, and cancels it at that time if there is one.
   void user(const wire::JobSpec& spec, double run_s, double cancel_at = -1);
@@ -155,8 +157,8 @@
   // the first seconds of the next leadership, or just as that begins.
   enum class CopyArrives : std::uint8_t { later, after_election, at_election };
   void late_reports(double share, double for_s, CopyArrives when);
-  // That share of direct commands gets no answer and is carried out once, 2 to 16 s late, if token and session
-  // still match.
+  // That share of direct commands gets no answer and is carried out once, 2 to 16 s late, if token and
+  // session still match.
   void late_commands(double share, double for_s);
   enum class Ail : std::uint8_t {
     hung,         // does nothing, and goes on afterwards
@@ -185,8 +187,12 @@
   std::size_t keys(const std::string& prefix) const;      // that the state service holds
   // The node whose name is in the leader's key; for controllers that cannot be asked.
   std::optional<std::size_t> key_holder() const;
-  std::size_t nodes() const { return plan_.nodes; }
-  bool cut_off(std::size_t zone) const { return t_ < zone_cuts_[zone].until; }
+  std::size_t nodes() const {
+    return plan_.nodes;
+  }
+  bool cut_off(std::size_t zone) const {
+    return t_ < zone_cuts_[zone].until;
+  }
   // Of a service's replicas, how many are on machines that can go on with them.
   std::size_t replicas_up(const std::string& ref) const;
   std::size_t machines_in(std::size_t zone) const;  // that are there and not gone
@@ -196,11 +202,19 @@
   void slow_machines(std::size_t n, double factor);  // some of those that are up
   void kill_machines(std::size_t n);
   std::size_t slow_and_running(double factor) const;  // tasks on machines as slow as that
-  void at_once_after(double delay, std::function<void()> fn) { later(delay, std::move(fn)); }
+  void at_once_after(double delay, std::function<void()> fn) {
+    later(delay, std::move(fn));
+  }
   // ---- several cells
-  void join(std::shared_ptr<Reach> reach) { reach_ = std::move(reach); }
-  double now() const { return t_; }
-  void at_time(double when, std::function<void()> fn) { at(when, std::move(fn)); }
+  void join(std::shared_ptr<Reach> reach) {
+    reach_ = std::move(reach);
+  }
+  double now() const {
+    return t_;
+  }
+  void at_time(double when, std::function<void()> fn) {
+    at(when, std::move(fn));
+  }
   // A frame of another cell arrives at one of the controllers.
   void frame(std::size_t node, const peer::Frame& frame, OnAnswer then);
   std::size_t undone() const;  // accepted arrays that are to be done and are not
@@ -210,12 +224,18 @@
   std::size_t jobs_waiting() const;  // accepted arrays that nothing has been begun of
   double over_within(const std::string& job_class, double s, double from, double to) const;
   std::optional<std::size_t> leader() const;  // the node that may give orders now
-  const Verdict& verdict() const { return verdict_; }
+  const Verdict& verdict() const {
+    return verdict_;
+  }
   // What the leader counted; nothing if nobody leads.
   std::optional<daemon::Stats> leader_stats() const;
-  const settings::Settings& settings() const { return settings_; }
+  const settings::Settings& settings() const {
+    return settings_;
+  }
   // What held before the upgrade, and whether the node has not had it yet.
-  const settings::Settings& former_settings() const { return former_; }
+  const settings::Settings& former_settings() const {
+    return former_;
+  }
   bool former(std::size_t node) const;
   void state(std::size_t node, const std::string& method, const std::string& path, const Value& body,
              Reply reply);
@@ -249,11 +269,21 @@
 
   // time
   void at(double when, std::function<void()> fn);
-  void later(double delay, std::function<void()> fn) { at(t_ + delay, std::move(fn)); }
-  double chance() { return std::ldexp(static_cast<double>(rng_()), -32); }
-  double between(double a, double b) { return a + (b - a) * chance(); }
-  bool odds(double p) { return chance() < p; }
-  std::size_t pick(std::size_t n) { return rng_(static_cast<std::uint32_t>(n)); }
+  void later(double delay, std::function<void()> fn) {
+    at(t_ + delay, std::move(fn));
+  }
+  double chance() {
+    return std::ldexp(static_cast<double>(rng_()), -32);
+  }
+  double between(double a, double b) {
+    return a + (b - a) * chance();
+  }
+  bool odds(double p) {
+    return chance() < p;
+  }
+  std::size_t pick(std::size_t n) {
+    return rng_(static_cast<std::uint32_t>(n));
+  }
 
   // network
   Link& link(const std::string& a, const std::string& b);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -53,17 +53,22 @@
   catalog_ = std::move(catalog);
   for (const auto& t : catalog_) {
     const Ix ix = registry_.types.add(t.name);
-    if (types_.size() <= ix) types_.resize(ix + 1);
+    if (types_.size() <= ix)
+      types_.resize(ix + 1);
     types_[ix] = t;
   }
 }
 
-bool Fleet::take_call(bool urgent) { return calls_.take(out_.now(), 1, urgent ? 0.0 : 0.3); }
+bool Fleet::take_call(bool urgent) {
+  return calls_.take(out_.now(), 1, urgent ? 0.0 : 0.3);
+}
 
 void Fleet::tick() {
-  if (!active_ || !link_.entitled()) return;
+  if (!active_ || !link_.entitled())
+    return;
   // Calls given up by a process that stood still say nothing: their answers may lie in its sockets.
-  if (out_.now() > ticked_at_ + kStalled) judge_after_ = out_.now() + 2 * kStalled;
+  if (out_.now() > ticked_at_ + kStalled)
+    judge_after_ = out_.now() + 2 * kStalled;
   ticked_at_ = out_.now();
   if (!listing_ && out_.now() >= list_at_ && take_call(false)) {
     listing_ = true;
@@ -78,9 +83,11 @@
     shed();
   }
   for (Hire& h : hires_) {
-    if (!h.in_flight && out_.now() >= h.retry_at) send(h);
+    if (!h.in_flight && out_.now() >= h.retry_at)
+      send(h);
   }
-  if (!to_return_.empty()) send_returns();
+  if (!to_return_.empty())
+    send_returns();
 }
 
 void Fleet::list_machines(const std::string& after) {
@@ -90,7 +97,8 @@
   call.path = wire::machine_list_path(after, 500);
   call.timeout_s = kCallTimeout;
   out_.call(std::move(call), [this, after, term = term_](const ports::Reply& r) {
-    if (term != term_) return;
+    if (term != term_)
+      return;
     auto page = r.status == 200 ? wire::parse_machine_list(r.body)
                                 : wire::Result<wire::MachineList>::fail("status " + std::to_string(r.status));
     if (!page) {
@@ -107,9 +115,12 @@
     Machine* known = agents_.find(l.host);
     const bool fresh = !known;
     Machine& m = known ? *known : agents_.learn(l.host, l.addr, l.type, l.zone, l.spot);
-    if (m.gone) continue;
-    if (m.addr.empty()) m.addr = l.addr;
-    if (fresh) m.hired_at = out_.now() - l.age_s;
+    if (m.gone)
+      continue;
+    if (m.addr.empty())
+      m.addr = l.addr;
+    if (fresh)
+      m.hired_at = out_.now() - l.age_s;
     Listing& listing = listings_[m.ix];
     listing.listed = true;
     listing.state = l.state;
@@ -121,7 +132,8 @@
       to_return_.insert(m.ix);
     }
   }
-  if (page.more && !page.machines.empty()) return list_machines(page.machines.back().host);
+  if (page.more && !page.machines.empty())
+    return list_machines(page.machines.back().host);
   finish_list();
 }
 
@@ -132,7 +144,8 @@
   // only a lasting absence counts.
   for (auto& [ix, listing] : listings_) {
     Machine& m = agents_.at(ix);
-    if (m.gone || !listing.listed) continue;
+    if (m.gone || !listing.listed)
+      continue;
     if (seen_in_list_.contains(ix)) {
       listing.missing_since = 0;
     } else if (listing.missing_since == 0) {
@@ -147,8 +160,10 @@
   // leadership.
   for (const Ix ix : std::vector<Ix>(agents_.live())) {
     Machine& m = agents_.at(ix);
-    if (m.reporting || listings_.contains(ix) || seen_in_list_.contains(ix)) continue;
-    if (out_.now() - m.first_seen > settings_.lease_s + 3 * settings_.list_lag_s + 5) agents_.gone(m);
+    if (m.reporting || listings_.contains(ix) || seen_in_list_.contains(ix))
+      continue;
+    if (out_.now() - m.first_seen > settings_.lease_s + 3 * settings_.list_lag_s + 5)
+      agents_.gone(m);
   }
 }
 
@@ -163,15 +178,18 @@
 
 // Whether the machine is, or will soon be, of use to new work.
 bool Fleet::counts(const Machine& m) const {
-  if (m.gone || m.returning || m.draining || m.health == agents::Health::bad || m.reclaim_at) return false;
-  if (m.reporting) return true;
+  if (m.gone || m.returning || m.draining || m.health == agents::Health::bad || m.reclaim_at)
+    return false;
+  if (m.reporting)
+    return true;
   const wire::MachineType* t = type(m.type);
   return out_.now() - m.hired_at < kBootOverrun * (t ? t->boot_s : 60.0);
 }
 
 Seconds Fleet::boot_s() const {
   Seconds least = 600;
-  for (const auto& t : catalog_) least = std::min(least, t.boot_s);
+  for (const auto& t : catalog_)
+    least = std::min(least, t.boot_s);
   return least;
 }
 
@@ -203,7 +221,8 @@
   largest_ = 0;
   free_.assign(registry_.zones.size(), 0);
   std::vector<double> staying;
-  for (Ix zone = 0; zone < registry_.zones.size(); ++zone) staying.push_back(stays(zone));
+  for (Ix zone = 0; zone < registry_.zones.size(); ++zone)
+    staying.push_back(stays(zone));
   for (const Ix ix : agents_.live()) {
     const Machine& m = agents_.at(ix);
     if (counts(m)) {
@@ -211,12 +230,16 @@
       // What runs in a zone out of reach goes on, but nothing more can be started there.
       stock.cores += cut(m.zone) ? m.used.cpus * staying[m.zone] : m.cpus / m.slow;
       ++stock.machines;
-      if (!m.spot && !m.short_only && !cut(m.zone)) free_[m.zone] += m.cpus - m.used.cpus;
+      if (!m.spot && !m.short_only && !cut(m.zone))
+        free_[m.zone] += m.cpus - m.used.cpus;
       largest_ = std::max(largest_, m.cpus);
     }
-    if (m.returning) continue;
-    if (m.draining) draining_.push_back(ix);
-    if (m.health == agents::Health::bad && m.reporting && !m.busy()) faulty_.push_back(ix);
+    if (m.returning)
+      continue;
+    if (m.draining)
+      draining_.push_back(ix);
+    if (m.health == agents::Health::bad && m.reporting && !m.busy())
+      faulty_.push_back(ix);
     // One that boots in a zone out of reach cannot say that it is up; that it did not is known later.
     if (!m.reporting && m.settled && !counts(m) && (!cut(m.zone) || given_up(m.zone)) &&
         out_.now() > agents_.zones().back_at(m.zone) + 2 * settings_.report_s)
@@ -226,13 +249,15 @@
     const wire::MachineType* t = type(h.pool.type);
     stock_[h.pool].cores += t ? t->cpus * h.count : 0;
     stock_[h.pool].machines += h.count;
-    if (!h.pool.spot && t) free_[h.pool.zone] += t->cpus * h.count;
+    if (!h.pool.spot && t)
+      free_[h.pool.zone] += t->cpus * h.count;
   }
 }
 
 double Fleet::cores(bool spot) const {
   double sum = 0;
-  for (const auto& [pool, stock] : stock_) sum += pool.spot == spot ? stock.cores : 0;
+  for (const auto& [pool, stock] : stock_)
+    sum += pool.spot == spot ? stock.cores : 0;
   return sum;
 }
 
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -29,13 +29,19 @@
   void begin();
   void end();
   void set_catalog(std::vector<wire::MachineType> catalog);
-  const std::vector<wire::MachineType>& catalog() const { return catalog_; }
+  const std::vector<wire::MachineType>& catalog() const {
+    return catalog_;
+  }
   void tick();
   // Cores that could be asked for at once, as far as the cloud has refused nothing lately.
   double rentable() const;
   Seconds boot_s() const;
-  std::uint64_t hired() const { return hired_; }
-  std::uint64_t returned() const { return returned_; }
+  std::uint64_t hired() const {
+    return hired_;
+  }
+  std::uint64_t returned() const {
+    return returned_;
+  }
 
  private:
   struct Pool {  // where machines can be had
@@ -86,7 +92,9 @@
   double cores(bool spot) const;
   std::vector<std::vector<Pool>> pools(bool spot) const;
   bool counts(const Machine& m) const;
-  bool cut(Ix zone) const { return agents_.zones().cut(zone, out_.now()); }
+  bool cut(Ix zone) const {
+    return agents_.zones().cut(zone, out_.now());
+  }
   bool given_up(Ix zone) const;
   double stays(Ix zone);
 
--- a/src/fleet/returning.cpp
+++ b/src/fleet/returning.cpp
@@ -12,7 +12,8 @@
 void Fleet::give_back(const std::vector<Ix>& machines, const char* why) {
   for (const Ix ix : machines) {
     Machine& m = agents_.at(ix);
-    if (m.gone || m.returning) continue;
+    if (m.gone || m.returning)
+      continue;
     m.returning = true;
     agents_.changed(m);
     to_return_.insert(ix);
@@ -21,11 +22,13 @@
 }
 
 void Fleet::send_returns() {
-  if (returning_ || !take_call(true)) return;
+  if (returning_ || !take_call(true))
+    return;
   std::vector<std::string> hosts;
   std::vector<Ix> batch;
   for (const Ix ix : to_return_) {
-    if (hosts.size() >= kMostPerReturn) break;
+    if (hosts.size() >= kMostPerReturn)
+      break;
     hosts.push_back(agents_.at(ix).host);
     batch.push_back(ix);
   }
@@ -38,9 +41,11 @@
   call.timeout_s = kCallTimeout;
   call.not_after = link_.authority_until();
   out_.call(std::move(call), [this, batch, term = term_](const ports::Reply& r) {
-    if (term != term_) return;
+    if (term != term_)
+      return;
     returning_ = false;
-    if (r.status != 200) return;  // still in to_return_: asked again
+    if (r.status != 200)
+      return;  // still in to_return_: asked again
     for (const Ix ix : batch) {
       to_return_.erase(ix);
       ++returned_;
@@ -59,7 +64,8 @@
     std::vector<Ix> lost;
     for (const Ix ix : agents_.silent()) {
       const Machine& m = agents_.at(ix);
-      if (!m.returning && (m.unreachable || !m.reporting) && agents_.lost_alone(m)) lost.push_back(ix);
+      if (!m.returning && (m.unreachable || !m.reporting) && agents_.lost_alone(m))
+        lost.push_back(ix);
     }
     give_back(lost, "silent");
   }
--- a/src/fleet/shedding.cpp
+++ b/src/fleet/shedding.cpp
@@ -31,7 +31,8 @@
   int moving = 0;
   for (const Ix ix : draining_) {
     Machine& m = agents_.at(ix);
-    if (m.gone || !m.draining || m.returning || cut(m.zone)) continue;
+    if (m.gone || !m.draining || m.returning || cut(m.zone))
+      continue;
     if (!m.busy()) {
       give_back({ix}, "drained");
     } else if (excess < 0) {
@@ -40,42 +41,51 @@
       excess += m.cpus;
     } else {
       moving += replicas(m);
-      while (moves > 0 && move_replica(m)) --moves;
+      while (moves > 0 && move_replica(m))
+        --moves;
     }
   }
   if (excess <= 0) {
     excess_since_ = 0;
     return;
   }
-  if (excess_since_ == 0) excess_since_ = now;
+  if (excess_since_ == 0)
+    excess_since_ = now;
   std::vector<Machine*> order;
   for (const Ix ix : agents_.live()) {
     Machine& m = agents_.at(ix);
-    if (m.reporting && counts(m) && !cut(m.zone)) order.push_back(&m);
+    if (m.reporting && counts(m) && !cut(m.zone))
+      order.push_back(&m);
   }
   std::stable_sort(order.begin(), order.end(), [](const Machine* a, const Machine* b) {
-    if ((a->slow > 1) != (b->slow > 1)) return a->slow > 1;
+    if ((a->slow > 1) != (b->slow > 1))
+      return a->slow > 1;
     return a->used.cpus / std::max(1.0, a->cpus) < b->used.cpus / std::max(1.0, b->cpus);
   });
   // A machine is worth keeping idle for as long as another one would boot for nothing.
   const Seconds patience = std::min(settings_.tunables.idle_return_s, boot_s());
   const bool lasting = now - excess_since_ > settings_.tunables.idle_return_s;
   for (Machine* m : order) {
-    if (m->cpus > excess || (!m->spot && m->cpus > excess_ordinary)) continue;
+    if (m->cpus > excess || (!m->spot && m->cpus > excess_ordinary))
+      continue;
     if (!m->busy()) {
-      if (m->idle_since == 0 || now - m->idle_since < patience) continue;
+      if (m->idle_since == 0 || now - m->idle_since < patience)
+        continue;
       give_back({m->ix}, "idle");
     } else {
-      if (!lasting) continue;
+      if (!lasting)
+        continue;
       const int n = replicas(*m);
-      if (n > 0 && moving > 0 && moving + n > most_moving) continue;
+      if (n > 0 && moving > 0 && moving + n > most_moving)
+        continue;
       moving += n;
       m->draining = true;
       agents_.changed(*m);
       spdlog::info("draining {}", m->host);
     }
     excess -= m->cpus;
-    if (!m->spot) excess_ordinary -= m->cpus;
+    if (!m->spot)
+      excess_ordinary -= m->cpus;
   }
 }
 
@@ -91,12 +101,15 @@
 bool Fleet::move_replica(Machine& m) {
   for (agents::Slot& s : m.slots) {
     const jobs::Job* job = registry_.at(s.job);
-    if (!job || !job->service() || s.phase != agents::Slot::Phase::running || s.stop) continue;
+    if (!job || !job->service() || s.phase != agents::Slot::Phase::running || s.stop)
+      continue;
     if (scheduler_.roomy()) {
-      if (scheduler_.move(m, s, spread::Cause::emptied)) return true;
+      if (scheduler_.move(m, s, spread::Cause::emptied))
+        return true;
       continue;
     }
-    if (!scheduler_.could_move(*job, m)) continue;
+    if (!scheduler_.could_move(*job, m))
+      continue;
     agents_.stop(m, s, 0);
     return true;
   }
--- a/src/gates/gate.cpp
+++ b/src/gates/gate.cpp
@@ -20,7 +20,8 @@
 }
 
 std::string_view Gates::reason(const Job& job) const {
-  if (const Gate* gate = shut(job)) return gate->name();
+  if (const Gate* gate = shut(job))
+    return gate->name();
   return limits_->open_for(job, 1) ? "room" : limits_->name();
 }
 
@@ -29,8 +30,10 @@
 }
 
 bool allowed(const Job& job, Ix type, Ix zone, bool spot) {
-  if (spot && !job.spec.spot) return false;
-  if (job.zone != jobs::kNone && job.zone != zone) return false;
+  if (spot && !job.spec.spot)
+    return false;
+  if (job.zone != jobs::kNone && job.zone != zone)
+    return false;
   return job.types.empty() || std::find(job.types.begin(), job.types.end(), type) != job.types.end();
 }
 
--- a/src/gates/needs.cpp
+++ b/src/gates/needs.cpp
@@ -5,12 +5,18 @@
 
 class Needs : public Gate {
  public:
-  std::string_view name() const override { return "needs"; }
-  bool open(const Job& job) const override { return job.open() && !job.held(); }
+  std::string_view name() const override {
+    return "needs";
+  }
+  bool open(const Job& job) const override {
+    return job.open() && !job.held();
+  }
 };
 
 }  // namespace
 
-std::unique_ptr<Gate> needs() { return std::make_unique<Needs>(); }
+std::unique_ptr<Gate> needs() {
+  return std::make_unique<Needs>();
+}
 
 }  // namespace wingtrail::gates
--- a/src/jobs/chains.cpp
+++ b/src/jobs/chains.cpp
@@ -17,19 +17,22 @@
 Chains::N Chains::node(const std::string& ref, Job* job) {
   const auto [it, fresh] = by_ref_.try_emplace(ref, 0);
   if (fresh) {
-    if (free_.empty()) free_.push_back(static_cast<N>(nodes_.size())), nodes_.emplace_back();
+    if (free_.empty())
+      free_.push_back(static_cast<N>(nodes_.size())), nodes_.emplace_back();
     it->second = free_.back();
     free_.pop_back();
     nodes_[it->second].ref = ref;
   }
   Node& n = nodes_[it->second];
-  if (job) n.job = job->ix, n.created = job->created;
+  if (job)
+    n.job = job->ix, n.created = job->created;
   return it->second;
 }
 
 // Forgets a job that is over, or that nobody needs and that needs nobody.
 void Chains::release(N n) {
-  if (Job* job = registry_.at(nodes_[n].job)) job->priority = job->spec.priority, job->latest = ports::kNever;
+  if (Job* job = registry_.at(nodes_[n].job))
+    job->priority = job->spec.priority, job->latest = ports::kNever;
   changed_.erase({nodes_[n].created, n});
   by_ref_.erase(nodes_[n].ref);
   nodes_[n] = {};
@@ -37,11 +40,13 @@
 }
 
 void Chains::changed(N n) {
-  if (nodes_[n].job != kNone) changed_.emplace(nodes_[n].created, n);
+  if (nodes_[n].job != kNone)
+    changed_.emplace(nodes_[n].created, n);
 }
 
 void Chains::join(Job& job) {
-  if (job.spec.waits_on.empty() && !by_ref_.contains(job.spec.ref)) return;
+  if (job.spec.waits_on.empty() && !by_ref_.contains(job.spec.ref))
+    return;
   const N n = node(job.spec.ref, &job);
   bool lost = false;
   for (const std::string& ref : job.spec.waits_on) {
@@ -55,14 +60,16 @@
     Job* needed = registry_.find(ref);
     lost |= needed && needed->orphan;
     const N m = node(ref, needed);
-    if (!known && !needed) unknown_.push_back(ref);
+    if (!known && !needed)
+      unknown_.push_back(ref);
     nodes_[n].needs.push_back(m);
     nodes_[m].needed_by.insert(n);
     ++job.unmet;
     changed(m);
   }
   changed(n);
-  if (lost) orphan(n);
+  if (lost)
+    orphan(n);
 }
 
 // The job will never start, and so will none that needs it, directly or through others. All are found at
@@ -74,36 +81,42 @@
     open.pop_back();
     ++visits_;
     Job* job = registry_.at(nodes_[n].job);
-    if (!job || job->orphan) continue;
+    if (!job || job->orphan)
+      continue;
     job->orphan = true;
     orphans_.push_back(job->ix);
-    for (const N m : nodes_[n].needs) changed(m);
+    for (const N m : nodes_[n].needs)
+      changed(m);
     open.insert(open.end(), nodes_[n].needed_by.begin(), nodes_[n].needed_by.end());
   }
 }
 
 void Chains::ended(const std::string& ref, End end) {
   const auto it = by_ref_.find(ref);
-  if (it == by_ref_.end()) return;
+  if (it == by_ref_.end())
+    return;
   const N n = it->second;
   for (const N d : nodes_[n].needed_by) {
     ++visits_;
     std::erase(nodes_[d].needs, n);
     Job* job = registry_.at(nodes_[d].job);
-    if (!job) continue;
+    if (!job)
+      continue;
     if (!end.done) {
       orphan(d);
       continue;
     }
     --job->unmet;
     job->since = std::max(job->since, end.at);
-    if (!job->held() && job->open()) ready_.push_back(job->ix);
+    if (!job->held() && job->open())
+      ready_.push_back(job->ix);
   }
   for (const N m : nodes_[n].needs) {
     ++visits_;
     nodes_[m].needed_by.erase(n);
     changed(m);
-    if (nodes_[m].needed_by.empty() && (nodes_[m].job == kNone || nodes_[m].needs.empty())) release(m);
+    if (nodes_[m].needed_by.empty() && (nodes_[m].job == kNone || nodes_[m].needs.empty()))
+      release(m);
   }
   release(n);
 }
@@ -114,16 +127,20 @@
 }
 
 bool Chains::undecided(const Job& job) const {
-  if (job.spec.waits_on.empty()) return false;
+  if (job.spec.waits_on.empty())
+    return false;
   const auto it = by_ref_.find(job.spec.ref);
-  if (it == by_ref_.end()) return false;
+  if (it == by_ref_.end())
+    return false;
   std::vector<N> open{it->second};
   std::set<N> seen;
   while (!open.empty()) {
     const N n = open.back();
     open.pop_back();
-    if (!seen.insert(n).second) continue;
-    if (nodes_[n].job == kNone) return true;
+    if (!seen.insert(n).second)
+      continue;
+    if (nodes_[n].job == kNone)
+      return true;
     open.insert(open.end(), nodes_[n].needs.begin(), nodes_[n].needs.end());
   }
   return false;
@@ -134,22 +151,28 @@
     const N n = changed_.begin()->second;
     changed_.erase(changed_.begin());
     Job* job = registry_.at(nodes_[n].job);
-    if (!job) continue;
+    if (!job)
+      continue;
     wire::Priority priority = job->spec.priority;
     Seconds latest = ports::kNever;
     for (const N d : nodes_[n].needed_by) {
       ++visits_;
       const Job* next = registry_.at(nodes_[d].job);
-      if (!next || !next->open() || next->orphan) continue;
+      if (!next || !next->open() || next->orphan)
+        continue;
       priority = std::max(priority, next->priority);
       Seconds by = next->latest;
-      if (next->spec.deadline_s) by = std::min(by, next->submitted + *next->spec.deadline_s);
-      if (by != ports::kNever) latest = std::min(latest, by - link_.span(*next));
+      if (next->spec.deadline_s)
+        by = std::min(by, next->submitted + *next->spec.deadline_s);
+      if (by != ports::kNever)
+        latest = std::min(latest, by - link_.span(*next));
     }
-    if (priority == job->priority && latest == job->latest) continue;
+    if (priority == job->priority && latest == job->latest)
+      continue;
     job->priority = priority;
     job->latest = latest;
-    for (const N m : nodes_[n].needs) changed(m);
+    for (const N m : nodes_[n].needs)
+      changed(m);
   }
 }
 
--- a/src/jobs/chains.hpp
+++ b/src/jobs/chains.hpp
@@ -37,11 +37,21 @@
   // Highest priority and earliest finish travel from each job to those that it needs.
   void spread_urgency();
 
-  std::vector<Ix> take_ready() { return std::exchange(ready_, {}); }
-  std::vector<Ix> take_orphans() { return std::exchange(orphans_, {}); }
-  std::vector<std::string> take_unknown() { return std::exchange(unknown_, {}); }
-  std::size_t nodes() const { return by_ref_.size(); }
-  std::uint64_t visits() const { return visits_; }  // for the tests: the work that all this took
+  std::vector<Ix> take_ready() {
+    return std::exchange(ready_, {});
+  }
+  std::vector<Ix> take_orphans() {
+    return std::exchange(orphans_, {});
+  }
+  std::vector<std::string> take_unknown() {
+    return std::exchange(unknown_, {});
+  }
+  std::size_t nodes() const {
+    return by_ref_.size();
+  }
+  std::uint64_t visits() const {
+    return visits_;
+  }  // for the tests: the work that all this took
 
  private:
   using N = std::uint32_t;
--- a/src/jobs/ledger.cpp
+++ b/src/jobs/ledger.cpp
@@ -21,13 +21,16 @@
 constexpr int kCloseOps = 3;        // final state, job and cancellation mark go together
 constexpr std::size_t kMaxPages = 100'000;
 
-std::string page_key(const char* prefix, std::size_t page) { return prefix + std::to_string(page); }
+std::string page_key(const char* prefix, std::size_t page) {
+  return prefix + std::to_string(page);
+}
 
 std::optional<std::size_t> page_number(const std::string& key) {
   std::size_t n = 0;
   const char* end = key.data() + key.size();
   const auto [p, ec] = std::from_chars(key.data() + 2, end, n);
-  if (key.size() < 3 || ec != std::errc() || p != end || n >= kMaxPages) return std::nullopt;
+  if (key.size() < 3 || ec != std::errc() || p != end || n >= kMaxPages)
+    return std::nullopt;
   return n;
 }
 }  // namespace
@@ -66,7 +69,9 @@
 // ---------------------------------------------------------------- pages
 
 // What a machine's images may take, as numbers in its page's list of names.
-std::size_t Ledger::images_bytes() const { return std::clamp<std::size_t>(page_bytes_ / 70, 16, 96); }
+std::size_t Ledger::images_bytes() const {
+  return std::clamp<std::size_t>(page_bytes_ / 70, 16, 96);
+}
 
 // A page is made for machines of this one's size; names of hosts and zones differ little in length.
 std::size_t Ledger::record_size(const wire::Value& record) const {
@@ -77,7 +82,8 @@
   wire::Value list = wire::Value::array();
   for (const auto& [ix, chunk] : progress_[page].entries) {
     const Job* job = registry_.at(ix);
-    if (!job || job->closed) continue;
+    if (!job || job->closed)
+      continue;
     wire::Value entry = codec_.encode(*job, chunk);
     entry["ref"] = job->spec.ref;
     list.push_back(std::move(entry));
@@ -100,8 +106,10 @@
         numbers.erase(it);
         continue;
       }
-      if (fresh) names.push_back(name), used += text.size() + 3;
-      if ((bytes += std::to_string(it->second).size() + 1) > images_bytes()) break;
+      if (fresh)
+        names.push_back(name), used += text.size() + 3;
+      if ((bytes += std::to_string(it->second).size() + 1) > images_bytes())
+        break;
       images.push_back(it->second);
     }
     record["images"] = std::move(images);
@@ -117,7 +125,8 @@
     ++divided_;
     spdlog::info("a page of {} entries was too large and is divided", pages[n].entries.size());
   }
-  if (!pages.may_be_written(n)) return std::nullopt;
+  if (!pages.may_be_written(n))
+    return std::nullopt;
   wire::Value value = encode(n);
   const std::size_t size = value.dump().size();
   if (size > settings_.value_bytes()) {  // the estimate was wrong
@@ -131,16 +140,20 @@
 
 bool Ledger::load_progress(const std::string& key, const wire::Value& value, std::uint64_t version) {
   const auto n = page_number(key);
-  if (n) progress_.at_version(*n, version);
-  if (!n || !value.is_array()) return false;
+  if (n)
+    progress_.at_version(*n, version);
+  if (!n || !value.is_array())
+    return false;
   bool good = true;
   for (const wire::Value& entry : value) {
     Job* job = registry_.find(wire::text(entry, "ref").value_or(""));
-    if (!job) continue;  // over; the page is written without it the next time
+    if (!job)
+      continue;  // over; the page is written without it the next time
     const bool read = codec_.decode(entry, job->spec.tasks,
                                     [&](std::uint32_t task) { registry_.complete(*job, task, kNone); });
     good &= read;
-    if (!read) continue;
+    if (!read)
+      continue;
     const auto [first, last] = codec_.covers(entry, job->spec.tasks);
     for (std::uint32_t c = first; c <= last; ++c)
       progress_.stored({job->ix, c}, codec_.size(*job, c), *n, out_.now());
@@ -151,10 +164,12 @@
 bool Ledger::load_roster(const std::string& key, const wire::Value& value, std::uint64_t version,
                          const std::function<Ix(const wire::Value&)>& learn) {
   const auto n = page_number(key);
-  if (n) roster_.at_version(*n, version);
+  if (n)
+    roster_.at_version(*n, version);
   const wire::Value* names = wire::find(value, "images");
   const wire::Value* hosts = wire::find(value, "hosts");
-  if (!n || !hosts || !hosts->is_array()) return false;
+  if (!n || !hosts || !hosts->is_array())
+    return false;
   bool good = true;
   for (wire::Value record : *hosts) {
     if (!wire::text(record, "host")) {
@@ -179,8 +194,10 @@
 // ---------------------------------------------------------------- what is to be written
 
 void Ledger::close(Job& job, wire::Phase phase, std::function<void()> then) {
-  if (then) close_waiters_[job.ix].push_back(std::move(then));
-  if (job.closing) return;  // the first final state wins; nobody has been told of any yet
+  if (then)
+    close_waiters_[job.ix].push_back(std::move(then));
+  if (job.closing)
+    return;  // the first final state wins; nobody has been told of any yet
   job.closing = true;
   job.final_phase = phase;
   // A cancellation goes first: its user waits for it with a connection open, and it frees room.
@@ -189,7 +206,8 @@
 }
 
 void Ledger::close_orphan(Job& job) {
-  if (job.closing) return;
+  if (job.closing)
+    return;
   job.closing = true;
   job.final_phase = wire::Phase::cancelled;
   orphans_.push_back(job.ix);
@@ -213,14 +231,16 @@
 
 void Ledger::refresh(Ix machine) {
   const auto n = roster_.page_of(machine);
-  if (!n) return;
+  if (!n)
+    return;
   roster_.mark(*n, Due::in_passing, out_.now());
   arm(kInPassing);
 }
 
 void Ledger::delist(Ix machine) {
   const auto n = roster_.page_of(machine);
-  if (!n) return;
+  if (!n)
+    return;
   roster_.remove(machine);
   joining_.erase(machine);
   roster_.mark(*n, Due::soon, out_.now());
@@ -231,11 +251,13 @@
 
 void Ledger::arm(Seconds delay) {
   const Seconds at = out_.now() + delay;
-  if (armed_ && armed_at_ <= at) return;
+  if (armed_ && armed_at_ <= at)
+    return;
   armed_ = true;
   armed_at_ = at;
   out_.after(delay, [this, term = term_, at] {
-    if (term != term_ || !armed_ || armed_at_ != at) return;
+    if (term != term_ || !armed_ || armed_at_ != at)
+      return;
     armed_ = false;
     flush();
   });
@@ -245,13 +267,15 @@
   while (!from.empty()) {
     const Job& job = *registry_.at(from.front());
     const int ops = 1 + job.own_key + job.intent;
-    if (ops > room) return;
+    if (ops > room)
+      return;
     room -= ops;
     txn.put(kFinal + job.spec.ref, wire::ended_record({job.final_phase, job.spec.tasks, out_.time_of_day()}));
     // Of a job on a sheet there may be a key of its own that has not been seen here: another node's, for a
     // retry. Left there it would make the job live again for the next leader, so its absence is demanded.
     job.own_key ? txn.erase(kLive + job.spec.ref) : txn.require(kLive + job.spec.ref, 0);
-    if (job.intent) txn.erase(kLive + job.spec.ref + kAbortMark);
+    if (job.intent)
+      txn.erase(kLive + job.spec.ref + kAbortMark);
     c.closes.push_back(job.ix);
     from.pop_front();
   }
@@ -259,20 +283,25 @@
 
 void Ledger::add_roster(wire::Txn& txn, Commit& c, int& room, std::size_t& bytes, Due least) {
   for (const std::size_t n : std::vector<std::size_t>(roster_.due().begin(), roster_.due().end())) {
-    if (room <= 0 || bytes >= kMaxBytes) return;
+    if (room <= 0 || bytes >= kMaxBytes)
+      return;
     const auto& page = roster_[n];
     const Due due = page.due;
-    if (due < least || out_.now() < page.since) continue;
-    if (due == Due::soon && out_.now() < page.since + kSoon) continue;
+    if (due < least || out_.now() < page.since)
+      continue;
+    if (due == Due::soon && out_.now() < page.since + kSoon)
+      continue;
     if (due == Due::in_passing &&
         (out_.now() < page.since + kInPassing || out_.now() < passed_at_ + kPassingEvery)) {
       continue;
     }
     auto value = writable(roster_, n, roster_bytes(), [this](std::size_t p) { return roster_value(p); });
-    if (!value) continue;
+    if (!value)
+      continue;
     std::vector<Ix> joins;
     for (const Ix ix : page.entries) {
-      if (joining_.contains(ix)) joins.push_back(ix);
+      if (joining_.contains(ix))
+        joins.push_back(ix);
     }
     c.was_due.push_back(due);
     c.roster.emplace_back(n, std::move(joins));
@@ -282,7 +311,8 @@
     --room;
     ++writes_.roster;
     // One that is of use only to a later leader goes alone: what people wait for comes first.
-    if (due != Due::in_passing) continue;
+    if (due != Due::in_passing)
+      continue;
     passed_at_ = out_.now();
     return;
   }
@@ -290,21 +320,27 @@
 
 void Ledger::add_progress(wire::Txn& txn, Commit& c, int& room, std::size_t& bytes) {
   for (const std::size_t n : std::vector<std::size_t>(progress_.due().begin(), progress_.due().end())) {
-    if (room <= 0 || bytes >= kMaxBytes) return;
+    if (room <= 0 || bytes >= kMaxBytes)
+      return;
     const auto& page = progress_[n];
-    if (out_.now() < page.since + settings_.tunables.progress_flush_s - 1e-6) continue;
+    if (out_.now() < page.since + settings_.tunables.progress_flush_s - 1e-6)
+      continue;
     auto value = writable(progress_, n, page_bytes_, [this](std::size_t p) { return progress_value(p); });
-    if (!value) continue;
+    if (!value)
+      continue;
     progress_.take(n);
     std::vector<std::pair<Chunk, Ended>> covers;
     for (const Chunk& chunk : page.entries) {
       auto it = awaiting_.find(chunk);
-      if (it == awaiting_.end()) continue;
-      for (const Ended& e : it->second) covers.emplace_back(chunk, e);
+      if (it == awaiting_.end())
+        continue;
+      for (const Ended& e : it->second)
+        covers.emplace_back(chunk, e);
       awaiting_.erase(it);
     }
     // Its jobs are over. But what another page still holds of it must be here before that is written.
-    if (covers.empty() && page.waited_for.empty() && page.behind.empty()) continue;
+    if (covers.empty() && page.waited_for.empty() && page.behind.empty())
+      continue;
     txn.require(page_key(kProgress, n), page.version).put(page_key(kProgress, n), std::move(*value));
     c.progress.emplace_back(n, std::move(covers));
     bytes += page.bytes;
@@ -314,8 +350,10 @@
 }
 
 void Ledger::sweep_empty_sheets() {
-  for (std::string& key : sheets_.take_empty()) sweeps_.push_back(std::move(key));
-  if (!sweeps_.empty()) arm(kSoon);
+  for (std::string& key : sheets_.take_empty())
+    sweeps_.push_back(std::move(key));
+  if (!sweeps_.empty())
+    arm(kSoon);
 }
 
 void Ledger::sweep(std::string key) {
@@ -324,7 +362,8 @@
 }
 
 void Ledger::unfold(Job& job) {
-  if (!sheets_.holds(job.ix)) return;
+  if (!sheets_.holds(job.ix))
+    return;
   unfolds_.push_back(job.ix);
   arm(kSoon);
 }
@@ -345,12 +384,14 @@
     const Ix ix = unfolds_.front();
     unfolds_.pop_front();
     Job* job = registry_.at(ix);
-    if (!job || !job->open() || !sheets_.holds(ix)) continue;
+    if (!job || !job->open() || !sheets_.holds(ix))
+      continue;
     // From now on: whether a transaction without an answer is applied, now or late, nobody knows.
     job->own_key = true;
     txn.require(kFinal + job->spec.ref, 0);
     wire::Value record = wire::job_record(job->spec, out_.time_of_day() - (out_.now() - job->submitted));
-    if (!job->guest.empty()) record[kGuest] = job->guest;
+    if (!job->guest.empty())
+      record[kGuest] = job->guest;
     bytes += record.dump().size();
     txn.put(kLive + job->spec.ref, std::move(record));
     c.unfolded.push_back(ix);
@@ -360,8 +401,10 @@
 }
 
 void Ledger::flush() {
-  if (!active_ || in_flight_) return;
-  if (out_.now() >= link_.authority_until()) return arm(kRetry);
+  if (!active_ || in_flight_)
+    return;
+  if (out_.now() >= link_.authority_until())
+    return arm(kRetry);
   wire::Txn txn;
   txn.require(link_.leader_key, link_.token());
   Commit c;
@@ -378,49 +421,63 @@
   if (txn.ops() > 0 || out_.now() >= swept_at_ + kSweepEvery) {
     add_sweeps(txn, c, room);
     // In a transaction with its end, the record would be there after it.
-    if (c.closes.empty()) add_unfolded(txn, c, room, bytes);
+    if (c.closes.empty())
+      add_unfolded(txn, c, room, bytes);
   }
-  if (txn.ops() == 0) return rearm();
+  if (txn.ops() == 0)
+    return rearm();
   in_flight_ = true;
   const int ops = txn.ops();
   std::vector<Ix> first;
   for (const Ix ix : c.closes) {
-    if (!std::exchange(registry_.at(ix)->end_sent, true)) first.push_back(ix);
+    if (!std::exchange(registry_.at(ix)->end_sent, true))
+      first.push_back(ix);
   }
   store_.txn(
       std::move(txn), user ? store::Urgency::user : store::Urgency::background, link_.authority_until(),
       [this, term = term_, ops, first = std::move(first), c = std::move(c)](const store::Reply& r) mutable {
-        if (term != term_) return;
+        if (term != term_)
+          return;
         in_flight_ = false;
         if (!r.delivered) {
-          for (const Ix ix : first) registry_.at(ix)->end_sent = false;
+          for (const Ix ix : first)
+            registry_.at(ix)->end_sent = false;
         }
-        if (r.status == 200) return committed(c, wire::revision(r.body).value_or(0));
-        if (r.status == 409 && !beaten(r.body, c)) return link_.superseded();
+        if (r.status == 200)
+          return committed(c, wire::revision(r.body).value_or(0));
+        if (r.status == 409 && !beaten(r.body, c))
+          return link_.superseded();
         failed(c);
-        if (r.status == 400) malformed(c, ops);
+        if (r.status == 400)
+          malformed(c, ops);
       });
 }
 
 // When the next page is due.
 void Ledger::rearm() {
   Seconds at = ports::kNever;
-  if (!closes_.empty() || !orphans_.empty()) at = out_.now();
-  if (!sweeps_.empty() || !unfolds_.empty()) at = std::min(at, std::max(out_.now(), swept_at_ + kSweepEvery));
+  if (!closes_.empty() || !orphans_.empty())
+    at = out_.now();
+  if (!sweeps_.empty() || !unfolds_.empty())
+    at = std::min(at, std::max(out_.now(), swept_at_ + kSweepEvery));
   for (const std::size_t n : progress_.due()) {
     if (progress_.may_be_written(n))
       at = std::min(at, progress_[n].since + settings_.tunables.progress_flush_s);
   }
   for (const std::size_t n : roster_.due()) {
     const auto& p = roster_[n];
-    if (!roster_.may_be_written(n)) continue;
-    if (p.due == Due::now) at = std::min(at, p.since);
-    if (p.due == Due::soon) at = std::min(at, p.since + kSoon);
+    if (!roster_.may_be_written(n))
+      continue;
+    if (p.due == Due::now)
+      at = std::min(at, p.since);
+    if (p.due == Due::soon)
+      at = std::min(at, p.since + kSoon);
     if (p.due == Due::in_passing)
       at = std::min(at, std::max(p.since + kInPassing, passed_at_ + kPassingEvery));
   }
   // Never at once: a sum that is rounded down would come up again and again within the same instant.
-  if (at != ports::kNever) arm(std::max(0.002, at - out_.now()));
+  if (at != ports::kNever)
+    arm(std::max(0.002, at - out_.now()));
 }
 
 // Whether the transaction failed for another reason than that somebody else leads: a job on a sheet has got a
@@ -431,16 +488,20 @@
   const auto has = [&keys](const std::string& key) {
     return std::find(keys.begin(), keys.end(), key) != keys.end();
   };
-  if (keys.empty() || has(link_.leader_key)) return false;
+  if (keys.empty() || has(link_.leader_key))
+    return false;
   for (const Ix ix : c.closes) {
     Job& job = *registry_.at(ix);
-    if (has(kLive + job.spec.ref)) job.own_key = true;
+    if (has(kLive + job.spec.ref))
+      job.own_key = true;
   }
   for (const auto& [n, covers] : c.progress) {
-    if (has(page_key(kProgress, n))) ++looked_up_, look_up(kProgress, n);
+    if (has(page_key(kProgress, n)))
+      ++looked_up_, look_up(kProgress, n);
   }
   for (const auto& [n, joined] : c.roster) {
-    if (has(page_key(kRoster, n))) ++looked_up_, look_up(kRoster, n);
+    if (has(page_key(kRoster, n)))
+      ++looked_up_, look_up(kRoster, n);
   }
   return true;
 }
@@ -452,12 +513,14 @@
   (roster ? roster_[page].looked_up : progress_[page].looked_up) = true;
   store_.get(page_key(prefix, page), store::Urgency::lease,
              [this, prefix, roster, page, term = term_](const store::Reply& r) {
-               if (term != term_) return;
+               if (term != term_)
+                 return;
                const auto item =
                    r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
                if (!item && r.status != 404)
                  return out_.after(kRetry, [this, prefix, page, term] {
-                   if (term == term_) look_up(prefix, page);
+                   if (term == term_)
+                     look_up(prefix, page);
                  });
                const std::uint64_t version = item ? item->version : 0;
                roster ? roster_.at_version(page, version) : progress_.at_version(page, version);
@@ -472,12 +535,15 @@
     (registry_.at(*it)->orphan ? orphans_ : closes_).push_front(*it);
   }
   for (auto& [n, covers] : c.progress) {
-    for (auto& [chunk, ended] : covers) awaiting_[chunk].push_back(ended);
+    for (auto& [chunk, ended] : covers)
+      awaiting_[chunk].push_back(ended);
     progress_.mark(n, Due::soon, out_.now());
   }
-  for (std::size_t i = 0; i < c.roster.size(); ++i) roster_.mark(c.roster[i].first, c.was_due[i], out_.now());
+  for (std::size_t i = 0; i < c.roster.size(); ++i)
+    roster_.mark(c.roster[i].first, c.was_due[i], out_.now());
   sweeps_.insert(sweeps_.begin(), c.swept.begin(), c.swept.end());
-  for (const Ix ix : c.unfolded) unfolds_.push_back(ix);  // others first: this one may be over
+  for (const Ix ix : c.unfolded)
+    unfolds_.push_back(ix);  // others first: this one may be over
   arm(kRetry);
 }
 
@@ -489,16 +555,19 @@
   spdlog::error("the state service calls a transaction of {} changes malformed", ops);
   if (c.records() > 1) {
     most_ops_ = std::max(kCloseOps, ops / 2);
-    if (most_ops_ < ops) return;
+    if (most_ops_ < ops)
+      return;
   }
   const auto smaller = [this](auto& pages, std::size_t n, auto encode) {
     const std::size_t size = encode(n).dump().size();
     page_bytes_ = std::max(kLeastPage, std::min(page_bytes_, size / 2));
-    if (pages[n].entries.size() <= 1) pages[n].since = out_.now() + kRefusedPause;
+    if (pages[n].entries.size() <= 1)
+      pages[n].since = out_.now() + kRefusedPause;
   };
   for (const auto& [n, covers] : c.progress)
     smaller(progress_, n, [this](auto p) { return progress_value(p); });
-  for (const auto& [n, joined] : c.roster) smaller(roster_, n, [this](auto p) { return roster_value(p); });
+  for (const auto& [n, joined] : c.roster)
+    smaller(roster_, n, [this](auto p) { return roster_value(p); });
   for (const Ix ix : c.closes) {
     spdlog::error("{}: its end cannot be recorded", registry_.at(ix)->spec.ref);
     auto& queue = registry_.at(ix)->orphan ? orphans_ : closes_;
@@ -526,29 +595,35 @@
     auto waiters = close_waiters_.extract(ix);
     events_.closed(*job);
     if (!waiters.empty()) {
-      for (auto& then : waiters.mapped()) then();
+      for (auto& then : waiters.mapped())
+        then();
     }
-    if (term != term_) return;  // one of the callbacks ended the leadership
+    if (term != term_)
+      return;  // one of the callbacks ended the leadership
   }
   sweep_empty_sheets();
   for (const Ix ix : c.unfolded) {
-    if (registry_.at(ix)) sheets_.over(ix);
+    if (registry_.at(ix))
+      sheets_.over(ix);
   }
   sweep_empty_sheets();
   for (const auto& [n, covers] : c.progress) {
     progress_.at_version(n, revision);
     progress_.written(n);
     std::vector<Ended> ended;
-    for (const auto& [chunk, e] : covers) ended.push_back(e);
+    for (const auto& [chunk, e] : covers)
+      ended.push_back(e);
     events_.persisted(ended);
   }
   for (const auto& [n, joined] : c.roster) {
     roster_.at_version(n, revision);
     roster_.written(n);
     for (const Ix ix : joined) {
-      if (joining_.erase(ix) == 0) continue;  // gone meanwhile
+      if (joining_.erase(ix) == 0)
+        continue;  // gone meanwhile
       events_.enlisted(ix);
-      if (term != term_) return;
+      if (term != term_)
+        return;
     }
   }
   rearm();
--- a/src/jobs/ledger.hpp
+++ b/src/jobs/ledger.hpp
@@ -52,7 +52,9 @@
   };
   Ledger(ports::Outbox& out, store::Client& store, Registry& registry, const settings::Settings& settings,
          Link link);
-  void set_events(Events events) { events_ = std::move(events); }
+  void set_events(Events events) {
+    events_ = std::move(events);
+  }
 
   void begin();  // a leadership begins: nothing is pending
   void end();
@@ -72,23 +74,41 @@
   void delist(Ix machine);
 
   // The records of jobs on sheets. Whoever reads one says what it holds.
-  Sheets& sheets() { return sheets_; }
+  Sheets& sheets() {
+    return sheets_;
+  }
   void sweep_empty_sheets();    // deleted in passing
   void sweep(std::string key);  // the same, of any key that is of no use any more
   // Gives the job a key of its own, so that its sheets can go; for when sheets are no longer wanted.
   void unfold(Job& job);
 
-  const ProgressCodec& codec() const { return codec_; }
-  std::uint64_t commits() const { return commits_; }
+  const ProgressCodec& codec() const {
+    return codec_;
+  }
+  std::uint64_t commits() const {
+    return commits_;
+  }
   struct Writes {  // puts and deletes, by what they were for
     std::uint64_t ends = 0, roster = 0, progress = 0, swept = 0;
   };
-  const Writes& writes() const { return writes_; }
-  std::uint64_t divided() const { return divided_; }  // pages found too large
-  std::uint64_t refused() const { return refused_; }  // transactions called malformed
-  std::size_t pages() const { return progress_.size() + roster_.size(); }
-  std::uint64_t looked_up() const { return looked_up_; }  // pages that a write without an answer had changed
-  std::size_t open_closes() const { return closes_.size() + orphans_.size(); }
+  const Writes& writes() const {
+    return writes_;
+  }
+  std::uint64_t divided() const {
+    return divided_;
+  }  // pages found too large
+  std::uint64_t refused() const {
+    return refused_;
+  }  // transactions called malformed
+  std::size_t pages() const {
+    return progress_.size() + roster_.size();
+  }
+  std::uint64_t looked_up() const {
+    return looked_up_;
+  }  // pages that a write without an answer had changed
+  std::size_t open_closes() const {
+    return closes_.size() + orphans_.size();
+  }
 
  private:
   using Chunk = std::pair<Ix, std::uint32_t>;  // job, chunk
@@ -106,9 +126,13 @@
   };
   wire::Value progress_value(std::size_t page) const;
   wire::Value roster_value(std::size_t page) const;
-  std::size_t names_bytes() const { return page_bytes_ / 8; }
+  std::size_t names_bytes() const {
+    return page_bytes_ / 8;
+  }
   std::size_t images_bytes() const;
-  std::size_t roster_bytes() const { return page_bytes_ - names_bytes(); }
+  std::size_t roster_bytes() const {
+    return page_bytes_ - names_bytes();
+  }
   std::size_t record_size(const wire::Value& record) const;
   // The page's value; nothing if it has to wait: for others, or because it was too large and has been
   // divided.
--- a/src/jobs/pages.hpp
+++ b/src/jobs/pages.hpp
@@ -39,11 +39,21 @@
     bool looked_up = false;  // its version is being asked for: a write without an answer was carried out
   };
 
-  void clear() { pages_.clear(), page_of_.clear(), due_.clear(), sizes_.clear(); }
-  std::size_t size() const { return pages_.size(); }
-  Page& operator[](std::size_t n) { return pages_[n]; }
-  const Page& operator[](std::size_t n) const { return pages_[n]; }
-  const std::set<std::size_t>& due() const { return due_; }
+  void clear() {
+    pages_.clear(), page_of_.clear(), due_.clear(), sizes_.clear();
+  }
+  std::size_t size() const {
+    return pages_.size();
+  }
+  Page& operator[](std::size_t n) {
+    return pages_[n];
+  }
+  const Page& operator[](std::size_t n) const {
+    return pages_[n];
+  }
+  const std::set<std::size_t>& due() const {
+    return due_;
+  }
   std::optional<std::size_t> page_of(const Entry& e) const {
     auto it = page_of_.find(e);
     return it == page_of_.end() ? std::nullopt : std::optional<std::size_t>(it->second);
@@ -51,9 +61,11 @@
 
   // The entry's page; the first one with room if it has none yet.
   std::size_t place(const Entry& e, std::size_t bytes, std::size_t limit) {
-    if (auto n = page_of(e)) return *n;
+    if (auto n = page_of(e))
+      return *n;
     std::size_t n = 0;
-    while (n < pages_.size() && !(pages_[n].bytes + bytes <= limit)) ++n;
+    while (n < pages_.size() && !(pages_[n].bytes + bytes <= limit))
+      ++n;
     put(e, bytes, n);
     return n;
   }
@@ -61,10 +73,13 @@
   // A stored page holds the entry. If another one does too, that one keeps it, and this one is written anew
   // once the other, which may by now hold more than either did, has been.
   void stored(const Entry& e, std::size_t bytes, std::size_t n, Seconds now) {
-    if (pages_.size() <= n) pages_.resize(n + 1);
+    if (pages_.size() <= n)
+      pages_.resize(n + 1);
     const auto first = page_of(e);
-    if (!first) return put(e, bytes, n);
-    if (*first == n) return;
+    if (!first)
+      return put(e, bytes, n);
+    if (*first == n)
+      return;
     hold_back(n, *first);
     mark(*first, Due::soon, now);
     mark(n, Due::soon, now);
@@ -72,7 +87,8 @@
 
   void remove(const Entry& e) {
     const auto it = page_of_.find(e);
-    if (it == page_of_.end()) return;
+    if (it == page_of_.end())
+      return;
     Page& page = pages_[it->second];
     page_of_.erase(it);
     std::erase(page.entries, e);
@@ -81,19 +97,27 @@
 
   void mark(std::size_t n, Due due, Seconds now) {
     Page& page = pages_[n];
-    if (due <= page.due) return;
-    if (page.due == Due::no) page.since = now, due_.insert(n);
+    if (due <= page.due)
+      return;
+    if (page.due == Due::no)
+      page.since = now, due_.insert(n);
     page.due = due;
   }
-  void take(std::size_t n) { pages_[n].due = Due::no, due_.erase(n); }
+  void take(std::size_t n) {
+    pages_[n].due = Due::no, due_.erase(n);
+  }
   // The page's value has been replaced by what it holds now.
   void written(std::size_t n) {
-    for (const std::size_t other : std::exchange(pages_[n].waited_for, {})) pages_[other].behind.erase(n);
+    for (const std::size_t other : std::exchange(pages_[n].waited_for, {}))
+      pages_[other].behind.erase(n);
+  }
+  bool may_be_written(std::size_t n) const {
+    return pages_[n].behind.empty() && !pages_[n].looked_up;
   }
-  bool may_be_written(std::size_t n) const { return pages_[n].behind.empty() && !pages_[n].looked_up; }
   // The page's key was read, or written, at that revision; 0: it does not exist.
   void at_version(std::size_t n, std::uint64_t version) {
-    if (pages_.size() <= n) pages_.resize(n + 1);
+    if (pages_.size() <= n)
+      pages_.resize(n + 1);
     pages_[n].version = version;
   }
 
@@ -106,7 +130,8 @@
       const std::size_t bytes = sizes_.at(e);
       remove(e);
       std::size_t to = 0;
-      while (to < pages_.size() && (pages_[to].bytes + bytes > limit || waits_for(to, n))) ++to;
+      while (to < pages_.size() && (pages_[to].bytes + bytes > limit || waits_for(to, n)))
+        ++to;
       put(e, bytes, to);
       mark(to, Due::soon, now);
       hold_back(n, to);
@@ -117,20 +142,23 @@
 
  private:
   void put(const Entry& e, std::size_t bytes, std::size_t n) {
-    if (pages_.size() <= n) pages_.resize(n + 1);
+    if (pages_.size() <= n)
+      pages_.resize(n + 1);
     pages_[n].entries.push_back(e);
     pages_[n].bytes += bytes;
     page_of_.emplace(e, n);
     sizes_.emplace(e, bytes);
   }
   bool waits_for(std::size_t n, std::size_t other) const {
-    if (n == other) return true;
+    if (n == other)
+      return true;
     return n < pages_.size() && std::any_of(pages_[n].behind.begin(), pages_[n].behind.end(),
                                             [&](std::size_t first) { return waits_for(first, other); });
   }
   // Never in a circle, or none of its pages could ever be written.
   void hold_back(std::size_t n, std::size_t first) {
-    if (waits_for(first, n)) return;
+    if (waits_for(first, n))
+      return;
     pages_[n].behind.insert(first);
     pages_[first].waited_for.insert(n);
   }
--- a/src/jobs/progress.cpp
+++ b/src/jobs/progress.cpp
@@ -5,9 +5,12 @@
 namespace wingtrail::jobs {
 namespace {
 constexpr char kFirst = '0';  // '0'..'o' are 64 printable characters, none of which JSON escapes but '\\'
-char pack(unsigned six) { return six == '\\' - kFirst ? 'z' : static_cast<char>(kFirst + six); }
+char pack(unsigned six) {
+  return six == '\\' - kFirst ? 'z' : static_cast<char>(kFirst + six);
+}
 int unpack(char c) {
-  if (c == 'z') return '\\' - kFirst;
+  if (c == 'z')
+    return '\\' - kFirst;
   return c >= kFirst && c < kFirst + 64 ? c - kFirst : -1;
 }
 constexpr std::size_t kEntryBytes = 40;  // around a job's reference and bits
@@ -28,7 +31,8 @@
     if (job.tasks[i].state == TaskState::done)
       bits[(i - from) / 6] |= static_cast<char>(1U << ((i - from) % 6));
   }
-  for (char& c : bits) c = pack(static_cast<unsigned char>(c));
+  for (char& c : bits)
+    c = pack(static_cast<unsigned char>(c));
   return {{"from", from}, {"bits", bits}};
 }
 
@@ -44,13 +48,16 @@
                            const std::function<void(std::uint32_t)>& done) const {
   const auto from = wire::count(value, "from");
   const auto bits = wire::text(value, "bits");
-  if (!from || !bits || *from + (bits->size() - !bits->empty()) * 6 > tasks) return false;
+  if (!from || !bits || *from + (bits->size() - !bits->empty()) * 6 > tasks)
+    return false;
   for (std::size_t i = 0; i < bits->size(); ++i) {
     const int six = unpack((*bits)[i]);
-    if (six < 0) return false;
+    if (six < 0)
+      return false;
     for (unsigned b = 0; b < 6; ++b) {
       const std::uint64_t task = *from + i * 6 + b;
-      if ((six >> b & 1) && task < tasks) done(static_cast<std::uint32_t>(task));
+      if ((six >> b & 1) && task < tasks)
+        done(static_cast<std::uint32_t>(task));
     }
   }
   return true;
--- a/src/jobs/progress.hpp
+++ b/src/jobs/progress.hpp
@@ -12,9 +12,15 @@
 class ProgressCodec {
  public:
   explicit ProgressCodec(double value_kb);
-  std::uint32_t chunk_tasks() const { return chunk_; }
-  std::uint32_t chunks(const Job& job) const { return (job.spec.tasks + chunk_ - 1) / chunk_; }
-  std::uint32_t chunk_of(std::uint32_t task) const { return task / chunk_; }
+  std::uint32_t chunk_tasks() const {
+    return chunk_;
+  }
+  std::uint32_t chunks(const Job& job) const {
+    return (job.spec.tasks + chunk_ - 1) / chunk_;
+  }
+  std::uint32_t chunk_of(std::uint32_t task) const {
+    return task / chunk_;
+  }
   // The chunks that a record has a part of. One written under another limit can have a part of several.
   std::pair<std::uint32_t, std::uint32_t> covers(const wire::Value& value, std::uint32_t tasks) const;
   std::size_t size(const Job& job, std::uint32_t chunk) const;  // at most, encoded
--- a/src/jobs/registry.cpp
+++ b/src/jobs/registry.cpp
@@ -3,28 +3,35 @@
 namespace wingtrail::jobs {
 
 Registry::Registry(const settings::Settings& settings) {
-  for (const auto& t : settings.teams) teams.add(t.name);
-  for (const auto& z : settings.zones) zones.add(z);
+  for (const auto& t : settings.teams)
+    teams.add(t.name);
+  for (const auto& z : settings.zones)
+    zones.add(z);
 }
 
 Job& Registry::add(const wire::JobSpec& spec, std::uint64_t created, Seconds submitted) {
-  if (Job* known = find(spec.ref)) return *known;
+  if (Job* known = find(spec.ref))
+    return *known;
   auto job = std::make_unique<Job>();
   job->ix = static_cast<Ix>(jobs_.size());
   job->spec = spec;
   job->team = teams.find(spec.team);
   job->image = images.add(spec.image);
-  if (image_gb_.size() <= job->image) image_gb_.resize(job->image + 1);
+  if (image_gb_.size() <= job->image)
+    image_gb_.resize(job->image + 1);
   image_gb_[job->image] = spec.image_gb;
   job->job_class = classes.add(spec.job_class);
-  if (spec.zone) job->zone = zones.add(*spec.zone);
-  for (const auto& t : spec.types) job->types.push_back(types.add(t));
+  if (spec.zone)
+    job->zone = zones.add(*spec.zone);
+  for (const auto& t : spec.types)
+    job->types.push_back(types.add(t));
   job->created = created;
   job->submitted = job->since = submitted;
   job->priority = spec.priority;
   job->tasks.resize(spec.tasks);
   job->pending.reserve(spec.tasks);
-  for (std::uint32_t i = spec.tasks; i-- > 0;) wait(*job, i);
+  for (std::uint32_t i = spec.tasks; i-- > 0;)
+    wait(*job, i);
   by_ref_.emplace(spec.ref, job->ix);
   jobs_.push_back(std::move(job));
   return *jobs_.back();
@@ -41,14 +48,16 @@
 }
 
 void Registry::drop_if_over(Job& job) {
-  if (!job.closed || job.placed > 0) return;
+  if (!job.closed || job.placed > 0)
+    return;
   by_ref_.erase(job.spec.ref);
   jobs_[job.ix].reset();
 }
 
 void Registry::forget(const std::string& ref) {
   const auto known = by_ref_.extract(ref);
-  if (!known.empty()) jobs_[known.mapped()].reset();
+  if (!known.empty())
+    jobs_[known.mapped()].reset();
 }
 
 void Registry::wait(Job& job, std::uint32_t task) {
@@ -65,17 +74,21 @@
 
 void Registry::place(Job& job, std::uint32_t task, Ix machine, Ix zone) {
   Task& t = job.tasks[task];
-  if (t.state == TaskState::pending) wait_no_more(job, task);
+  if (t.state == TaskState::pending)
+    wait_no_more(job, task);
   t = {TaskState::placed, false, machine, 0};
   ++job.placed;
-  if (job.in_zone.size() <= zone) job.in_zone.resize(zone + 1);
+  if (job.in_zone.size() <= zone)
+    job.in_zone.resize(zone + 1);
   ++job.in_zone[zone];
-  if (on_placed) on_placed(job, zone, 1);
+  if (on_placed)
+    on_placed(job, zone, 1);
 }
 
 void Registry::set_running(Job& job, std::uint32_t task, bool running) {
   Task& t = job.tasks[task];
-  if (t.running == running) return;
+  if (t.running == running)
+    return;
   t.running = running;
   job.running += running ? 1 : -1;
 }
@@ -86,20 +99,25 @@
   ++job.lost;
   --job.placed;
   --job.in_zone[zone];
-  if (on_placed) on_placed(job, zone, -1);
-  if (on_pending) on_pending(job);
+  if (on_placed)
+    on_placed(job, zone, -1);
+  if (on_pending)
+    on_pending(job);
 }
 
 void Registry::complete(Job& job, std::uint32_t task, Ix zone) {
   Task& t = job.tasks[task];
-  if (t.state == TaskState::done) return;
+  if (t.state == TaskState::done)
+    return;
   if (t.state == TaskState::pending) {
     wait_no_more(job, task);
   } else {
     set_running(job, task, false);
     --job.placed;
-    if (zone != kNone) --job.in_zone[zone];
-    if (zone != kNone && on_placed) on_placed(job, zone, -1);
+    if (zone != kNone)
+      --job.in_zone[zone];
+    if (zone != kNone && on_placed)
+      on_placed(job, zone, -1);
   }
   t = {TaskState::done, false, kNone, 0};
   ++job.done;
--- a/src/jobs/registry.hpp
+++ b/src/jobs/registry.hpp
@@ -24,15 +24,20 @@
  public:
   Ix add(const std::string& name) {
     auto [it, fresh] = map_.try_emplace(name, static_cast<Ix>(list_.size()));
-    if (fresh) list_.push_back(name);
+    if (fresh)
+      list_.push_back(name);
     return it->second;
   }
   Ix find(const std::string& name) const {
     auto it = map_.find(name);
     return it == map_.end() ? kNone : it->second;
   }
-  const std::string& operator[](Ix ix) const { return list_[ix]; }
-  std::size_t size() const { return list_.size(); }
+  const std::string& operator[](Ix ix) const {
+    return list_[ix];
+  }
+  std::size_t size() const {
+    return list_.size();
+  }
 
  private:
   std::unordered_map<std::string, Ix> map_;
@@ -85,11 +90,21 @@
   Seconds not_before = 0;
   std::uint64_t gang_attempt = 0;  // what the tasks of a gang that are placed now were started as
 
-  bool service() const { return spec.shape == wire::Shape::service; }
-  bool gang() const { return spec.shape == wire::Shape::gang; }
-  bool open() const { return !closing && !closed; }
-  bool held() const { return unmet > 0 || orphan || aborting || away; }
-  wire::Phase phase() const { return running > 0 ? wire::Phase::running : wire::Phase::queued; }
+  bool service() const {
+    return spec.shape == wire::Shape::service;
+  }
+  bool gang() const {
+    return spec.shape == wire::Shape::gang;
+  }
+  bool open() const {
+    return !closing && !closed;
+  }
+  bool held() const {
+    return unmet > 0 || orphan || aborting || away;
+  }
+  wire::Phase phase() const {
+    return running > 0 ? wire::Phase::running : wire::Phase::queued;
+  }
 };
 
 class Registry {
@@ -103,9 +118,13 @@
   std::function<void(const Job&, Ix zone, int tasks)> on_placed;
 
   Job& add(const wire::JobSpec& spec, std::uint64_t created, Seconds submitted);
-  double image_gb(Ix image) const { return image < image_gb_.size() ? image_gb_[image] : 0; }
+  double image_gb(Ix image) const {
+    return image < image_gb_.size() ? image_gb_[image] : 0;
+  }
   Job* find(const std::string& ref);
-  Job* at(Ix ix) { return ix < jobs_.size() ? jobs_[ix].get() : nullptr; }
+  Job* at(Ix ix) {
+    return ix < jobs_.size() ? jobs_[ix].get() : nullptr;
+  }
   void clear();
   // Frees a job that is over and that no machine holds a task of.
   void drop_if_over(Job& job);
@@ -114,9 +133,12 @@
   // Those that are not over; for what is done once a second at most.
   template <typename F>
   void each(F f) {
-    for (const auto& [ref, ix] : by_ref_) f(*jobs_[ix]);
+    for (const auto& [ref, ix] : by_ref_)
+      f(*jobs_[ix]);
+  }
+  std::size_t live() const {
+    return by_ref_.size();
   }
-  std::size_t live() const { return by_ref_.size(); }
   std::size_t held() const {
     return static_cast<std::size_t>(std::count_if(by_ref_.begin(), by_ref_.end(),
                                                   [this](const auto& j) { return jobs_[j.second]->held(); }));
--- a/src/jobs/sheets.hpp
+++ b/src/jobs/sheets.hpp
@@ -19,21 +19,27 @@
 namespace wingtrail::jobs {
 
 inline constexpr const char* kSheet = "j/sheet/";  // and who wrote it, its process, a number
-inline bool is_sheet(std::string_view key) { return key.starts_with(kSheet); }
+inline bool is_sheet(std::string_view key) {
+  return key.starts_with(kSheet);
+}
 
 // Calls `f(ref, record)` for each record of a sheet that names a job.
 template <typename F>
 void each_record(const wire::Value& sheet, F f) {
-  if (!sheet.is_array()) return;
+  if (!sheet.is_array())
+    return;
   for (const wire::Value& record : sheet) {
-    if (const auto ref = wire::text(record, "ref")) f(*ref, record);
+    if (const auto ref = wire::text(record, "ref"))
+      f(*ref, record);
   }
 }
 
 // Which live jobs each sheet holds, as the leader knows it; every event costs what it touches.
 class Sheets {
  public:
-  void clear() { *this = {}; }
+  void clear() {
+    *this = {};
+  }
   // It has been read whole, and some of its jobs are live.
   bool known(const std::string& key) const {
     const auto it = sheets_.find(key);
@@ -48,21 +54,29 @@
   // It holds that live job. Of others that it holds nothing is known before it is read (seed 400310: a sheet
   // was deleted when the one job was over by which it was known).
   void hold(const std::string& key, Ix job) {
-    if (sheets_[key].open.insert(job).second) of_[job].push_back(key);
+    if (sheets_[key].open.insert(job).second)
+      of_[job].push_back(key);
   }
   void over(Ix job) {
     const auto held = of_.extract(job);
-    if (held.empty()) return;
+    if (held.empty())
+      return;
     for (const std::string& key : held.mapped()) {
       const auto it = sheets_.find(key);
       it->second.open.erase(job);
       settle(it);
     }
   }
-  bool holds(Ix job) const { return of_.contains(job); }
-  std::size_t size() const { return sheets_.size(); }
+  bool holds(Ix job) const {
+    return of_.contains(job);
+  }
+  std::size_t size() const {
+    return sheets_.size();
+  }
   // Sheets that have become empty, to be deleted; each is told once.
-  std::vector<std::string> take_empty() { return std::exchange(empty_, {}); }
+  std::vector<std::string> take_empty() {
+    return std::exchange(empty_, {});
+  }
 
  private:
   struct Sheet {
@@ -71,7 +85,8 @@
   };
   using All = std::unordered_map<std::string, Sheet>;
   void settle(All::iterator it) {
-    if (!it->second.whole || !it->second.open.empty()) return;
+    if (!it->second.whole || !it->second.open.empty())
+      return;
     empty_.push_back(it->first);
     sheets_.erase(it);
   }
--- a/src/lead/election.hpp
+++ b/src/lead/election.hpp
@@ -23,18 +23,32 @@
   Election(ports::Outbox& out, store::Client& store, const settings::Settings& settings, Events events);
 
   void start();
-  bool leading() const { return leading_; }
+  bool leading() const {
+    return leading_;
+  }
   // The last moment at which an order may leave this node. Past it the node is silent, but keeps its office
   // if a renewal gets through later: the lease then never ended, so nobody else can have led.
-  Seconds authority_until() const { return leading_ ? until_ : -1; }
-  bool entitled() const { return leading_ && out_.now() < until_; }
+  Seconds authority_until() const {
+    return leading_ ? until_ : -1;
+  }
+  bool entitled() const {
+    return leading_ && out_.now() < until_;
+  }
   // When the last renewal that got through was sent; of use while leading().
-  Seconds renewed_at() const { return renewed_at_; }
-  std::uint64_t token() const { return token_; }
+  Seconds renewed_at() const {
+    return renewed_at_;
+  }
+  std::uint64_t token() const {
+    return token_;
+  }
 
   // The newest leadership known, from the state service or from peers.
-  const std::string& leader() const { return leader_; }
-  std::uint64_t leader_token() const { return leader_token_; }
+  const std::string& leader() const {
+    return leader_;
+  }
+  std::uint64_t leader_token() const {
+    return leader_token_;
+  }
   void heard(const std::string& leader, std::uint64_t token);
   // Gives the office up and stays out of elections for `pause`.
   void resign(Seconds pause, const char* why);
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -24,7 +24,8 @@
   sockaddr_in sa{};
   sa.sin_family = AF_INET;
   sa.sin_port = htons(port);
-  if (inet_pton(AF_INET, host.c_str(), &sa.sin_addr) != 1) return std::nullopt;
+  if (inet_pton(AF_INET, host.c_str(), &sa.sin_addr) != 1)
+    return std::nullopt;
   return sa;
 }
 
@@ -44,14 +45,22 @@
   Parser(http_parser_type type, std::size_t header_limit, std::size_t body_limit)
       : max_header(header_limit), max_body(body_limit) {
     http_parser_settings_init(&settings);
-    settings.on_message_begin = [](http_parser* p) { return self(p).begin(); };
+    settings.on_message_begin = [](http_parser* p) {
+      return self(p).begin();
+    };
     settings.on_url = [](http_parser* p, const char* at, size_t n) {
       self(p).target.append(at, n);
       return self(p).count(n);
     };
-    settings.on_header_field = [](http_parser* p, const char*, size_t n) { return self(p).count(n); };
-    settings.on_header_value = [](http_parser* p, const char*, size_t n) { return self(p).count(n); };
-    settings.on_body = [](http_parser* p, const char* at, size_t n) { return self(p).add(at, n); };
+    settings.on_header_field = [](http_parser* p, const char*, size_t n) {
+      return self(p).count(n);
+    };
+    settings.on_header_value = [](http_parser* p, const char*, size_t n) {
+      return self(p).count(n);
+    };
+    settings.on_body = [](http_parser* p, const char* at, size_t n) {
+      return self(p).add(at, n);
+    };
     settings.on_message_complete = [](http_parser* p) {
       self(p).complete = true;
       self(p).keep_alive = http_should_keep_alive(p) != 0;
@@ -71,15 +80,20 @@
   // False: this is not HTTP, or more of it than is allowed.
   bool feed(const char* data, std::size_t n) {
     const std::size_t used = http_parser_execute(&parser, &settings, data, n);
-    if (complete) return used == n || HTTP_PARSER_ERRNO(&parser) == HPE_PAUSED;
+    if (complete)
+      return used == n || HTTP_PARSER_ERRNO(&parser) == HPE_PAUSED;
     return HTTP_PARSER_ERRNO(&parser) == HPE_OK;
   }
-  static Parser& self(http_parser* p) { return *static_cast<Parser*>(p->data); }
+  static Parser& self(http_parser* p) {
+    return *static_cast<Parser*>(p->data);
+  }
   int begin() {
     started = true;
     return 0;
   }
-  int count(std::size_t n) { return (header_bytes += n) > max_header ? 1 : 0; }
+  int count(std::size_t n) {
+    return (header_bytes += n) > max_header ? 1 : 0;
+  }
   int add(const char* at, std::size_t n) {
     if (body.size() + n > max_body) {
       too_large = true;
@@ -100,23 +114,30 @@
   Seconds deadline = first_byte;
   while (!parser.complete) {
     const Woke woke = co_await io.wait_readable(scope, deadline);
-    if (woke != Woke::ready) co_return Got::timeout;
+    if (woke != Woke::ready)
+      co_return Got::timeout;
     const ssize_t n = recv(io.fd(), buffer, sizeof buffer, 0);
-    if (n < 0 && errno == EINTR) continue;
+    if (n < 0 && errno == EINTR)
+      continue;
     if (n < 0 && errno == EAGAIN) {
       // After a hang-up the flag would stay set; an empty socket then has nothing more to say.
-      if (io.hung_up()) co_return Got::closed;
+      if (io.hung_up())
+        co_return Got::closed;
       io.drained();
       continue;
     }
     if (n <= 0) {
-      if (n == 0 && parser.started) parser.feed(nullptr, 0);  // a body that ends with the connection
+      if (n == 0 && parser.started)
+        parser.feed(nullptr, 0);  // a body that ends with the connection
       co_return parser.complete ? Got::message : Got::closed;
     }
-    if (static_cast<std::size_t>(n) < sizeof buffer) io.drained();
+    if (static_cast<std::size_t>(n) < sizeof buffer)
+      io.drained();
     const bool had_begun = parser.started;
-    if (!parser.feed(buffer, static_cast<std::size_t>(n))) co_return Got::bad;
-    if (parser.started && !had_begun && std::isfinite(message_s)) deadline = scope.loop().now() + message_s;
+    if (!parser.feed(buffer, static_cast<std::size_t>(n)))
+      co_return Got::bad;
+    if (parser.started && !had_begun && std::isfinite(message_s))
+      deadline = scope.loop().now() + message_s;
   }
   co_return Got::message;
 }
@@ -129,11 +150,13 @@
       sent += static_cast<std::size_t>(n);
       continue;
     }
-    if (n < 0 && errno == EINTR) continue;
+    if (n < 0 && errno == EINTR)
+      continue;
     if (n < 0 && errno == EAGAIN) {
       io.filled();
       const Woke woke = co_await io.wait_writable(scope, deadline);
-      if (woke != Woke::ready) co_return false;
+      if (woke != Woke::ready)
+        co_return false;
       continue;
     }
     co_return false;
@@ -143,9 +166,12 @@
 
 std::string render(const Response& r, bool keep_alive) {
   std::string out = "HTTP/1.1 " + std::to_string(r.status) + " " + reason_phrase(r.status) + "\r\n";
-  if (!r.body.empty()) out += "Content-Type: " + r.content_type + "\r\n";
-  if (r.retry_after_s) out += "Retry-After: " + std::to_string(*r.retry_after_s) + "\r\n";
-  if (!keep_alive) out += "Connection: close\r\n";
+  if (!r.body.empty())
+    out += "Content-Type: " + r.content_type + "\r\n";
+  if (r.retry_after_s)
+    out += "Retry-After: " + std::to_string(*r.retry_after_s) + "\r\n";
+  if (!keep_alive)
+    out += "Connection: close\r\n";
   out += "Content-Length: " + std::to_string(r.body.size()) + "\r\n\r\n";
   return out + r.body;
 }
@@ -187,9 +213,11 @@
 std::optional<std::string> Server::listen() {
   const std::string where = host_ + ":" + std::to_string(port_);
   auto sa = address(host_, port_);
-  if (!sa) return where + ": not an IPv4 address";
+  if (!sa)
+    return where + ": not an IPv4 address";
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return where + ": " + std::strerror(errno);
+  if (fd < 0)
+    return where + ": " + std::strerror(errno);
   const int one = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (bind(fd, reinterpret_cast<sockaddr*>(&*sa), sizeof *sa) != 0 || ::listen(fd, 512) != 0) {
@@ -215,7 +243,8 @@
       }
       continue;
     }
-    if (errno == EINTR || errno == ECONNABORTED) continue;
+    if (errno == EINTR || errno == ECONNABORTED)
+      continue;
     if (errno != EAGAIN) {  // out of descriptors: those in use will come free
       co_await Sleep(scope_, scope_.loop().now() + 0.1);
       continue;
@@ -244,21 +273,25 @@
     Request request{http_method_str(static_cast<http_method>(parser.parser.method)), std::move(parser.target),
                     std::move(parser.body)};
     const Response response = co_await handler_(std::move(request));
-    if (scope_.cancelled()) break;
+    if (scope_.cancelled())
+      break;
     // Health checks and users get their answers even when every socket that may stay is taken.
     const bool keep = parser.keep_alive && open_ <= limits_.max_connections;
     const bool written =
         co_await write_all(io, scope_, render(response, keep), scope_.loop().now() + limits_.request_s);
-    if (!written || !keep) break;
+    if (!written || !keep)
+      break;
   }
   --open_;
 }
 
 Co<std::unique_ptr<Io>> Client::connect(const std::string& host, std::uint16_t port, Seconds deadline) {
   auto sa = address(host, port);
-  if (!sa) co_return nullptr;
+  if (!sa)
+    co_return nullptr;
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) co_return nullptr;
+  if (fd < 0)
+    co_return nullptr;
   set_nodelay(fd);
   const int rc = ::connect(fd, reinterpret_cast<sockaddr*>(&*sa), sizeof *sa);
   if (rc != 0 && errno != EINPROGRESS) {
@@ -271,7 +304,8 @@
     int error = 0;
     socklen_t len = sizeof error;
     getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len);
-    if (woke != Woke::ready || error != 0) co_return nullptr;
+    if (woke != Woke::ready || error != 0)
+      co_return nullptr;
   }
   co_return io;
 }
@@ -279,13 +313,15 @@
 void Client::drop(IdleList::iterator it) {
   auto same = idle_by_key_.find(it->key);
   std::erase(same->second, it);
-  if (same->second.empty()) idle_by_key_.erase(same);
+  if (same->second.empty())
+    idle_by_key_.erase(same);
   idle_.erase(it);
 }
 
 void Client::keep(const std::string& key, std::unique_ptr<Io> io) {
   auto& same = idle_by_key_[key];
-  if (same.size() >= kIdlePerEndpoint) return;
+  if (same.size() >= kIdlePerEndpoint)
+    return;
   idle_.push_back({key, std::move(io), scope_.loop().now()});
   same.push_back(std::prev(idle_.end()));
 }
@@ -297,7 +333,8 @@
     const Seconds idle = scope_.loop().now() - last->since;
     drop(last);
     // A connection that became readable while idle was closed by the other side.
-    if (!io->hung_up() && !io->readable() && idle < kKeepIdle) return io;
+    if (!io->hung_up() && !io->readable() && idle < kKeepIdle)
+      return io;
   }
   return nullptr;
 }
@@ -306,32 +343,43 @@
                          Seconds deadline, Seconds not_after) {
   Outcome out;
   out.delivered = false;
-  if (open_ >= max_connections_) co_return out;
+  if (open_ >= max_connections_)
+    co_return out;
   ++open_;
   struct Leave {
     std::size_t& n;
-    ~Leave() { --n; }
+    ~Leave() {
+      --n;
+    }
   } leave{open_};
   const std::string key = host + ":" + std::to_string(port);
   std::unique_ptr<Io> io = reuse(key);
-  while (!idle_.empty() && open_ + idle_.size() > max_connections_) drop(idle_.begin());
-  if (!io) io = co_await connect(host, port, deadline);
-  if (!io || scope_.cancelled()) co_return out;
-  if (std::isfinite(not_after) && scope_.loop().refresh() >= not_after) co_return out;
+  while (!idle_.empty() && open_ + idle_.size() > max_connections_)
+    drop(idle_.begin());
+  if (!io)
+    io = co_await connect(host, port, deadline);
+  if (!io || scope_.cancelled())
+    co_return out;
+  if (std::isfinite(not_after) && scope_.loop().refresh() >= not_after)
+    co_return out;
   std::string head = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + key + "\r\n";
-  if (!request.body.empty()) head += "Content-Type: " + content_type + "\r\n";
+  if (!request.body.empty())
+    head += "Content-Type: " + content_type + "\r\n";
   if (!request.body.empty() || request.method == "POST") {
     head += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
   }
   out.delivered = true;
   const bool written = co_await write_all(*io, scope_, head + "\r\n" + request.body, deadline);
-  if (!written) co_return out;
+  if (!written)
+    co_return out;
   Parser parser(HTTP_RESPONSE, kChunk, max_body_);
   const Got got = co_await read_message(*io, scope_, parser, deadline, INFINITY);
-  if (got != Got::message) co_return out;
+  if (got != Got::message)
+    co_return out;
   out.status = static_cast<int>(parser.parser.status_code);
   out.body = std::move(parser.body);
-  if (parser.keep_alive) keep(key, std::move(io));
+  if (parser.keep_alive)
+    keep(key, std::move(io));
   co_return out;
 }
 
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -42,7 +42,9 @@
   Server(Scope& scope, std::string host, std::uint16_t port, ServerLimits limits, Handler handler);
   // An error text, or nothing.
   std::optional<std::string> listen();
-  std::size_t connections() const { return open_; }
+  std::size_t connections() const {
+    return open_;
+  }
 
  private:
   Routine accept_loop();
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -25,9 +25,11 @@
   pending_ = true;
   before_ = nullptr;
   after_ = scope.first_;
-  if (after_) after_->before_ = this;
+  if (after_)
+    after_->before_ = this;
   scope.first_ = this;
-  if (scope.cancelled_) return wake(Woke::cancelled);
+  if (scope.cancelled_)
+    return wake(Woke::cancelled);
   if (std::isfinite(deadline)) {
     timer_ = loop.timers_.emplace(deadline, this);
     has_timer_ = true;
@@ -36,19 +38,23 @@
 
 // Resumption is queued, never nested: a routine is not re-entered from the code that woke it.
 void Wait::wake(Woke how) {
-  if (!pending_) return;
+  if (!pending_)
+    return;
   pending_ = false;
   how_ = how;
   (before_ ? before_->after_ : scope_->first_) = after_;
-  if (after_) after_->before_ = before_;
-  if (has_timer_) loop_->timers_.erase(timer_);
+  if (after_)
+    after_->before_ = before_;
+  if (has_timer_)
+    loop_->timers_.erase(timer_);
   has_timer_ = false;
   loop_->ready_.push_back(handle_);
 }
 
 void Scope::cancel() {
   cancelled_ = true;
-  while (first_) first_->wake(Woke::cancelled);
+  while (first_)
+    first_->wake(Woke::cancelled);
 }
 
 Io::Io(Loop& loop, int fd) : loop_(loop), fd_(fd) {
@@ -85,21 +91,26 @@
 
 Woke Io::Ready::await_resume() {
   Wait*& place = write_ ? io_.writer_ : io_.reader_;
-  if (place == this) place = nullptr;
+  if (place == this)
+    place = nullptr;
   return owner_.cancelled() ? Woke::cancelled : how_;
 }
 
 Loop::Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(steady_now()) {
-  if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+  if (epoll_ < 0)
+    throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-Loop::~Loop() { close(epoll_); }
+Loop::~Loop() {
+  close(epoll_);
+}
 
 void Loop::resume_ready() {
   while (!ready_.empty()) {
     std::vector<std::coroutine_handle<>> batch;
     batch.swap(ready_);
-    for (auto h : batch) h.resume();
+    for (auto h : batch)
+      h.resume();
   }
 }
 
@@ -108,9 +119,12 @@
   while (!stopped_) {
     resume_ready();
     Seconds wake = before_sleep_ ? before_sleep_() : INFINITY;
-    if (!ready_.empty()) continue;
-    if (stopped_) break;
-    if (!timers_.empty()) wake = std::min(wake, timers_.begin()->first);
+    if (!ready_.empty())
+      continue;
+    if (stopped_)
+      break;
+    if (!timers_.empty())
+      wake = std::min(wake, timers_.begin()->first);
     int timeout = -1;
     if (std::isfinite(wake)) {
       timeout = static_cast<int>(std::clamp(std::ceil((wake - now_) * 1000.0), 0.0, 60'000.0));
@@ -120,19 +134,24 @@
     for (int i = 0; i < n; ++i) {
       const Place& place = places_[static_cast<std::uint32_t>(events[i].data.u64)];
       Io* io = place.io;
-      if (!io || place.uses != events[i].data.u64 >> 32) continue;
+      if (!io || place.uses != events[i].data.u64 >> 32)
+        continue;
       const std::uint32_t e = events[i].events;
-      if (e & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) io->hung_up_ = true;
+      if (e & (EPOLLRDHUP | EPOLLHUP | EPOLLERR))
+        io->hung_up_ = true;
       if (e & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
         io->readable_ = true;
-        if (io->reader_) io->reader_->wake(Woke::ready);
+        if (io->reader_)
+          io->reader_->wake(Woke::ready);
       }
       if (e & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
         io->writable_ = true;
-        if (io->writer_) io->writer_->wake(Woke::ready);
+        if (io->writer_)
+          io->writer_->wake(Woke::ready);
       }
     }
-    while (!timers_.empty() && timers_.begin()->first <= now_) timers_.begin()->second->wake(Woke::timeout);
+    while (!timers_.empty() && timers_.begin()->first <= now_)
+      timers_.begin()->second->wake(Woke::timeout);
   }
   resume_ready();
 }
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -23,7 +23,9 @@
  public:
   virtual ~Wait() = default;
   void wake(Woke how);
-  bool pending() const { return pending_; }
+  bool pending() const {
+    return pending_;
+  }
 
  protected:
   friend class Loop;
@@ -44,12 +46,18 @@
 class Scope {
  public:
   explicit Scope(Loop& loop) : loop_(loop) {}
-  ~Scope() { cancel(); }
+  ~Scope() {
+    cancel();
+  }
   Scope(const Scope&) = delete;
   Scope& operator=(const Scope&) = delete;
   void cancel();
-  bool cancelled() const { return cancelled_; }
-  Loop& loop() { return loop_; }
+  bool cancelled() const {
+    return cancelled_;
+  }
+  Loop& loop() {
+    return loop_;
+  }
 
  private:
   friend class Wait;
@@ -65,9 +73,15 @@
   ~Io();
   Io(const Io&) = delete;
   Io& operator=(const Io&) = delete;
-  int fd() const { return fd_; }
-  bool hung_up() const { return hung_up_; }
-  bool readable() const { return readable_; }
+  int fd() const {
+    return fd_;
+  }
+  bool hung_up() const {
+    return hung_up_;
+  }
+  bool readable() const {
+    return readable_;
+  }
 
   class Ready : public Wait {
    public:
@@ -83,10 +97,18 @@
     bool write_;
     Seconds deadline_;
   };
-  Ready wait_readable(Scope& scope, Seconds deadline) { return {*this, scope, false, deadline}; }
-  Ready wait_writable(Scope& scope, Seconds deadline) { return {*this, scope, true, deadline}; }
-  void drained() { readable_ = hung_up_; }  // a hang-up stays readable: its edge comes only once
-  void filled() { writable_ = false; }
+  Ready wait_readable(Scope& scope, Seconds deadline) {
+    return {*this, scope, false, deadline};
+  }
+  Ready wait_writable(Scope& scope, Seconds deadline) {
+    return {*this, scope, true, deadline};
+  }
+  void drained() {
+    readable_ = hung_up_;
+  }  // a hang-up stays readable: its edge comes only once
+  void filled() {
+    writable_ = false;
+  }
 
  private:
   friend class Loop;
@@ -101,9 +123,15 @@
 class Sleep : public Wait {
  public:
   Sleep(Scope& scope, Seconds until) : owner_(scope), until_(until) {}
-  bool await_ready() const { return false; }
-  void await_suspend(std::coroutine_handle<> h) { arm(owner_.loop(), owner_, until_, h); }
-  Woke await_resume() const { return how_; }
+  bool await_ready() const {
+    return false;
+  }
+  void await_suspend(std::coroutine_handle<> h) {
+    arm(owner_.loop(), owner_, until_, h);
+  }
+  Woke await_resume() const {
+    return how_;
+  }
 
  private:
   Scope& owner_;
@@ -117,7 +145,9 @@
   class Waiter : public Wait {
    public:
     Waiter(Slot& slot, Scope& scope, Seconds deadline) : slot_(slot), owner_(scope), deadline_(deadline) {}
-    bool await_ready() const { return slot_.value_.has_value(); }
+    bool await_ready() const {
+      return slot_.value_.has_value();
+    }
     void await_suspend(std::coroutine_handle<> h) {
       slot_.waiter_ = this;
       arm(owner_.loop(), owner_, deadline_, h);
@@ -134,9 +164,12 @@
   };
   void set(T v) {
     value_ = std::move(v);
-    if (waiter_) waiter_->wake(Woke::ready);
+    if (waiter_)
+      waiter_->wake(Woke::ready);
+  }
+  Waiter wait(Scope& scope, Seconds deadline) {
+    return Waiter(*this, scope, deadline);
   }
-  Waiter wait(Scope& scope, Seconds deadline) { return Waiter(*this, scope, deadline); }
 
  private:
   std::optional<T> value_;
@@ -150,12 +183,20 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
   // The time as of the last look at the clock: one look per round of events.
-  Seconds now() const { return now_; }
-  Seconds refresh() { return now_ = steady_now(); }
+  Seconds now() const {
+    return now_;
+  }
+  Seconds refresh() {
+    return now_ = steady_now();
+  }
   void run();
-  void stop() { stopped_ = true; }
+  void stop() {
+    stopped_ = true;
+  }
   // Runs before the loop sleeps; returns when it wants to run again at the latest.
-  void before_sleep(std::function<Seconds()> fn) { before_sleep_ = std::move(fn); }
+  void before_sleep(std::function<Seconds()> fn) {
+    before_sleep_ = std::move(fn);
+  }
 
  private:
   friend class Wait;
--- a/src/peer/between.cpp
+++ b/src/peer/between.cpp
@@ -4,7 +4,9 @@
 
 namespace wingtrail::peer {
 
-std::string encode(const Between& between) { return pack(between); }
+std::string encode(const Between& between) {
+  return pack(between);
+}
 
 std::optional<Between> decode_between(std::string_view bytes) {
   // Lists of some hundred jobs, maps of some hundred names; nothing is nested deeper than zones by type.
--- a/src/peer/between.hpp
+++ b/src/peer/between.hpp
@@ -45,7 +45,9 @@
   std::string record;                   // with an offer: the job's record, in CBOR
   std::uint32_t done = 0, running = 0;  // tasks, with `held`
   MSGPACK_DEFINE_MAP(ref, word, record, done, running)
-  Word said() const { return word <= static_cast<std::uint8_t>(Word::unknown) ? Word{word} : Word::none; }
+  Word said() const {
+    return word <= static_cast<std::uint8_t>(Word::unknown) ? Word{word} : Word::none;
+  }
 };
 
 struct Between {
--- a/src/peer/frame.cpp
+++ b/src/peer/frame.cpp
@@ -4,7 +4,9 @@
 
 namespace wingtrail::peer {
 
-std::string encode(const Frame& frame) { return pack(frame); }
+std::string encode(const Frame& frame) {
+  return pack(frame);
+}
 
 std::optional<Frame> decode(std::string_view bytes) {
   // Limits: a flat map of scalars; the largest text is a user's body.
--- a/src/ports/outbox.hpp
+++ b/src/ports/outbox.hpp
@@ -60,25 +60,38 @@
  public:
   using OnReply = std::function<void(const Reply&)>;
 
-  Seconds now() const { return now_; }
+  Seconds now() const {
+    return now_;
+  }
   // Seconds since 1970, right within the bound that the platform gives; for what must mean the same to all
   // nodes.
-  double time_of_day() const { return now_ + day_offset_; }
+  double time_of_day() const {
+    return now_ + day_offset_;
+  }
 
   void call(Call call, OnReply then) {
     call.id = ++last_id_;
     waiting_.emplace(call.id, std::move(then));
     actions_.push_back(std::move(call));
   }
-  void answer(Answer answer) { actions_.push_back(std::move(answer)); }
-  void after(Seconds delay, std::function<void()> then) { timers_.emplace(now_ + delay, std::move(then)); }
+  void answer(Answer answer) {
+    actions_.push_back(std::move(answer));
+  }
+  void after(Seconds delay, std::function<void()> then) {
+    timers_.emplace(now_ + delay, std::move(then));
+  }
 
   // ---- for whoever drives the decision code
-  void set_now(Seconds now) { now_ = now; }
-  void set_day_offset(double offset) { day_offset_ = offset; }
+  void set_now(Seconds now) {
+    now_ = now;
+  }
+  void set_day_offset(double offset) {
+    day_offset_ = offset;
+  }
   void complete(std::uint64_t id, const Reply& reply) {
     auto node = waiting_.extract(id);
-    if (!node.empty()) node.mapped()(reply);
+    if (!node.empty())
+      node.mapped()(reply);
   }
   void run_timers() {
     while (!timers_.empty() && timers_.begin()->first <= now_) {
@@ -86,8 +99,12 @@
       node.mapped()();
     }
   }
-  Seconds next_wake() const { return timers_.empty() ? kNever : timers_.begin()->first; }
-  std::vector<Action> drain() { return std::exchange(actions_, {}); }
+  Seconds next_wake() const {
+    return timers_.empty() ? kNever : timers_.begin()->first;
+  }
+  std::vector<Action> drain() {
+    return std::exchange(actions_, {});
+  }
 
  private:
   Seconds now_ = 0;
--- a/src/sched/aims.cpp
+++ b/src/sched/aims.cpp
@@ -12,7 +12,8 @@
 
 Seconds Scheduler::span(const Job& job) const {
   double rate = 0;
-  for (const auto& t : catalog_) rate = rate <= 0 ? t.fetch_gb_per_s : std::min(rate, t.fetch_gb_per_s);
+  for (const auto& t : catalog_)
+    rate = rate <= 0 ? t.fetch_gb_per_s : std::min(rate, t.fetch_gb_per_s);
   return estimate(job) + (rate > 0 ? job.spec.image_gb / rate : 0);
 }
 
@@ -22,15 +23,20 @@
 
 // What the settings aim at for the class's arrays.
 const std::vector<Scheduler::Aim>& Scheduler::aims(Ix job_class) const {
-  if (aims_.size() <= job_class) aims_.resize(job_class + 1);
+  if (aims_.size() <= job_class)
+    aims_.resize(job_class + 1);
   auto& aims = aims_[job_class];
   if (!aims) {
     aims.emplace();
     for (const auto& o : settings_.objectives) {
-      if (o.job_class != registry_.classes[job_class]) continue;
-      if (o.kind == "finished") aims->push_back({Aim::Kind::finished, o.within_s});
-      if (o.kind == "deadline") aims->push_back({Aim::Kind::deadline, o.times});
-      if (o.kind == "wait") aims->push_back({Aim::Kind::wait, o.within_s});
+      if (o.job_class != registry_.classes[job_class])
+        continue;
+      if (o.kind == "finished")
+        aims->push_back({Aim::Kind::finished, o.within_s});
+      if (o.kind == "deadline")
+        aims->push_back({Aim::Kind::deadline, o.times});
+      if (o.kind == "wait")
+        aims->push_back({Aim::Kind::wait, o.within_s});
     }
   }
   return *aims;
@@ -64,10 +70,12 @@
   const Seconds over = out_.now() + later + rest;
   Seconds next = ports::kNever, last = -ports::kNever;
   each_due(job, [&](Seconds at) {
-    if (over <= at) next = std::min(next, at);
+    if (over <= at)
+      next = std::min(next, at);
     last = std::max(last, at);
   });
-  if (next != ports::kNever) return next;
+  if (next != ports::kNever)
+    return next;
   return last > -ports::kNever ? job.since + 10 * std::max(1.0, last - job.since)
                                : job.since + 10 * rest + 60;
 }
@@ -95,15 +103,20 @@
 // everyone's), then priority, then what can still be in time.
 bool Scheduler::before(const Job& a, const Job& b) const {
   const bool ga = under_guarantee(a), gb = under_guarantee(b);
-  if (ga != gb) return ga;
-  if (a.priority != b.priority) return a.priority > b.priority;
-  if (a.guest.empty() != b.guest.empty()) return a.guest.empty();
+  if (ga != gb)
+    return ga;
+  if (a.priority != b.priority)
+    return a.priority > b.priority;
+  if (a.guest.empty() != b.guest.empty())
+    return a.guest.empty();
   // After a zone is lost many services lack replicas at once: first those that serve nobody, and of these the
   // ones with the shortest fetch.
   if (restless_ && a.service() && b.service()) {
     const int ma = zones::missed(a.spec.tasks, a.placed), mb = zones::missed(b.spec.tasks, b.placed);
-    if (ma != mb) return ma < mb;
-    if (a.spec.image_gb != b.spec.image_gb) return a.spec.image_gb < b.spec.image_gb;
+    if (ma != mb)
+      return ma < mb;
+    if (a.spec.image_gb != b.spec.image_gb)
+      return a.spec.image_gb < b.spec.image_gb;
   }
   // Where no room is guaranteed this won nothing and cost a little: estimates are mostly wrong there, and
   // decide it.
@@ -114,7 +127,8 @@
   // Among those, one that can still meet its class's first objective goes first, and of these the one with
   // the least work left: that serves the most users in time when not all can be.
   const int la = lateness(a), lb = lateness(b);
-  if (la != lb) return la < lb;
+  if (la != lb)
+    return la < lb;
   const double wa = work_left(a), wb = work_left(b);
   return wa != wb ? wa < wb : a.ix < b.ix;
 }
--- a/src/sched/demand.cpp
+++ b/src/sched/demand.cpp
@@ -20,13 +20,15 @@
 // Whether spot machines do for it. A long array that could not be in time if it had to run a task once more
 // is worth ordinary machines.
 bool Scheduler::flexible(const Job& job) const {
-  if (!job.spec.spot) return false;
+  if (!job.spec.spot)
+    return false;
   return job.gang() || !is_long(job) || job.since + 2 * estimate(job) <= due(job, 0);
 }
 
 void Scheduler::offered(const Job& job) {
   picture_.came(job, job.spec.tasks * job.spec.need.cpus * std::max(1.0, estimate(job)), out_.now());
-  if (job.service() || !flexible(job)) return;
+  if (job.service() || !flexible(job))
+    return;
   const Seconds now = out_.now();
   offered_ *= std::exp(-(now - offered_at_) / kOfferedOver);
   offered_ += job.spec.tasks * job.spec.need.cpus * std::max(1.0, estimate(job)) / kOfferedOver;
@@ -43,10 +45,12 @@
   }
   const bool restless = agents_.zones().restless(out_.now());
   registry_.each([&](Job& job) {
-    if (!job.open() || (job.held() && job.placed == 0)) return;
+    if (!job.open() || (job.held() && job.placed == 0))
+      return;
     const double per = job.spec.need.cpus;
     const double placed = per * job.placed;
-    if (job.service()) d.replicas += job.placed;
+    if (job.service())
+      d.replicas += job.placed;
     double wait = job.held() ? 0 : per * static_cast<double>(job.pending.size());
     // What its team's limit holds back needs no machine, and neither does a job that fails wherever it runs.
     // Neither does what may run unseen on machines that a take-over has yet to hear of.
@@ -68,10 +72,12 @@
 }
 
 std::uint32_t Scheduler::bearable(const Job& job, std::uint32_t wanted, Ix without) const {
-  if (!job.spec.spread) return wanted;
+  if (!job.spec.spread)
+    return wanted;
   std::uint32_t room = 0;
   for (Ix zone = 0; zone < registry_.zones.size(); ++zone) {
-    if (zone == without || agents_.zones().cut(zone, out_.now())) continue;
+    if (zone == without || agents_.zones().cut(zone, out_.now()))
+      continue;
     const std::uint32_t here = zone < job.in_zone.size() ? job.in_zone[zone] : 0;
     const std::uint32_t most = (job.spec.tasks + 1) / 2;
     room += most > here ? most - here : 0;
@@ -83,14 +89,19 @@
   Loss loss;
   registry_.each([&](const Job& job) {
     const std::uint32_t here = zone < job.in_zone.size() ? job.in_zone[zone] : 0;
-    if (!job.open() || here == 0) return;
-    if (job.service()) ++loss.services, loss.none_left += job.placed == here;
+    if (!job.open() || here == 0)
+      return;
+    if (job.service())
+      ++loss.services, loss.none_left += job.placed == here;
     loss.cores += here * job.spec.need.cpus;
-    if (job.zone != zone) loss.elsewhere += bearable(job, here, zone) * job.spec.need.cpus;
+    if (job.zone != zone)
+      loss.elsewhere += bearable(job, here, zone) * job.spec.need.cpus;
   });
   for (const Index::Pool& p : agents_.index().pools()) {
-    if (p.zone == zone) continue;
-    for (const auto& [free, ix] : p.all.room) loss.room += free;
+    if (p.zone == zone)
+      continue;
+    for (const auto& [free, ix] : p.all.room)
+      loss.room += free;
   }
   return loss;
 }
--- a/src/sched/moving.cpp
+++ b/src/sched/moving.cpp
@@ -16,14 +16,16 @@
 std::optional<Scheduler::Usual> Scheduler::usual(const Job& job) const {
   constexpr int kEnough = 5;
   constexpr double kMostOf = 0.5;
-  if (!roomy_) return std::nullopt;
+  if (!roomy_)
+    return std::nullopt;
   const auto it = job_times_.find(job.ix);
   if (it != job_times_.end() && it->second.second >= std::max<double>(kEnough, kMostOf * job.spec.tasks))
     return Usual{it->second.first, 0};
   // Owners whose estimates are mostly far off make sound machines look slow (cub-meterlink-fleet: 58 in a
   // calm day).
   constexpr double kSureEnough = 0.35;
-  if (job.spec.estimate_s <= 0 || estimates_off_ > kSureEnough * kSureEnough) return std::nullopt;
+  if (job.spec.estimate_s <= 0 || estimates_off_ > kSureEnough * kSureEnough)
+    return std::nullopt;
   return Usual{estimate(job), std::sqrt(estimates_off_)};
 }
 
@@ -47,7 +49,8 @@
     const double factor = speeds_.factor(ix);
     if (factor > 1 && m.slow <= 1)
       spdlog::info("{}: slow, its tasks take {:.1f} times as long as others of their jobs", m.host, factor);
-    if (factor <= 1 && m.slow > 1) spdlog::info("{}: no longer slow", m.host);
+    if (factor <= 1 && m.slow > 1)
+      spdlog::info("{}: no longer slow", m.host);
     m.slow = factor;
     slow_machines_ += factor > 1;
   }
@@ -57,11 +60,15 @@
 Machine* Scheduler::target(const Job& job, const Machine& from) {
   for (const bool cached : {true, false}) {
     for (const Index::Pool& p : agents_.index().pools()) {
-      if ((p.short_only && is_long(job)) || !gates::allowed(job, p.type, p.zone, p.spot)) continue;
-      if (!zone_bears_move(p.zone, job, from)) continue;
-      if (job.spec.one_zone && p.zone != from.zone) continue;
+      if ((p.short_only && is_long(job)) || !gates::allowed(job, p.type, p.zone, p.spot))
+        continue;
+      if (!zone_bears_move(p.zone, job, from))
+        continue;
+      if (job.spec.one_zone && p.zone != from.zone)
+        continue;
       const Index::Group* group = cached ? p.with(job.image) : &p.all;
-      if (!group) continue;
+      if (!group)
+        continue;
       auto it = group->room.lower_bound({job.spec.need.cpus - kEps, 0});
       for (int n = 0; it != group->room.end() && n < settings_.tunables.steal_sample; ++it, ++n) {
         Machine& m = agents_.at(it->second);
@@ -72,7 +79,8 @@
           return &m;
       }
     }
-    if (job.service()) return nullptr;  // a replica would be down for the whole fetch
+    if (job.service())
+      return nullptr;  // a replica would be down for the whole fetch
   }
   return nullptr;
 }
@@ -84,9 +92,11 @@
     return false;
   const auto machines = static_cast<double>(agents_.live().size());
   const auto at_once = static_cast<std::size_t>(std::max(2.0, settings_.tunables.moves * machines));
-  if (!moves_.may_begin(job->ix, slot.task, at_once, out_.now())) return false;
+  if (!moves_.may_begin(job->ix, slot.task, at_once, out_.now()))
+    return false;
   Machine* to = target(*job, from);
-  if (!to) return false;
+  if (!to)
+    return false;
   const bool saves = job->spec.checkpoint_s > 0;
   spread::Move m;
   m.job = job->ix, m.task = slot.task, m.to = to->ix;
@@ -108,14 +118,17 @@
   Machine& to = agents_.at(move.to);
   if (!job || move.task >= job->tasks.size() || job->tasks[move.task].state != jobs::TaskState::pending)
     return false;
-  if (!can_start(to, *job)) return false;
+  if (!can_start(to, *job))
+    return false;
   ++started_;
   job->last_start = out_.now();
   agents_.start(to, *job, move.task);
   return true;
 }
 
-void Scheduler::give_up(const spread::Move& move) { agents_.keep(agents_.at(move.to), move.need, -1); }
+void Scheduler::give_up(const spread::Move& move) {
+  agents_.keep(agents_.at(move.to), move.need, -1);
+}
 
 // What has long to run on a slow machine begins anew elsewhere, if that ends it clearly sooner.
 void Scheduler::plan_moves() {
@@ -124,23 +137,28 @@
     moves_.finished(move, false);
   }
   // While something is out of reach or not accounted for, nothing that runs is touched.
-  if (slow_machines_ == 0 || !agents_.clear() || agents_.zones().restless(out_.now())) return;
+  if (slow_machines_ == 0 || !agents_.clear() || agents_.zones().restless(out_.now()))
+    return;
   for (Ix zone = 0; zone < registry_.zones.size(); ++zone) {
-    if (agents_.zones().quiet(zone, out_.now())) return;
+    if (agents_.zones().quiet(zone, out_.now()))
+      return;
   }
   constexpr Seconds kOnTheWay = 2;
   constexpr double kClearly = 0.25;
   for (const Ix ix : agents_.live()) {
     Machine& m = agents_.at(ix);
-    if (m.slow <= 1 || m.unreachable || agents_.silence(m) > settings_.report_s) continue;
+    if (m.slow <= 1 || m.unreachable || agents_.silence(m) > settings_.report_s)
+      continue;
     for (Slot& s : m.slots) {
       const Job* job = registry_.at(s.job);
-      if (!job || job->service() || s.running_since <= 0 || !s.counted || s.stop) continue;
+      if (!job || job->service() || s.running_since <= 0 || !s.counted || s.stop)
+        continue;
       const auto usually = usual(*job);
       const double run = usually ? usually->run_s : estimate(*job);
       const Seconds fetch = fetch_s(m.type, *job);
       const Seconds left = run * m.slow - (out_.now() - s.running_since);
-      if (left > run * (1 + kClearly) + fetch + kOnTheWay) move(m, s, spread::Cause::slow);
+      if (left > run * (1 + kClearly) + fetch + kOnTheWay)
+        move(m, s, spread::Cause::slow);
     }
   }
 }
--- a/src/sched/placement.cpp
+++ b/src/sched/placement.cpp
@@ -23,17 +23,21 @@
   double same_job = 0;
   bool fetching = false;
   for (const Slot& slot : m.slots) {
-    if (slot.job != job.ix || !slot.counted) continue;
+    if (slot.job != job.ix || !slot.counted)
+      continue;
     ++same_job;
     fetching |= slot.phase == Slot::Phase::fetching;
   }
   if (!m.has_image(job.image)) {
     s += fetch_s(m.type, job);
-    if (fetching) s *= 0.5;  // on its way already
+    if (fetching)
+      s *= 0.5;  // on its way already
   }
-  if (job.service()) s += same_job * 2.0;
+  if (job.service())
+    s += same_job * 2.0;
   s *= std::max(1.0, m.slowness);
-  if (m.spot) s += spot_risk_s(m, job);
+  if (m.spot)
+    s += spot_risk_s(m, job);
   return s + 0.2 * (1 - m.used.cpus / std::max(m.cpus, 1.0));
 }
 
@@ -56,9 +60,11 @@
       Machine& m = agents_.at(it->second);
       ++machines_examined_;
       ++n;
-      if (!can_start(m, job)) continue;
+      if (!can_start(m, job))
+        continue;
       const double wait = waiting(m, job);
-      if (!best || wait < best_wait) best = &m, best_wait = wait;
+      if (!best || wait < best_wait)
+        best = &m, best_wait = wait;
     }
   };
   for (const bool cached : {true, false}) {
@@ -67,12 +73,15 @@
           !gates_.zones().open_in(p.zone, job))
         continue;
       const Index::Group* with = p.with(job.image);
-      if (cached && with) look(*with);
-      if (!cached) look(p.all);
+      if (cached && with)
+        look(*with);
+      if (!cached)
+        look(p.all);
     }
     // Nothing is won by a fetch unless all that have the image are a worse choice for another reason.
     constexpr double kGoodEnough = 1.0;
-    if (cached_only || (best && best_wait < kGoodEnough)) break;
+    if (cached_only || (best && best_wait < kGoodEnough))
+      break;
   }
   return best;
 }
@@ -81,7 +90,8 @@
 Seconds Scheduler::wait_aim(const Job& job) const {
   Seconds least = 0;
   for (const Aim& aim : aims(job.job_class)) {
-    if (aim.kind == Aim::Kind::wait) least = least > 0 ? std::min(least, aim.value) : aim.value;
+    if (aim.kind == Aim::Kind::wait)
+      least = least > 0 ? std::min(least, aim.value) : aim.value;
   }
   return least;
 }
@@ -101,12 +111,14 @@
   double services = 0;
   for (const Slot& slot : m.slots) {
     const Job* other = registry_.at(slot.job);
-    if (slot.counted && other && other->service()) services += slot.need.cpus;
+    if (slot.counted && other && other->service())
+      services += slot.need.cpus;
   }
   double cost = kFull * services / std::max(m.cpus, 1.0) + waiting(m, job);
   // A fetch that ends within the aim costs nothing.
   const Seconds fetch = m.has_image(job.image) ? 0 : fetch_s(m.type, job);
-  if (fetch > 0 && in_time(job, fetch)) cost -= fetch;
+  if (fetch > 0 && in_time(job, fetch))
+    cost -= fetch;
   return cost;
 }
 
@@ -118,19 +130,23 @@
   const auto look = [&](Ix ix) {
     Machine& m = agents_.at(ix);
     ++machines_examined_;
-    if (!can_start(m, job)) return;
+    if (!can_start(m, job))
+      return;
     const double cost = crowding(m, job);
-    if (!best || cost < best_cost) best = &m, best_cost = cost;
+    if (!best || cost < best_cost)
+      best = &m, best_cost = cost;
   };
   for (const Index::Pool& p : agents_.index().pools()) {
     if (p.short_only || !gates::allowed(job, p.type, p.zone, p.spot) || !gates_.zones().open_in(p.zone, job))
       continue;
     for (const Index::Group* group : {p.with(job.image), &p.all}) {
-      if (!group) continue;
+      if (!group)
+        continue;
       auto it = group->room.rbegin();
       for (int n = 0; it != group->room.rend() && n < settings_.tunables.steal_sample; ++n)
         look((it++)->second);
-      if (group->members.empty()) continue;
+      if (group->members.empty())
+        continue;
       for (int n = 0; n < settings_.tunables.steal_sample; ++n)
         look(group->members[rng_(static_cast<std::uint32_t>(group->members.size()))]);
     }
@@ -141,11 +157,13 @@
 void Scheduler::place_long(Job& job) {
   const bool spread_out = job.service() && roomy_;
   // A gang that lost a task starts again as a whole, once the others have noticed and ended.
-  if (job.gang() && (job.placed > 0 || !gang_fits(job))) return;
+  if (job.gang() && (job.placed > 0 || !gang_fits(job)))
+    return;
   while (startable(job)) {
     Machine* m = spread_out ? least_crowded(job) : least_waiting(job);
     if (!m) {
-      if (!preempt_for(job, {})) return;
+      if (!preempt_for(job, {}))
+        return;
       continue;
     }
     // A service need not wait for a fetch if a lower task holds its place on a machine that has the image,
@@ -153,7 +171,8 @@
     constexpr double kFetchWorthPreempting = 1.0;
     const double wait = waiting(*m, job);
     const bool worth = wait > kFetchWorthPreempting && !(spread_out && in_time(job, wait));
-    if (job.service() && worth && preempt_for(job, wait)) continue;
+    if (job.service() && worth && preempt_for(job, wait))
+      continue;
     start(*m, job);
   }
 }
@@ -161,19 +180,23 @@
 // Whether all of a gang's missing tasks find room now: part of a gang would hold its machines for nothing.
 bool Scheduler::gang_fits(const Job& job) {
   const auto n = static_cast<double>(job.pending.size());
-  if (!gates_.limits().open_for(job, n)) return false;
+  if (!gates_.limits().open_for(job, n))
+    return false;
   std::unordered_map<Ix, double> zones;
   for (const Index::Pool& p : agents_.index().pools()) {
-    if (p.short_only || !gates::allowed(job, p.type, p.zone, p.spot)) continue;
+    if (p.short_only || !gates::allowed(job, p.type, p.zone, p.spot))
+      continue;
     double& found = zones[job.spec.one_zone ? p.zone : 0];
     for (auto it = p.all.room.lower_bound({job.spec.need.cpus - kEps, 0});
          it != p.all.room.end() && found < n; ++it) {
       const Machine& m = agents_.at(it->second);
       ++machines_examined_;
-      if (!can_start(m, job)) continue;
+      if (!can_start(m, job))
+        continue;
       double room = n;
       auto bound = [&room](double free, double need) {
-        if (need > 0) room = std::min(room, std::floor((free + kEps) / need));
+        if (need > 0)
+          room = std::min(room, std::floor((free + kEps) / need));
       };
       bound(m.cpus - m.used.cpus, job.spec.need.cpus);
       bound(m.gpus - m.used.gpus, job.spec.need.gpus);
@@ -194,14 +217,18 @@
 
 bool Scheduler::could_move(const Job& job, const Machine& from) {
   for (const Index::Pool& p : agents_.index().pools()) {
-    if (p.short_only || !gates::allowed(job, p.type, p.zone, p.spot)) continue;
-    if (!zone_bears_move(p.zone, job, from)) continue;
+    if (p.short_only || !gates::allowed(job, p.type, p.zone, p.spot))
+      continue;
+    if (!zone_bears_move(p.zone, job, from))
+      continue;
     const Index::Group* cached = p.with(job.image);
-    if (!cached) continue;
+    if (!cached)
+      continue;
     auto it = cached->room.lower_bound({job.spec.need.cpus - kEps, 0});
     for (int n = 0; it != cached->room.end() && n < settings_.tunables.steal_sample; ++it, ++n) {
       const Machine& m = agents_.at(it->second);
-      if (m.ix != from.ix && agents_.may_start(m) && m.fits(job.spec.need)) return true;
+      if (m.ix != from.ix && agents_.may_start(m) && m.fits(job.spec.need))
+        return true;
     }
   }
   return false;
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -10,19 +10,23 @@
 
 void Scheduler::consider_preempting(const Index::Group& group, const Job& job, double most_lost_s,
                                     bool guests, Preemption& best) {
-  if (group.members.empty()) return;
+  if (group.members.empty())
+    return;
   const Seconds now = out_.now();
   for (int i = 0; i < 2 * settings_.tunables.steal_sample; ++i) {
     Machine& m = agents_.at(group.members[rng_(static_cast<std::uint32_t>(group.members.size()))]);
     ++machines_examined_;
-    if (!can_start(m, job, true)) continue;
+    if (!can_start(m, job, true))
+      continue;
     // Youngest first: that loses the least work.
     std::vector<std::size_t> order;
     for (std::size_t s = 0; s < m.slots.size(); ++s) {
       const Slot& slot = m.slots[s];
       const Job* other = registry_.at(slot.job);
-      if (!other || !slot.counted || slot.stop || other->priority >= job.priority) continue;
-      if (guests && other->guest.empty()) continue;
+      if (!other || !slot.counted || slot.stop || other->priority >= job.priority)
+        continue;
+      if (guests && other->guest.empty())
+        continue;
       if (other->spec.checkpoint_s > 0 && other->spec.save_s > 0)
         continue;  // its saving would take too long here
       order.push_back(s);
@@ -36,7 +40,8 @@
     std::vector<std::size_t> victims;
     double cost = waiting(m, job) * 5, lost = 0;
     for (const std::size_t s : order) {
-      if (after.fits(job.spec.need)) break;
+      if (after.fits(job.spec.need))
+        break;
       after.used.cpus -= m.slots[s].need.cpus;
       after.used.gpus -= m.slots[s].need.gpus;
       after.used.memory_gb -= m.slots[s].need.memory_gb;
@@ -44,15 +49,18 @@
       lost += roomy_ && harmless(m.slots[s]) ? 0 : age(s);
       victims.push_back(s);
     }
-    if (lost > most_lost_s || victims.empty() || !after.fits(job.spec.need)) continue;
-    if (!best.where || cost < best.cost) best = {&m, cost, victims};
+    if (lost > most_lost_s || victims.empty() || !after.fits(job.spec.need))
+      continue;
+    if (!best.where || cost < best.cost)
+      best = {&m, cost, victims};
   }
 }
 
 // Whether the task's job meets the same aims if the task has to run once more from now on.
 bool Scheduler::harmless(const Slot& slot) const {
   const Job* job = registry_.at(slot.job);
-  if (!job || slot.running_since <= 0) return true;
+  if (!job || slot.running_since <= 0)
+    return true;
   constexpr Seconds kSomewhere =
       10;  // until it finds room again; on a full fleet some task ends all the time
   const Seconds run = estimate(*job), ends = slot.running_since + run, later = out_.now() + kSomewhere + run;
@@ -66,7 +74,8 @@
   const double most_lost_s = saves_s.value_or(1e9);
   // When all that runs is as important, every search is in vain; a few a pass notice when that changes.
   int& vain = vain_[static_cast<std::size_t>(job.priority)];
-  if (vain >= settings_.tunables.steal_sample || !startable(job) || fails_everywhere(job)) return false;
+  if (vain >= settings_.tunables.steal_sample || !startable(job) || fails_everywhere(job))
+    return false;
   Preemption best;
   for (const bool cached : {true, false}) {
     for (const Index::Pool& p : agents_.index().pools()) {
@@ -75,17 +84,21 @@
         continue;
       }
       const Index::Group* with = p.with(job.image);
-      if (cached && with) consider_preempting(*with, job, most_lost_s, guests, best);
-      if (!cached) consider_preempting(p.all, job, most_lost_s, guests, best);
+      if (cached && with)
+        consider_preempting(*with, job, most_lost_s, guests, best);
+      if (!cached)
+        consider_preempting(p.all, job, most_lost_s, guests, best);
     }
-    if (best.where || saves_s) break;
+    if (best.where || saves_s)
+      break;
   }
   if (!best.where) {
     ++vain;
     return false;
   }
   preempted_ += best.victims.size();
-  for (const std::size_t s : best.victims) agents_.stop(*best.where, best.where->slots[s], 0);
+  for (const std::size_t s : best.victims)
+    agents_.stop(*best.where, best.where->slots[s], 0);
   start(*best.where, job);
   return true;
 }
@@ -99,10 +112,12 @@
   };
   std::vector<Found> found;
   for (std::uint32_t i = 0; i < victim.tasks.size(); ++i) {
-    if (victim.tasks[i].state != jobs::TaskState::placed) continue;
+    if (victim.tasks[i].state != jobs::TaskState::placed)
+      continue;
     Machine& m = agents_.at(victim.tasks[i].machine);
     ++machines_examined_;
-    if (!can_start(m, job, true) || m.fits(job.spec.need)) continue;
+    if (!can_start(m, job, true) || m.fits(job.spec.need))
+      continue;
     for (const Slot& s : m.slots) {
       if (s.job == victim.ix && s.task == i && s.counted && !s.stop)
         found.push_back({s.running_since, m.ix, i});
@@ -112,10 +127,13 @@
   std::size_t stopped = 0;
   const settings::Team& team = settings_.teams[victim.team];
   for (const Found& f : found) {
-    if (!under_guarantee(job) || !startable(job)) break;
-    if (agents_.team_use(victim.team).cpus <= team.cpus + kEps) break;
+    if (!under_guarantee(job) || !startable(job))
+      break;
+    if (agents_.team_use(victim.team).cpus <= team.cpus + kEps)
+      break;
     Machine& m = agents_.at(f.machine);
-    if (!can_start(m, job, true)) continue;
+    if (!can_start(m, job, true))
+      continue;
     const bool saves = victim.spec.checkpoint_s > 0;
     for (Slot& s : m.slots) {
       if (s.job == victim.ix && s.task == f.task && s.counted) {
@@ -125,7 +143,8 @@
         break;
       }
     }
-    if (!saves) start(m, job);
+    if (!saves)
+      start(m, job);
   }
   return stopped;
 }
@@ -142,11 +161,15 @@
   std::optional<std::vector<Job*>> victims;
   for (const Ix ix : std::vector<Ix>(waiting_)) {
     Job* job = registry_.at(ix);
-    if (!job || !under_guarantee(*job) || !startable(*job) || out_.now() - job->since < kPatience) continue;
+    if (!job || !under_guarantee(*job) || !startable(*job) || out_.now() - job->since < kPatience)
+      continue;
     const Seconds spare = due(*job, 0) - job->since - estimate(*job);
-    if (!job->service() && out_.now() - job->since < part * spare) continue;
-    if (fails_everywhere(*job)) continue;
-    if (settings_.teams[job->team].cpus <= 0 && settings_.teams[job->team].gpus <= 0) continue;
+    if (!job->service() && out_.now() - job->since < part * spare)
+      continue;
+    if (fails_everywhere(*job))
+      continue;
+    if (settings_.teams[job->team].cpus <= 0 && settings_.teams[job->team].gpus <= 0)
+      continue;
     if (!victims) {
       victims.emplace();
       registry_.each([&](Job& other) {
@@ -160,7 +183,8 @@
     // Over all machines a task of the job that comes last, and of these the youngest. Going by machine
     // instead hit a small job that sat together on the first one again and again.
     for (Job* victim : *victims) {
-      if (!under_guarantee(*job) || !startable(*job)) break;
+      if (!under_guarantee(*job) || !startable(*job))
+        break;
       const wire::Resources &has = victim->spec.need, &needs = job->spec.need;
       if (victim->team == job->team || has.cpus + kEps < needs.cpus || has.gpus + kEps < needs.gpus ||
           has.memory_gb + kEps < needs.memory_gb)
--- a/src/sched/reservations.cpp
+++ b/src/sched/reservations.cpp
@@ -23,8 +23,10 @@
   for (const Ix ix : agents_.live()) {
     Machine& m = agents_.at(ix);
     bool refuses = m.spot && wanted > 0 && spot <= wanted;
-    if (!m.spot && m.reporting && ordinary > 0) refuses = true, --ordinary;
-    if (refuses == m.short_only) continue;
+    if (!m.spot && m.reporting && ordinary > 0)
+      refuses = true, --ordinary;
+    if (refuses == m.short_only)
+      continue;
     m.short_only = refuses;
     agents_.changed(m);
   }
@@ -32,7 +34,8 @@
 
 void Scheduler::cancel_reservation(Ix job, std::uint32_t tasks) {
   auto it = reserved_.find(job);
-  if (it != reserved_.end()) it->second -= std::min(it->second, tasks);
+  if (it != reserved_.end())
+    it->second -= std::min(it->second, tasks);
 }
 
 void Scheduler::reserve(Job& job, std::uint32_t tasks) {
@@ -46,7 +49,8 @@
     lists.push_back(&p.all.members);
     total += p.all.members.size();
   }
-  if (total == 0) return;
+  if (total == 0)
+    return;
   const auto probes = static_cast<std::uint32_t>(std::ceil(tasks * settings_.tunables.reservations_per_task));
   std::unordered_map<Ix, std::uint32_t> sample;
   for (std::uint32_t i = 0; i < probes; ++i) {
@@ -65,32 +69,39 @@
   };
   std::vector<Probe> order;
   for (const auto& [ix, n] : sample) {
-    if (queues_.size() <= ix) queues_.resize(ix + 1), in_queued_.resize(ix + 1);
+    if (queues_.size() <= ix)
+      queues_.resize(ix + 1), in_queued_.resize(ix + 1);
     queues_[ix].push_back({job.ix, n});
-    if (!in_queued_[ix]) in_queued_[ix] = true, queued_.push_back(ix);
+    if (!in_queued_[ix])
+      in_queued_[ix] = true, queued_.push_back(ix);
     reserved_[job.ix] += n;
     ++machines_examined_;
     const Machine& m = agents_.at(ix);
-    if (m.fits(job.spec.need)) order.push_back({waiting(m, job), ix});
+    if (m.fits(job.spec.need))
+      order.push_back({waiting(m, job), ix});
   }
   // All queues are in this process, so the sampled machines are asked in the order in which they could begin.
   std::sort(order.begin(), order.end(), [](const Probe& a, const Probe& b) {
     return a.wait != b.wait ? a.wait < b.wait : a.machine < b.machine;
   });
   for (const Probe& p : order) {
-    if (job.pending.empty()) break;
+    if (job.pending.empty())
+      break;
     serve(agents_.at(p.machine));
   }
 }
 
 // The waiting long job that comes first among those that could start here.
 Job* Scheduler::first_long(const Machine& m) {
-  if (m.short_only) return nullptr;
+  if (m.short_only)
+    return nullptr;
   for (const Ix ix : long_) {
     Job* job = registry_.at(ix);
-    if (!job || job->pending.empty() || job->gang()) continue;
+    if (!job || job->pending.empty() || job->gang())
+      continue;
     ++jobs_examined_;
-    if (can_start(m, *job)) return job;
+    if (can_start(m, *job))
+      return job;
   }
   return nullptr;
 }
@@ -111,10 +122,13 @@
   int looked = 0;
   for (const Ix ix : overdue_) {
     Job* job = registry_.at(ix);
-    if (!job || !job->open() || job->pending.empty() || !must_begin(*job)) continue;
-    if (++looked > kLookAt) return nullptr;
+    if (!job || !job->open() || job->pending.empty() || !must_begin(*job))
+      continue;
+    if (++looked > kLookAt)
+      return nullptr;
     ++jobs_examined_;
-    if (can_start(m, *job)) return job;
+    if (can_start(m, *job))
+      return job;
   }
   return nullptr;
 }
@@ -126,8 +140,10 @@
   });
   for (const Ix ix : overdue_) {
     Job& job = *registry_.at(ix);
-    if (!startable(job)) continue;
-    if (Machine* m = least_waiting(job)) start(*m, job);
+    if (!startable(job))
+      continue;
+    if (Machine* m = least_waiting(job))
+      start(*m, job);
   }
 }
 
@@ -135,38 +151,49 @@
 bool Scheduler::serve_once(Machine& m) {
   Job* first = first_long(m);
   // Services and long work within a guarantee go before one that must begin.
-  const auto yields = [this](const Job* job) { return !job || !under_guarantee(*job); };
-  if (Job* overdue = yields(first) ? first_overdue(m) : nullptr) return start(m, *overdue), true;
-  if (queues_.size() <= m.ix) queues_.resize(m.ix + 1), in_queued_.resize(m.ix + 1);
+  const auto yields = [this](const Job* job) {
+    return !job || !under_guarantee(*job);
+  };
+  if (Job* overdue = yields(first) ? first_overdue(m) : nullptr)
+    return start(m, *overdue), true;
+  if (queues_.size() <= m.ix)
+    queues_.resize(m.ix + 1), in_queued_.resize(m.ix + 1);
   auto& queue = queues_[m.ix];
   // Late binding: a reservation whose job has nothing left to start is dropped.
   std::erase_if(queue, [&](const Reservation& r) {
     const Job* job = registry_.at(r.job);
     const bool over = !job || !job->open() || job->pending.empty();
-    if (over) cancel_reservation(r.job, r.tasks);
+    if (over)
+      cancel_reservation(r.job, r.tasks);
     return over;
   });
   std::size_t best = queue.size();
   for (std::size_t i = 0; i < queue.size(); ++i) {
     Job& job = *registry_.at(queue[i].job);
     ++jobs_examined_;
-    if (!can_start(m, job) || (first && !before(job, *first))) continue;
+    if (!can_start(m, job) || (first && !before(job, *first)))
+      continue;
     first = &job;
     best = i;
   }
-  if (!first) return false;
+  if (!first)
+    return false;
   start(m, *first);
-  if (best == queue.size()) return true;
+  if (best == queue.size())
+    return true;
   cancel_reservation(first->ix, 1);
-  if (--queue[best].tasks == 0) queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(best));
+  if (--queue[best].tasks == 0)
+    queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(best));
   return true;
 }
 
 void Scheduler::serve(Machine& m) {
   ++machines_examined_;
-  if (!agents_.may_start(m)) return;
+  if (!agents_.may_start(m))
+    return;
   while (m.cpus - m.used.cpus > kEps) {
-    if (!serve_once(m) && !steal(m)) return;
+    if (!serve_once(m) && !steal(m))
+      return;
   }
 }
 
@@ -182,15 +209,18 @@
       queued_.pop_back();
       continue;
     }
-    if (victim == m.ix) continue;
+    if (victim == m.ix)
+      continue;
     for (std::size_t q = 0; q < queue.size(); ++q) {
       const Job* job = registry_.at(queue[q].job);
       ++jobs_examined_;
-      if (!job || !can_start(m, *job)) continue;
+      if (!job || !can_start(m, *job))
+        continue;
       const Reservation group = queue[q];
       queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(q));
       queues_[m.ix].push_back(group);
-      if (!in_queued_[m.ix]) in_queued_[m.ix] = true, queued_.push_back(m.ix);
+      if (!in_queued_[m.ix])
+        in_queued_[m.ix] = true, queued_.push_back(m.ix);
       return true;
     }
   }
@@ -202,8 +232,10 @@
 void Scheduler::place_short(Job& job) {
   while (startable(job)) {
     Machine* m = least_waiting(job);
-    if (!m && settings_.cells.on() && job.guest.empty() && preempt_for(job, {}, true)) continue;
-    if (!m) return;
+    if (!m && settings_.cells.on() && job.guest.empty() && preempt_for(job, {}, true))
+      continue;
+    if (!m)
+      return;
     start(*m, job);
   }
 }
--- a/src/sched/scheduler.cpp
+++ b/src/sched/scheduler.cpp
@@ -30,13 +30,16 @@
       roomy_(room_is_guaranteed(settings)),
       gates_(out, settings, agents, picture_, std::move(token)),
       rng_(seed) {
-  registry_.on_placed = [this](const Job& job, Ix zone, int tasks) { picture_.placed(job, zone, tasks); };
+  registry_.on_placed = [this](const Job& job, Ix zone, int tasks) {
+    picture_.placed(job, zone, tasks);
+  };
 }
 
 void Scheduler::set_catalog(const std::vector<wire::MachineType>& catalog) {
   for (const auto& t : catalog) {
     const Ix ix = registry_.types.add(t.name);
-    if (catalog_.size() <= ix) catalog_.resize(ix + 1);
+    if (catalog_.size() <= ix)
+      catalog_.resize(ix + 1);
     catalog_[ix] = t;
   }
 }
@@ -59,20 +62,27 @@
 }
 
 void Scheduler::waits(Job& job) {
-  if (in_waiting_.size() <= job.ix) in_waiting_.resize(job.ix + 1);
-  if (in_waiting_[job.ix]) return;
+  if (in_waiting_.size() <= job.ix)
+    in_waiting_.resize(job.ix + 1);
+  if (in_waiting_[job.ix])
+    return;
   in_waiting_[job.ix] = true;
   waiting_.push_back(job.ix);
-  if (is_long(job)) long_.push_back(job.ix);
+  if (is_long(job))
+    long_.push_back(job.ix);
 }
 
 void Scheduler::arrived(Job& job) {
-  if (job.pending.empty() || job.held()) return;
+  if (job.pending.empty() || job.held())
+    return;
   waits(job);
-  if (!startable(job)) return;
-  if (is_long(job)) return place_long(job);
+  if (!startable(job))
+    return;
+  if (is_long(job))
+    return place_long(job);
   const auto missing = static_cast<std::uint32_t>(job.pending.size());
-  if (reserved_[job.ix] < missing) reserve(job, missing);
+  if (reserved_[job.ix] < missing)
+    reserve(job, missing);
 }
 
 void Scheduler::start(Machine& m, Job& job) {
@@ -82,7 +92,8 @@
 }
 
 void Scheduler::room(Machine& m) {
-  if (waiting_.empty() || !agents_.may_start(m)) return;
+  if (waiting_.empty() || !agents_.may_start(m))
+    return;
   serve(m);
 }
 
@@ -92,8 +103,10 @@
     give_up(move);
     moves_.finished(move, false);
   }
-  if (queues_.size() <= m.ix) return;
-  for (const Reservation& r : std::exchange(queues_[m.ix], {})) cancel_reservation(r.job, r.tasks);
+  if (queues_.size() <= m.ix)
+    return;
+  for (const Reservation& r : std::exchange(queues_[m.ix], {}))
+    cancel_reservation(r.job, r.tasks);
 }
 
 void Scheduler::over(const Job& job) {
@@ -110,16 +123,20 @@
 
 void Scheduler::exited(Machine& m, const Slot& slot) {
   Job* job = registry_.at(slot.job);
-  if (!job) return;
+  if (!job)
+    return;
   const Seconds now = out_.now();
   if (slot.cause == wire::Cause::done) {
     m.failed_jobs.clear();
-    if (m.health != agents::Health::good) agents_.changed(m);
+    if (m.health != agents::Health::good)
+      agents_.changed(m);
     m.health = agents::Health::good;
     job->ever_ok = true;
     const double took = now - slot.running_since;
-    if (slot.running_since <= 0 || took < 0.5) return;  // it was seen only at its end
-    if (roomy_ && slot.adopted) return;                 // an earlier leader saw it start
+    if (slot.running_since <= 0 || took < 0.5)
+      return;  // it was seen only at its end
+    if (roomy_ && slot.adopted)
+      return;  // an earlier leader saw it start
     if (const auto mean = usual(*job))
       speeds_.ended(m.ix, job->ix, std::log(took / mean->run_s), mean->unsure);
     auto& [mean, n] = job_times_[job->ix];
@@ -130,7 +147,8 @@
     }
     mean = (mean * n + took) / (n + 1);
     ++n;
-    if (classes_.size() <= job->job_class) classes_.resize(job->job_class + 1);
+    if (classes_.size() <= job->job_class)
+      classes_.resize(job->job_class + 1);
     ClassStats& c = classes_[job->job_class];
     if (job->spec.estimate_s > 0) {
       const double ratio = std::clamp(took / job->spec.estimate_s, 0.1, 10.0);
@@ -148,7 +166,8 @@
     // machines are not blamed.
     if (!job->ever_ok && job->failed_on.size() >= 3) {
       job->not_before = now + std::min(60.0, std::pow(2.0, std::min(job->errors, 6U)));
-      for (const Ix ix : job->failed_on) std::erase(agents_.at(ix).failed_jobs, job->ix);
+      for (const Ix ix : job->failed_on)
+        std::erase(agents_.at(ix).failed_jobs, job->ix);
       job->failed_on.clear();
     } else {
       if (std::find(m.failed_jobs.begin(), m.failed_jobs.end(), job->ix) == m.failed_jobs.end()) {
@@ -157,7 +176,8 @@
       // One failure may be the job's; until more is known the machine gets nothing new.
       agents_.doubt_until(m, now + 15);
       if (m.failed_jobs.size() >= 2 || (job->ever_ok && job->errors >= 1)) {
-        if (m.health != agents::Health::bad) spdlog::warn("{}: suspected to be faulty", m.host);
+        if (m.health != agents::Health::bad)
+          spdlog::warn("{}: suspected to be faulty", m.host);
         m.health = agents::Health::bad;
       }
     }
@@ -167,7 +187,8 @@
     job->not_before = now + 0.5;
   }
   agents_.changed(m);
-  if (const auto move = moves_.gone(job->ix, slot.task)) moves_.finished(*move, land(*move));
+  if (const auto move = moves_.gone(job->ix, slot.task))
+    moves_.finished(*move, land(*move));
   arrived(*job);
 }
 
@@ -183,14 +204,16 @@
   std::erase_if(waiting_, [this](Ix ix) {
     const Job* job = registry_.at(ix);
     const bool over = !job || !job->open() || job->pending.empty();
-    if (over) in_waiting_[ix] = false;
+    if (over)
+      in_waiting_[ix] = false;
     return over;
   });
   if (settings_.cells.on()) {
     gates_.cells().look();
     for (const Ix ix : waiting_) {
       const Job& job = *registry_.at(ix);
-      if (job.guest.empty() && gates_.open(job)) gates_.cells().own_waits(job.team);
+      if (job.guest.empty() && gates_.open(job))
+        gates_.cells().own_waits(job.team);
     }
   }
   long_.clear();
@@ -199,7 +222,8 @@
   for (const Ix ix : waiting_) {
     Job* job = registry_.at(ix);
     ++jobs_examined_;
-    if (must_begin(*job)) overdue_.push_back(ix);
+    if (must_begin(*job))
+      overdue_.push_back(ix);
     if (is_long(*job)) {
       long_.push_back(ix);
     } else if (startable(*job)) {
@@ -211,18 +235,23 @@
             [this](Ix a, Ix b) { return before(*registry_.at(a), *registry_.at(b)); });
   for (const Ix ix : std::vector<Ix>(long_)) {
     Job* job = registry_.at(ix);
-    if (job && startable(*job)) place_long(*job);
+    if (job && startable(*job))
+      place_long(*job);
   }
   std::sort(short_jobs.begin(), short_jobs.end(),
             [this](const Job* a, const Job* b) { return before(*a, *b); });
   for (Job* job : short_jobs) {
     place_short(*job);
     const auto missing = static_cast<std::uint32_t>(job->pending.size());
-    if (missing > 0 && reserved_[job->ix] < missing) reserve(*job, missing - reserved_[job->ix]);
+    if (missing > 0 && reserved_[job->ix] < missing)
+      reserve(*job, missing - reserved_[job->ix]);
   }
-  if (second && !waiting_.empty()) reclaim_guarantees();
-  if (second) look_at_waiting();
-  if (second && roomy_) watch_speeds(), plan_moves();
+  if (second && !waiting_.empty())
+    reclaim_guarantees();
+  if (second)
+    look_at_waiting();
+  if (second && roomy_)
+    watch_speeds(), plan_moves();
 }
 
 // Of every job that waits, why.
@@ -230,7 +259,8 @@
   picture_.look();
   for (const Ix ix : waiting_) {
     const Job* job = registry_.at(ix);
-    if (!job || !job->open() || job->pending.empty()) continue;
+    if (!job || !job->open() || job->pending.empty())
+      continue;
     bool late = true;
     each_due(*job, [&](Seconds at) { late &= out_.now() > at; });
     picture_.waits(*job, gates_.reason(*job), out_.now() - job->since, late && !job->service());
--- a/src/sched/scheduler.hpp
+++ b/src/sched/scheduler.hpp
@@ -60,26 +60,48 @@
   Loss loss_of(Ix zone);
   // The part of its waiting tasks for which the job needs room of its own to be in time.
   double pressing(const Job& job, Seconds boot_s) const;
-  bool roomy() const { return roomy_; }  // the spread is on, and room may stand idle
+  bool roomy() const {
+    return roomy_;
+  }  // the spread is on, and room may stand idle
   // Moves a running task to another machine where it can go on sooner; false: there is none, or the budget is
   // used up.
   bool move(Machine& from, Slot& slot, spread::Cause cause);
-  const spread::Moves& moves() const { return moves_; }
-  std::size_t slow_machines() const { return slow_machines_; }
+  const spread::Moves& moves() const {
+    return moves_;
+  }
+  std::size_t slow_machines() const {
+    return slow_machines_;
+  }
   void offered(const Job& job);  // it is new to the service
   // Whether another machine with the job's image could take a task over from this one.
   bool could_move(const Job& job, const Machine& from);
-  const gates::Gates& gates() const { return gates_; }
-  const spread::Picture& picture() const { return picture_; }
+  const gates::Gates& gates() const {
+    return gates_;
+  }
+  const spread::Picture& picture() const {
+    return picture_;
+  }
   // Jobs with tasks that wait for a machine.
-  const std::vector<Ix>& waiting() const { return waiting_; }
+  const std::vector<Ix>& waiting() const {
+    return waiting_;
+  }
   // How many machines and jobs were looked at, for what was started; to show that neither grows with the
   // fleet.
-  std::uint64_t machines_examined() const { return machines_examined_; }
-  std::uint64_t jobs_examined() const { return jobs_examined_; }
-  std::uint64_t started() const { return started_; }
-  std::uint64_t preempted() const { return preempted_; }
-  std::uint64_t reclaimed() const { return reclaimed_; }
+  std::uint64_t machines_examined() const {
+    return machines_examined_;
+  }
+  std::uint64_t jobs_examined() const {
+    return jobs_examined_;
+  }
+  std::uint64_t started() const {
+    return started_;
+  }
+  std::uint64_t preempted() const {
+    return preempted_;
+  }
+  std::uint64_t reclaimed() const {
+    return reclaimed_;
+  }
 
  private:
   struct Reservation {
@@ -119,10 +141,13 @@
     bool any = false;
     for (const Aim& aim : aims(job.job_class)) {
       const Seconds at = by(job, aim);
-      if (at != ports::kNever) f(at), any = true;
+      if (at != ports::kNever)
+        f(at), any = true;
     }
-    if (job.latest != ports::kNever) f(job.latest), any = true;
-    if (!any && job.spec.deadline_s) f(job.submitted + *job.spec.deadline_s);
+    if (job.latest != ports::kNever)
+      f(job.latest), any = true;
+    if (!any && job.spec.deadline_s)
+      f(job.submitted + *job.spec.deadline_s);
   }
   Seconds due(const Job& job, Seconds later) const;
   int lateness(const Job& job, Seconds later = 0) const;
