--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -19,7 +19,8 @@
 
 std::optional<Endpoint> parse_endpoint(const std::string& raw) {
   const auto colon = raw.rfind(':');
-  if (colon == std::string::npos) return std::nullopt;
+  if (colon == std::string::npos)
+    return std::nullopt;
   Endpoint e;
   e.host = raw.substr(0, colon);
   in_addr ignored{};
@@ -40,16 +41,19 @@
 
   std::string text(const char* key) {
     const toml::node* n = table_.get(key);
-    if (!n) return missing(key, "text"), "";
+    if (!n)
+      return missing(key, "text"), "";
     auto v = n->value_exact<std::string>();
-    if (!v || v->empty()) return wrong(key, "text that is not empty"), "";
+    if (!v || v->empty())
+      return wrong(key, "text that is not empty"), "";
     return *v;
   }
   double number(const char* key, double lowest, double highest,
                 std::optional<double> otherwise = std::nullopt) {
     const toml::node* n = table_.get(key);
     if (!n) {
-      if (!otherwise) missing(key, "a number");
+      if (!otherwise)
+        missing(key, "a number");
       return otherwise.value_or(lowest);
     }
     auto v = n->is_number() ? n->value<double>() : std::nullopt;
@@ -63,18 +67,22 @@
   }
   Endpoint endpoint(const char* key) {
     const std::string raw = text(key);
-    if (raw.empty()) return {};
+    if (raw.empty())
+      return {};
     const auto e = parse_endpoint(raw);
-    if (!e) wrong(key, "IPV4:PORT, found \"" + raw + "\"");
+    if (!e)
+      wrong(key, "IPV4:PORT, found \"" + raw + "\"");
     return e.value_or(Endpoint{});
   }
   std::vector<std::string> texts(const char* key) {
     std::vector<std::string> out;
     const toml::array* a = table_.get_as<toml::array>(key);
-    if (!a) return wrong(key, "a list of text"), out;
+    if (!a)
+      return wrong(key, "a list of text"), out;
     for (const toml::node& n : *a) {
       auto v = n.value_exact<std::string>();
-      if (!v || v->empty()) return wrong(key, "a list of text"), out;
+      if (!v || v->empty())
+        return wrong(key, "a list of text"), out;
       out.push_back(*v);
     }
     return out;
@@ -83,9 +91,11 @@
   template <typename F>
   void tables(const char* key, F each) {
     const toml::node* n = table_.get(key);
-    if (!n) return;
+    if (!n)
+      return;
     const toml::array* a = n->as_array();
-    if (!a) return wrong(key, "a list of tables");
+    if (!a)
+      return wrong(key, "a list of tables");
     std::size_t i = 0;
     for (const toml::node& item : *a) {
       const std::string where = path(key) + "[" + std::to_string(i++) + "]";
@@ -99,14 +109,17 @@
   template <typename F>
   void table(const char* key, F each) {
     const toml::table* t = table_.get_as<toml::table>(key);
-    if (!t) return missing(key, "a table");
+    if (!t)
+      return missing(key, "a table");
     each(Reader(*t, path(key), problems_));
   }
   template <typename F>
   void table_if_any(const char* key, F each) {
     const toml::node* n = table_.get(key);
-    if (!n) return;
-    if (!n->is_table()) return wrong(key, "a table");
+    if (!n)
+      return;
+    if (!n->is_table())
+      return wrong(key, "a table");
     table(key, each);
   }
   void wrong(const char* key, const std::string& expected) {
@@ -117,7 +130,9 @@
   void missing(const char* key, const std::string& what) {
     problems_.push_back(path(key) + ": missing, expected " + what);
   }
-  std::string path(const char* key) const { return where_.empty() ? key : where_ + "." + key; }
+  std::string path(const char* key) const {
+    return where_.empty() ? key : where_ + "." + key;
+  }
 
   const toml::table& table_;
   std::string where_;
@@ -138,8 +153,10 @@
     team.gpus_max = t.number("gpus_max", 0, 1e9, 0);
     if (!names.insert(team.name).second)
       t.wrong("name", "names that occur once, found \"" + team.name + "\" again");
-    if (team.cpus_max > 0 && team.cpus > team.cpus_max) t.wrong("cpus", "no more than cpus_max");
-    if (team.gpus_max > 0 && team.gpus > team.gpus_max) t.wrong("gpus", "no more than gpus_max");
+    if (team.cpus_max > 0 && team.cpus > team.cpus_max)
+      t.wrong("cpus", "no more than cpus_max");
+    if (team.gpus_max > 0 && team.gpus > team.gpus_max)
+      t.wrong("gpus", "no more than gpus_max");
     s.teams.push_back(team);
   });
   r.tables("objectives", [&](Reader o) {
@@ -155,9 +172,11 @@
     s.report_s = w.number("report_s", 0.1, 600);
     s.lease_s = w.number("lease_s", 0.5, kDay);
     s.cancel_s = w.number("cancel_s", 0.5, kDay);
-    if (s.lease_s <= s.report_s) w.wrong("lease_s", "more than report_s");
+    if (s.lease_s <= s.report_s)
+      w.wrong("lease_s", "more than report_s");
     // A worker that cannot be reached ends its tasks when its lease is over, and nothing ends them sooner.
-    if (s.cancel_s <= s.lease_s) w.wrong("cancel_s", "more than lease_s");
+    if (s.cancel_s <= s.lease_s)
+      w.wrong("cancel_s", "more than lease_s");
   });
   r.table("state", [&](Reader t) {
     struct {
@@ -165,9 +184,11 @@
       double lowest;
       double value;
     } limits[] = {{"rps", 1, 0}, {"write_rps", 1, 0}, {"value_kb", 1, 0}, {"txn_ops", 4, 0}};
-    for (auto& l : limits) l.value = t.number(l.key, l.lowest, 1e6);
+    for (auto& l : limits)
+      l.value = t.number(l.key, l.lowest, 1e6);
     t.table_if_any("next", [&](Reader next) {
-      for (auto& l : limits) l.value = std::min(l.value, next.number(l.key, l.lowest, 1e6, l.value));
+      for (auto& l : limits)
+        l.value = std::min(l.value, next.number(l.key, l.lowest, 1e6, l.value));
     });
     s.state_rps = limits[0].value;
     s.state_write_rps = limits[1].value;
@@ -238,7 +259,8 @@
   explicit CellsReader(Loaded& out) : out_(out), cells_(out.settings.cells) {}
 
   void read(const YAML::Node& node) {
-    if (!node.IsMap()) return wrong("", "a map");
+    if (!node.IsMap())
+      return wrong("", "a map");
     for (const auto& pair : node) {
       const auto key = pair.first.as<std::string>("");
       const YAML::Node& value = pair.second;
@@ -257,8 +279,10 @@
         if (!value.IsScalar() || !YAML::convert<bool>::decode(value, cells_.drain))
           wrong(".drain", "true or false");
       } else if (key == "gone") {
-        if (!value.IsSequence()) return wrong(".gone", "a list of names of neighbours");
-        for (const auto& item : value) cells_.gone.push_back(name("gone", item));
+        if (!value.IsSequence())
+          return wrong(".gone", "a list of names of neighbours");
+        for (const auto& item : value)
+          cells_.gone.push_back(name("gone", item));
       } else {
         out_.problems.push_back("tunables.cells." + key + ": unknown name");
       }
@@ -272,11 +296,13 @@
   }
   std::string name(const std::string& key, const YAML::Node& value) {
     const auto text = value.IsScalar() ? value.as<std::string>("") : "";
-    if (text.empty() || text.size() > 40) wrong("." + key, "a name of 1 to 40 characters");
+    if (text.empty() || text.size() > 40)
+      wrong("." + key, "a name of 1 to 40 characters");
     return text;
   }
   void neighbours(const YAML::Node& value) {
-    if (!value.IsMap()) return wrong(".neighbours", "a map of names to lists of IPV4:PORT");
+    if (!value.IsMap())
+      return wrong(".neighbours", "a map of names to lists of IPV4:PORT");
     for (const auto& pair : value) {
       Neighbour n;
       n.name = name("neighbours", pair.first);
@@ -290,15 +316,19 @@
           n.nodes.push_back(*e);
         }
       }
-      if (n.nodes.empty()) wrong(".neighbours." + n.name, "a list of IPV4:PORT");
+      if (n.nodes.empty())
+        wrong(".neighbours." + n.name, "a list of IPV4:PORT");
       cells_.neighbours.push_back(std::move(n));
     }
   }
   void check() {
-    if (cells_.name.empty()) wrong(".name", "the name of this cell");
+    if (cells_.name.empty())
+      wrong(".name", "the name of this cell");
     const auto& all = cells_.neighbours;
     for (std::size_t i = 0; i < all.size(); ++i) {
-      const auto same = [&all, i](const Neighbour& n) { return n.name == all[i].name; };
+      const auto same = [&all, i](const Neighbour& n) {
+        return n.name == all[i].name;
+      };
       if (all[i].name == cells_.name)
         wrong(".neighbours", "other cells, found \"" + cells_.name + "\" itself");
       if (std::count_if(all.begin(), all.end(), same) > 1)
@@ -322,7 +352,8 @@
     out.problems.push_back(std::string("tunables: ") + e.what());
     return;
   }
-  if (root.IsNull()) return;
+  if (root.IsNull())
+    return;
   if (!root.IsMap()) {
     out.problems.emplace_back("tunables: expected a map of names to numbers");
     return;
@@ -335,7 +366,8 @@
     }
     const Tunable* found = nullptr;
     for (const Tunable& t : kTunables) {
-      if (key == t.key) found = &t;
+      if (key == t.key)
+        found = &t;
     }
     if (!found) {
       out.problems.push_back("tunables." + key + ": unknown name");
@@ -343,7 +375,8 @@
     }
     double value = NAN;
     // The library leaves a 0 behind where it fails.
-    if (!pair.second.IsScalar() || !YAML::convert<double>::decode(pair.second, value)) value = NAN;
+    if (!pair.second.IsScalar() || !YAML::convert<double>::decode(pair.second, value))
+      value = NAN;
     const bool whole_ok = !found->whole || std::floor(value) == value;
     if (!std::isfinite(value) || value < found->lowest || value > found->highest || !whole_ok) {
       std::ostringstream expected;
@@ -360,10 +393,12 @@
 
 std::optional<std::string> slurp(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) return std::nullopt;
+  if (!in)
+    return std::nullopt;
   std::ostringstream text;
   text << in.rdbuf();
-  if (in.bad()) return std::nullopt;
+  if (in.bad())
+    return std::nullopt;
   return text.str();
 }
 
@@ -379,7 +414,8 @@
     where << "line " << e.source().begin.line << ": " << e.description();
     out.problems.push_back(where.str());
   }
-  if (!yaml_text.empty()) read_yaml(yaml_text, out);
+  if (!yaml_text.empty())
+    read_yaml(yaml_text, out);
   return out;
 }
 
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -10,7 +10,9 @@
 struct Endpoint {
   std::string host;
   std::uint16_t port = 0;
-  std::string text() const { return host + ":" + std::to_string(port); }
+  std::string text() const {
+    return host + ":" + std::to_string(port);
+  }
 };
 
 struct Peer {
@@ -64,7 +66,9 @@
   int most_away = 500;            // jobs that others may hold for this cell at a time
   bool drain = false;             // whatever waits is handed on, and nothing is taken in
   std::vector<std::string> gone;  // neighbours that never come back, on the operators' word
-  bool on() const { return !name.empty() && !neighbours.empty(); }
+  bool on() const {
+    return !name.empty() && !neighbours.empty();
+  }
 };
 
 struct Settings {
@@ -79,7 +83,9 @@
   // nobody announces that moment.
   double state_rps = 100, state_write_rps = 30, value_kb = 8;
   int txn_ops = 12;
-  std::size_t value_bytes() const { return static_cast<std::size_t>(value_kb * 1024); }
+  std::size_t value_bytes() const {
+    return static_cast<std::size_t>(value_kb * 1024);
+  }
   double cloud_rps = 8, list_lag_s = 5;
   int max_connections = 1000;
   double memory_mb = 0;
--- a/src/spread/moves.cpp
+++ b/src/spread/moves.cpp
@@ -15,13 +15,15 @@
 }
 
 void Moves::clear() {
-  for (const Move& m : moves_) finished(m, false);  // its task, if it lives, is found where it is
+  for (const Move& m : moves_)
+    finished(m, false);  // its task, if it lives, is found where it is
   moves_.clear();
   last_.clear();
 }
 
 bool Moves::may_begin(Ix job, std::uint32_t task, std::size_t at_once, Seconds now) const {
-  if (moves_.size() >= at_once) return false;
+  if (moves_.size() >= at_once)
+    return false;
   const auto it = last_.find(key(job, task));
   return it == last_.end() || now - it->second > kRest;
 }
@@ -45,7 +47,8 @@
 
 std::optional<Move> Moves::gone(Ix job, std::uint32_t task) {
   const auto taken = take([&](const Move& m) { return m.job == job && m.task == task; });
-  if (taken.empty()) return std::nullopt;
+  if (taken.empty())
+    return std::nullopt;
   return taken.front();
 }
 
--- a/src/spread/moves.hpp
+++ b/src/spread/moves.hpp
@@ -51,13 +51,19 @@
   // Moves that took too long, or that involve a machine which is no longer fit: given up.
   std::vector<Move> expired(Seconds now);
   std::vector<Move> of_machine(Ix machine);
-  std::size_t under_way() const { return moves_.size(); }
-  const Counts& counts(Cause cause) const { return counts_[static_cast<std::size_t>(cause)]; }
+  std::size_t under_way() const {
+    return moves_.size();
+  }
+  const Counts& counts(Cause cause) const {
+    return counts_[static_cast<std::size_t>(cause)];
+  }
 
  private:
   template <typename F>
   std::vector<Move> take(F wanted);
-  static std::uint64_t key(Ix job, std::uint32_t task) { return (std::uint64_t{job} << 32) | task; }
+  static std::uint64_t key(Ix job, std::uint32_t task) {
+    return (std::uint64_t{job} << 32) | task;
+  }
   std::vector<Move> moves_;                          // a few
   std::unordered_map<std::uint64_t, Seconds> last_;  // when a task was last moved
   Counts counts_[kCauses];
--- a/src/spread/picture.cpp
+++ b/src/spread/picture.cpp
@@ -12,7 +12,8 @@
 }
 
 Picture::Team& Picture::team(Ix ix) {
-  if (teams_.size() <= ix) teams_.resize(ix + 1);
+  if (teams_.size() <= ix)
+    teams_.resize(ix + 1);
   return teams_[ix];
 }
 
@@ -39,9 +40,11 @@
   Load& load = loads_[{job.team, job.job_class}];
   load.service = job.service();
   load.held += cores;
-  if (load.by_zone.size() <= zone) load.by_zone.resize(zone + 1);
+  if (load.by_zone.size() <= zone)
+    load.by_zone.resize(zone + 1);
   load.by_zone[zone] += cores;
-  if (zones_.size() <= zone) zones_.resize(zone + 1);
+  if (zones_.size() <= zone)
+    zones_.resize(zone + 1);
   zones_[zone] += cores;
 }
 
@@ -69,7 +72,8 @@
 }
 
 double Picture::services_soon(Ix team, Seconds within, Seconds now) const {
-  if (team >= teams_.size()) return 0;
+  if (team >= teams_.size())
+    return 0;
   const Team& t = teams_[team];
   return t.largest_service + t.services.per_s(now) * within;
 }
--- a/src/spread/picture.hpp
+++ b/src/spread/picture.hpp
@@ -57,10 +57,16 @@
   void waits(const Job& job, std::string_view why, Seconds waited, bool late);
 
   // ---- what it shows
-  const std::map<Key, Load>& loads() const { return loads_; }
+  const std::map<Key, Load>& loads() const {
+    return loads_;
+  }
   const Load* of(Ix team, Ix job_class) const;
-  const std::vector<double>& zones() const { return zones_; }                     // cores in use
-  const std::map<std::string_view, double>& reasons() const { return reasons_; }  // cores by why they wait
+  const std::vector<double>& zones() const {
+    return zones_;
+  }  // cores in use
+  const std::map<std::string_view, double>& reasons() const {
+    return reasons_;
+  }  // cores by why they wait
   // The cores that the team's services may ask for within that time, by what came so far: at least one
   // service as large as any that came.
   double services_soon(Ix team, Seconds within, Seconds now) const;
--- a/src/spread/speed.cpp
+++ b/src/spread/speed.cpp
@@ -12,30 +12,40 @@
 constexpr double kLearns = 0.002;
 constexpr double kLeast = 0.15, kMost = 0.6;  // standard deviations
 
-double alarm() { return -std::log(Speeds::kFalse); }
+double alarm() {
+  return -std::log(Speeds::kFalse);
+}
 // The chance that a task takes longer than that many standard deviations above the usual.
-double beyond(double z) { return std::max(1e-12, 0.5 * std::erfc(z / std::numbers::sqrt2)); }
+double beyond(double z) {
+  return std::max(1e-12, 0.5 * std::erfc(z / std::numbers::sqrt2));
+}
 }  // namespace
 
-void Speeds::clear() { machines_.clear(); }
+void Speeds::clear() {
+  machines_.clear();
+}
 
 Speeds::Of& Speeds::of(std::size_t machine) {
-  if (machines_.size() <= machine) machines_.resize(machine + 1);
+  if (machines_.size() <= machine)
+    machines_.resize(machine + 1);
   return machines_[machine];
 }
 
 Speeds::Said& Speeds::by(Of& of, Ix job) {
   for (Said& s : of.said) {
-    if (s.job == job) return s;
+    if (s.job == job)
+      return s;
   }
-  if (of.said.size() >= kJobs) of.said.erase(of.said.begin());
+  if (of.said.size() >= kJobs)
+    of.said.erase(of.said.begin());
   return of.said.emplace_back(Said{job});
 }
 
 Speeds::Weights Speeds::sums(const Of& of) {
   Weights w{};
   for (const Said& s : of.said) {
-    for (std::size_t i = 0; i < kSpeeds; ++i) w[i] += std::min(kOneJob * alarm(), s.ended[i] + s.runs[i]);
+    for (std::size_t i = 0; i < kSpeeds; ++i)
+      w[i] += std::min(kOneJob * alarm(), s.ended[i] + s.runs[i]);
   }
   return w;
 }
@@ -43,7 +53,8 @@
 // Of all that is supposed together, each as likely as the others beforehand.
 double Speeds::likelier(const Weights& w) {
   double sum = 0;
-  for (const double x : w) sum += std::exp(std::min(x, 600.0));
+  for (const double x : w)
+    sum += std::exp(std::min(x, 600.0));
   return std::log(sum / kSpeeds);
 }
 
@@ -60,17 +71,20 @@
   }
   Weights w{};
   for (const Said& s : o.said) {
-    for (std::size_t i = 0; i < kSpeeds; ++i) w[i] += s.ended[i];
+    for (std::size_t i = 0; i < kSpeeds; ++i)
+      w[i] += s.ended[i];
   }
   // Sound as far as can be told: the evidence begins afresh, or a long good record would hide what comes.
   if (*std::max_element(w.begin(), w.end()) <= 0) {
-    for (Said& s : o.said) s.ended = {};
+    for (Said& s : o.said)
+      s.ended = {};
     o.slow = false;
   }
 }
 
 void Speeds::look(std::size_t machine) {
-  for (Said& s : of(machine).said) s.runs = {};
+  for (Said& s : of(machine).said)
+    s.runs = {};
 }
 
 void Speeds::runs(std::size_t machine, Ix job, double x, double unsure) {
@@ -79,13 +93,17 @@
   Said& said = by(o, job);
   for (std::size_t i = 0; i < kSpeeds; ++i)
     said.runs[i] += std::log(beyond((x - std::log(kFactors[i])) / deviation) / beyond(x / deviation));
-  if (!o.slow && likelier(sums(o)) > alarm()) o.slow = true;
+  if (!o.slow && likelier(sums(o)) > alarm())
+    o.slow = true;
 }
 
-bool Speeds::slow(std::size_t machine) const { return machine < machines_.size() && machines_[machine].slow; }
+bool Speeds::slow(std::size_t machine) const {
+  return machine < machines_.size() && machines_[machine].slow;
+}
 
 double Speeds::factor(std::size_t machine) const {
-  if (!slow(machine)) return 1;
+  if (!slow(machine))
+    return 1;
   const Weights w = sums(machines_[machine]);
   const double most = *std::max_element(w.begin(), w.end());
   double sum = 0, mean = 0;
@@ -98,7 +116,8 @@
 }
 
 void Speeds::forget(std::size_t machine) {
-  if (machine < machines_.size()) machines_[machine] = {};
+  if (machine < machines_.size())
+    machines_[machine] = {};
 }
 
 }  // namespace wingtrail::spread
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -20,7 +20,8 @@
 
 bool Bucket::take(Seconds now, double n, double floor) {
   refill(now);
-  if (level_ - n < keep(n, floor)) return false;
+  if (level_ - n < keep(n, floor))
+    return false;
   level_ -= n;
   return true;
 }
@@ -52,7 +53,8 @@
   asked_requests_ = asked_requests_ * left + requests;
   asked_writes_ = asked_writes_ * left + writes;
   asked_at_ = out_.now();
-  if (!share_) return;
+  if (!share_)
+    return;
   const Parts parts = share_();
   overdraws_ = parts.fixed;
   const double writes_rate = settings_.state_write_rps * parts.writes * kUsed;
@@ -65,7 +67,8 @@
 // Admissions take what ends and orders leave, and have a little of their own: a leader that records ends for
 // a minute on end would else admit nobody (Flood.OfOneUserWhoCancelsAndSubmitsAgain).
 bool Client::take_writes(Seconds now, double writes, Urgency urgency) {
-  if (writes <= 0 || writes_bucket_.take(now, writes, write_floor(urgency))) return true;
+  if (writes <= 0 || writes_bucket_.take(now, writes, write_floor(urgency)))
+    return true;
   return !overdraws_ && urgency == Urgency::admission && admission_bucket_.take(now, writes, 0);
 }
 
@@ -82,7 +85,8 @@
 // people may overdraw a node's part of the writes for some seconds: their submissions come in bursts and
 // at one node, and the service itself still says when the whole is used up.
 double Client::write_floor(Urgency urgency) const {
-  if (overdraws_) return urgency == Urgency::background ? 0.0 : -3.0;
+  if (overdraws_)
+    return urgency == Urgency::background ? 0.0 : -3.0;
   return urgency == Urgency::background ? 0.45 : urgency == Urgency::admission ? 0.3 : 0.0;
 }
 
@@ -95,7 +99,8 @@
 }
 
 void Client::set_leading(bool leading) {
-  if (share_) return;
+  if (share_)
+    return;
   const double part = fixed_part(leading, settings_.peers.size());
   requests_bucket_.configure(settings_.state_rps * part * kUsed);
   writes_bucket_.configure(settings_.state_write_rps * part * kUsed);
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -18,19 +18,27 @@
 
 class Bucket {
  public:
-  void configure(double per_second) { rate_ = per_second, level_ = std::min(level_, burst()); }
+  void configure(double per_second) {
+    rate_ = per_second, level_ = std::min(level_, burst());
+  }
   // Below that many a second a second's worth would be no whole request.
-  void whole(double least) { least_ = least; }
+  void whole(double least) {
+    least_ = least;
+  }
   // Takes `n` unless that would leave less than `floor` (a share of the burst).
   bool take(Seconds now, double n, double floor);
   void force(Seconds now, double n);
   // Until take() would succeed; at 0 it does.
   Seconds until(Seconds now, double n, double floor) const;
-  double rate() const { return rate_; }
+  double rate() const {
+    return rate_;
+  }
 
  private:
   void refill(Seconds now);
-  double burst() const { return std::max(rate_, least_); }
+  double burst() const {
+    return std::max(rate_, least_);
+  }
   // What must be left; what is more than a full bucket takes a full one.
   double keep(double n, double floor) const {
     return least_ > 0 ? std::min(floor * rate_, burst() - n) : floor * rate_;
@@ -59,11 +67,15 @@
   void shared(std::function<Parts()> of_whole);
   // Until a transaction of so many changes would be let out; changes a second that this node may make.
   Seconds ready_in(Urgency urgency, double writes);
-  double write_rate() const { return writes_bucket_.rate(); }
+  double write_rate() const {
+    return writes_bucket_.rate();
+  }
   // The part of the whole that this node has asked for lately, let out or not.
   Parts asked() const;
   // What an answer of the service usually takes.
-  Seconds usual() const { return mean_s_ + 2 * spread_s_; }
+  Seconds usual() const {
+    return mean_s_ + 2 * spread_s_;
+  }
 
   // Status 429 comes at once and from here when the budget is used up.
   void get(const std::string& key, Urgency urgency, Then then);
@@ -78,11 +90,19 @@
   void revoke(std::uint64_t lease);
 
   // Whether the service answered this node lately.
-  bool healthy() const { return out_.now() - last_ok_ < kHealthy; }
+  bool healthy() const {
+    return out_.now() - last_ok_ < kHealthy;
+  }
   // After what time an answer is so late that another way is worth trying.
-  Seconds patience() const { return std::clamp(mean_s_ + 4 * spread_s_, kLeastPatience, kTimeout / 2); }
-  std::uint64_t requests() const { return requests_; }
-  std::uint64_t refused() const { return refused_; }
+  Seconds patience() const {
+    return std::clamp(mean_s_ + 4 * spread_s_, kLeastPatience, kTimeout / 2);
+  }
+  std::uint64_t requests() const {
+    return requests_;
+  }
+  std::uint64_t refused() const {
+    return refused_;
+  }
 
  private:
   static constexpr Seconds kHealthy = 2.5;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -10,7 +10,9 @@
 
 constexpr double kMaxAmount = 1e9;
 
-bool good_amount(const std::optional<double>& v) { return v && *v >= 0 && *v <= kMaxAmount; }
+bool good_amount(const std::optional<double>& v) {
+  return v && *v >= 0 && *v <= kMaxAmount;
+}
 
 template <typename E>
 struct Named {
@@ -43,9 +45,11 @@
 
 template <typename E, std::size_t N>
 std::optional<E> by_name(const Named<E> (&table)[N], const std::optional<std::string>& name) {
-  if (!name) return std::nullopt;
+  if (!name)
+    return std::nullopt;
   for (const auto& row : table) {
-    if (*name == row.name) return row.value;
+    if (*name == row.name)
+      return row.value;
   }
   return std::nullopt;
 }
@@ -53,22 +57,27 @@
 template <typename E, std::size_t N>
 const char* name_of(const Named<E> (&table)[N], E value) {
   for (const auto& row : table) {
-    if (row.value == value) return row.name;
+    if (row.value == value)
+      return row.name;
   }
   return "";
 }
 
 std::optional<std::vector<std::string>> text_list(const Value& list) {
-  if (!list.is_array()) return std::nullopt;
+  if (!list.is_array())
+    return std::nullopt;
   std::vector<std::string> out;
   for (const Value& v : list) {
-    if (!v.is_string()) return std::nullopt;
+    if (!v.is_string())
+      return std::nullopt;
     out.push_back(v.get<std::string>());
   }
   return out;
 }
 
-bool good_name(const std::optional<std::string>& s) { return s && !s->empty() && s->size() <= 200; }
+bool good_name(const std::optional<std::string>& s) {
+  return s && !s->empty() && s->size() <= 200;
+}
 
 // Queries carry keys and host names, which the protocol limits to characters that need no escaping but these.
 std::string escape(const std::string& s) {
@@ -90,7 +99,8 @@
   Value list = Value::array();
   for (const Order& o : orders) {
     Value v{{"verb", name_of(kVerbs, o.verb)}, {"shard", o.task}, {"try", o.attempt}};
-    if (o.verb == Order::Verb::stop) v["windDownS"] = o.grace_s;
+    if (o.verb == Order::Verb::stop)
+      v["windDownS"] = o.grace_s;
     list.push_back(std::move(v));
   }
   return list;
@@ -100,16 +110,19 @@
 
 bool valid_ref(std::string_view ref) {
   constexpr std::string_view prefix = "req-";
-  if (!ref.starts_with(prefix) || ref.size() == prefix.size() || ref.size() > 40) return false;
+  if (!ref.starts_with(prefix) || ref.size() == prefix.size() || ref.size() > 40)
+    return false;
   return std::all_of(ref.begin() + prefix.size(), ref.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
 Result<JobSpec> parse_job(const Value& v) {
   using R = Result<JobSpec>;
-  if (!v.is_object()) return R::fail("not a map");
+  if (!v.is_object())
+    return R::fail("not a map");
   JobSpec s;
   auto ref = text(v, "ref");
-  if (!ref || !valid_ref(*ref)) return R::fail("ref: missing or malformed");
+  if (!ref || !valid_ref(*ref))
+    return R::fail("ref: missing or malformed");
   s.ref = *ref;
   struct {
     const char* key;
@@ -117,17 +130,21 @@
   } texts[] = {{"jobclass", &s.job_class}, {"owner", &s.team}, {"bundle", &s.image}};
   for (auto& [key, to] : texts) {
     auto t = text(v, key);
-    if (!good_name(t)) return R::fail(std::string(key) + ": expected text of 1 to 200 bytes");
+    if (!good_name(t))
+      return R::fail(std::string(key) + ": expected text of 1 to 200 bytes");
     *to = *t;
   }
   auto shape = by_name(kShapes, text(v, "shape"));
-  if (!shape) return R::fail("shape: expected sweep, standing or ensemble");
+  if (!shape)
+    return R::fail("shape: expected sweep, standing or ensemble");
   s.shape = *shape;
   auto priority = by_name(kPriorities, text(v, "urgency"));
-  if (!priority) return R::fail("urgency: expected critical, high, standard or idle");
+  if (!priority)
+    return R::fail("urgency: expected critical, high, standard or idle");
   s.priority = *priority;
   auto tasks = count(v, "shards");
-  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) return R::fail("shards: expected 1 to 100000");
+  if (!tasks || *tasks < 1 || *tasks > kMaxTasks)
+    return R::fail("shards: expected 1 to 100000");
   s.tasks = static_cast<std::uint32_t>(*tasks);
   struct {
     const char* key;
@@ -138,7 +155,8 @@
                  {"snapshotCostS", &s.save_s}};
   for (auto& [key, to] : amounts) {
     auto a = amount(v, key);
-    if (!good_amount(a)) return R::fail(std::string(key) + ": expected an amount of at least 0");
+    if (!good_amount(a))
+      return R::fail(std::string(key) + ": expected an amount of at least 0");
     *to = *a;
   }
   struct {
@@ -147,22 +165,26 @@
   } flags[] = {{"samePlace", &s.one_zone}, {"apart", &s.spread}, {"standby", &s.spot}};
   for (auto& [key, to] : flags) {
     auto f = flag(v, key);
-    if (!f) return R::fail(std::string(key) + ": expected true or false");
+    if (!f)
+      return R::fail(std::string(key) + ": expected true or false");
     *to = *f;
   }
   if (const Value* types = find(v, "flavours")) {
     auto list = text_list(*types);
-    if (!list || list->empty()) return R::fail("flavours: expected null or a list of names");
+    if (!list || list->empty())
+      return R::fail("flavours: expected null or a list of names");
     s.types = std::move(*list);
   }
   if (find(v, "hall")) {
     auto zone = text(v, "hall");
-    if (!good_name(zone)) return R::fail("hall: expected null or a name");
+    if (!good_name(zone))
+      return R::fail("hall: expected null or a name");
     s.zone = *zone;
   }
   if (find(v, "dueS")) {
     auto due = amount(v, "dueS");
-    if (!good_amount(due)) return R::fail("dueS: expected null or an amount of at least 0");
+    if (!good_amount(due))
+      return R::fail("dueS: expected null or an amount of at least 0");
     s.deadline_s = *due;
   }
   if (const Value* needs = find(v, "waitsOn")) {
@@ -194,10 +216,14 @@
           {"expectedS", s.estimate_s},
           {"snapshotEveryS", s.checkpoint_s},
           {"snapshotCostS", s.save_s}};
-  if (!s.types.empty()) v["flavours"] = s.types;
-  if (s.zone) v["hall"] = *s.zone;
-  if (s.deadline_s) v["dueS"] = *s.deadline_s;
-  if (!s.waits_on.empty()) v["waitsOn"] = s.waits_on;
+  if (!s.types.empty())
+    v["flavours"] = s.types;
+  if (s.zone)
+    v["hall"] = *s.zone;
+  if (s.deadline_s)
+    v["dueS"] = *s.deadline_s;
+  if (!s.waits_on.empty())
+    v["waitsOn"] = s.waits_on;
   return v;
 }
 
@@ -212,37 +238,49 @@
   return needs && needs->is_array() && !needs->empty();
 }
 
-std::optional<double> submitted_at(const Value& record) { return amount(record, "submittedAt"); }
+std::optional<double> submitted_at(const Value& record) {
+  return amount(record, "submittedAt");
+}
 
 Value ended_record(const Ended& e) {
   Value v{{"phase", phase_name(e.phase)}, {"tasks", e.tasks}};
-  if (e.at) v["at"] = *e.at;
+  if (e.at)
+    v["at"] = *e.at;
   return v;
 }
 
 std::optional<Ended> parse_ended(const Value& record) {
   const auto phase = parse_phase(record);
-  if (!phase) return std::nullopt;
+  if (!phase)
+    return std::nullopt;
   return Ended{*phase, static_cast<std::uint32_t>(count(record, "tasks").value_or(0)), amount(record, "at")};
 }
 
-const char* phase_name(Phase phase) { return name_of(kPhases, phase); }
+const char* phase_name(Phase phase) {
+  return name_of(kPhases, phase);
+}
 
-Value job_state(const std::string& ref, Phase phase) { return {{"ref", ref}, {"phase", phase_name(phase)}}; }
+Value job_state(const std::string& ref, Phase phase) {
+  return {{"ref", ref}, {"phase", phase_name(phase)}};
+}
 
 Value job_progress(const std::string& ref, Phase phase, std::uint32_t done, std::uint32_t running) {
   return {{"ref", ref}, {"phase", phase_name(phase)}, {"done", done}, {"running", running}};
 }
 
-std::optional<Phase> parse_phase(const Value& v) { return by_name(kPhases, text(v, "phase")); }
+std::optional<Phase> parse_phase(const Value& v) {
+  return by_name(kPhases, text(v, "phase"));
+}
 
 std::optional<TaskName> parse_task(std::string_view name) {
   const auto slash = name.rfind('/');
-  if (slash == std::string_view::npos || !valid_ref(name.substr(0, slash))) return std::nullopt;
+  if (slash == std::string_view::npos || !valid_ref(name.substr(0, slash)))
+    return std::nullopt;
   TaskName t{std::string(name.substr(0, slash)), 0};
   const char* end = name.data() + name.size();
   auto [p, ec] = std::from_chars(name.data() + slash + 1, end, t.index);
-  if (ec != std::errc() || p != end || t.index >= kMaxTasks) return std::nullopt;
+  if (ec != std::errc() || p != end || t.index >= kMaxTasks)
+    return std::nullopt;
   return t;
 }
 
@@ -269,12 +307,15 @@
   }
 
   bool null() override {  // as good as not there
-    if (known()) seen_ &= ~(1U << field_);
+    if (known())
+      seen_ &= ~(1U << field_);
     return problem.empty();
   }
   bool boolean(bool v) override {
-    if (!known()) return true;
-    if (field_ != spot) return spoilt();
+    if (!known())
+      return true;
+    if (field_ != spot)
+      return spoilt();
     report.spot = v;
     return true;
   }
@@ -283,7 +324,8 @@
                   : number_float(static_cast<double>(v), "");
   }
   bool number_unsigned(number_unsigned_t v) override {
-    if (!known()) return true;
+    if (!known())
+      return true;
     switch (field_) {
       case session:
         report.session = v;
@@ -305,18 +347,22 @@
     }
   }
   bool number_float(number_float_t v, const string_t&) override {
-    if (!known()) return true;
-    if (!std::isfinite(v)) return spoilt();
+    if (!known())
+      return true;
+    if (!std::isfinite(v))
+      return spoilt();
     if (field_ == reclaim) {
       report.reclaim_in_s = v;
       return true;
     }
     // A sender in a language without integers may write 4.0; 2^53 is where doubles stop being exact.
-    if (v < 0 || v > 9007199254740992.0 || std::floor(v) != v) return spoilt();
+    if (v < 0 || v > 9007199254740992.0 || std::floor(v) != v)
+      return spoilt();
     return number_unsigned(static_cast<number_unsigned_t>(v));
   }
   bool string(string_t& v) override {
-    if (!known()) return true;
+    if (!known())
+      return true;
     const auto name = [&](std::string& to) {
       to = std::move(v);
       return (!to.empty() && to.size() <= 200) || spoilt();
@@ -332,7 +378,8 @@
         return name(report.zone);
       case task_id: {
         auto parsed = parse_task(v);
-        if (!parsed) return spoilt();
+        if (!parsed)
+          return spoilt();
         task_.ref = std::move(parsed->ref);
         task_.index = parsed->index;
         return true;
@@ -348,10 +395,14 @@
         return spoilt();
     }
   }
-  bool binary(binary_t&) override { return spoilt(); }
+  bool binary(binary_t&) override {
+    return spoilt();
+  }
   bool start_object(std::size_t) override {
-    if (++depth_ > kMaxDepth) return spoilt();
-    if (depth_ == 1) return true;
+    if (++depth_ > kMaxDepth)
+      return spoilt();
+    if (depth_ == 1)
+      return true;
     if (depth_ == 3 && in_tasks_) {
       task_ = {};
       cause_ = Cause::error;
@@ -362,15 +413,18 @@
   }
   bool end_object() override {
     if (depth_ == 3 && in_tasks_) {
-      if ((seen_ & (1U << task_id)) == 0 || (seen_ & (1U << attempt)) == 0) return spoilt();
-      if (task_.phase == TaskPhase::exited) task_.cause = cause_;
+      if ((seen_ & (1U << task_id)) == 0 || (seen_ & (1U << attempt)) == 0)
+        return spoilt();
+      if (task_.phase == TaskPhase::exited)
+        task_.cause = cause_;
       report.tasks.push_back(std::move(task_));
     }
     --depth_;
     return true;
   }
   bool start_array(std::size_t) override {
-    if (++depth_ > kMaxDepth || depth_ == 1) return spoilt();
+    if (++depth_ > kMaxDepth || depth_ == 1)
+      return spoilt();
     if (depth_ == 2 && field_ == tasks) {
       in_tasks_ = true;
       return true;
@@ -378,17 +432,21 @@
     return !known() || spoilt();
   }
   bool end_array() override {
-    if (depth_-- == 2) in_tasks_ = false;
+    if (depth_-- == 2)
+      in_tasks_ = false;
     return true;
   }
   bool key(string_t& k) override {
     field_ = other;
     const bool of_task = depth_ == 3 && in_tasks_;
-    if (depth_ != 1 && !of_task) return true;
+    if (depth_ != 1 && !of_task)
+      return true;
     for (const auto& row : of_task ? std::span<const Row>(kTaskRows) : std::span<const Row>(kRows)) {
-      if (k != row.name) continue;
+      if (k != row.name)
+        continue;
       field_ = row.field;
-      if (seen_ & (1U << field_)) return spoilt();
+      if (seen_ & (1U << field_))
+        return spoilt();
       seen_ |= 1U << field_;
     }
     return true;
@@ -429,11 +487,13 @@
 
   // Whether the value at hand is of a field that is looked at.
   bool known() {
-    if (depth_ == 0 || (in_tasks_ && depth_ == 2)) return !spoilt();  // not a map, or a task that is none
+    if (depth_ == 0 || (in_tasks_ && depth_ == 2))
+      return !spoilt();  // not a map, or a task that is none
     return field_ != other && (depth_ == 1 || (in_tasks_ && depth_ == 3));
   }
   bool spoilt() {
-    if (problem.empty()) problem = "a field is malformed";
+    if (problem.empty())
+      problem = "a field is malformed";
     return false;
   }
 
@@ -454,7 +514,8 @@
   } catch (const std::exception& e) {
     return Result<Report>::fail(e.what());
   }
-  if (!reader.complete()) return Result<Report>::fail(reader.problem);
+  if (!reader.complete())
+    return Result<Report>::fail(reader.problem);
   return std::move(reader.report);
 }
 
@@ -466,17 +527,21 @@
   return {{"mandate", token}, {"tenure", session}, {"orders", orders_value(orders)}};
 }
 
-Value steward(const std::string& node) { return node.empty() ? Value::object() : Value{{"steward", node}}; }
+Value steward(const std::string& node) {
+  return node.empty() ? Value::object() : Value{{"steward", node}};
+}
 
 Result<std::vector<MachineType>> parse_catalog(const Value& v) {
   using R = Result<std::vector<MachineType>>;
   const Value* list = find(v, "flavours");
-  if (!list || !list->is_array() || list->empty()) return R::fail("flavours: expected a list");
+  if (!list || !list->is_array() || list->empty())
+    return R::fail("flavours: expected a list");
   std::vector<MachineType> out;
   for (const Value& f : *list) {
     MachineType t;
     auto name = text(f, "name");
-    if (!good_name(name)) return R::fail("flavours: a type without a name");
+    if (!good_name(name))
+      return R::fail("flavours: a type without a name");
     t.name = *name;
     t.cpus = amount(f, "cores").value_or(0);
     t.gpus = amount(f, "accelerators").value_or(0);
@@ -486,7 +551,8 @@
     t.price = amount(f, "rate").value_or(0);
     t.spot_price = amount(f, "marketPrice").value_or(t.price);
     t.boot_s = amount(f, "bootS").value_or(0);
-    if (t.cpus <= 0 || t.memory_gb <= 0) return R::fail("flavours: " + t.name + " has no cores or memory");
+    if (t.cpus <= 0 || t.memory_gb <= 0)
+      return R::fail("flavours: " + t.name + " has no cores or memory");
     if (const Value* zones = find(f, "halls"))
       t.zones = text_list(*zones).value_or(std::vector<std::string>{});
     out.push_back(std::move(t));
@@ -497,7 +563,8 @@
 Result<MachineList> parse_machine_list(const Value& v) {
   using R = Result<MachineList>;
   const Value* list = find(v, "hosts");
-  if (!list || !list->is_array()) return R::fail("hosts: expected a list");
+  if (!list || !list->is_array())
+    return R::fail("hosts: expected a list");
   MachineList out;
   out.more = flag(v, "more").value_or(false);
   for (const Value& h : *list) {
@@ -521,12 +588,15 @@
   return {{"hire", request}, {"flavour", type}, {"hall", zone}, {"standby", spot}, {"howMany", n}};
 }
 
-Value return_body(const std::vector<std::string>& hosts) { return {{"hosts", hosts}}; }
+Value return_body(const std::vector<std::string>& hosts) {
+  return {{"hosts", hosts}};
+}
 
 Result<std::vector<std::string>> parse_hired(const Value& v) {
   const Value* list = find(v, "hosts");
   auto hosts = list ? text_list(*list) : std::nullopt;
-  if (!hosts) return Result<std::vector<std::string>>::fail("hosts: expected a list of names");
+  if (!hosts)
+    return Result<std::vector<std::string>>::fail("hosts: expected a list of names");
   return std::move(*hosts);
 }
 
@@ -537,7 +607,8 @@
 
 Txn& Txn::put(const std::string& key, Value value, std::uint64_t lease) {
   Value op{{"put", key}, {"data", std::move(value)}};
-  if (lease) op["permit"] = lease;
+  if (lease)
+    op["permit"] = lease;
   body_["apply"].push_back(std::move(op));
   ++ops_;
   return *this;
@@ -549,19 +620,26 @@
   return *this;
 }
 
-std::optional<std::uint64_t> revision(const Value& v) { return count(v, "ledgerRev"); }
+std::optional<std::uint64_t> revision(const Value& v) {
+  return count(v, "ledgerRev");
+}
 std::vector<std::string> failed_keys(const Value& v) {
   const Value* list = find(v, "failed");
   auto keys = list ? text_list(*list) : std::nullopt;
   return keys.value_or(std::vector<std::string>{});
 }
-std::optional<std::uint64_t> lease_id(const Value& v) { return count(v, "permit"); }
-Value lease_body(int ttl_ms) { return {{"ttlMs", ttl_ms}}; }
+std::optional<std::uint64_t> lease_id(const Value& v) {
+  return count(v, "permit");
+}
+Value lease_body(int ttl_ms) {
+  return {{"ttlMs", ttl_ms}};
+}
 
 Result<Item> parse_item(const Value& v) {
   auto key = text(v, "path");
   auto version = count(v, "stamp");
-  if (!key || !version || !v.contains("data")) return Result<Item>::fail("malformed item");
+  if (!key || !version || !v.contains("data"))
+    return Result<Item>::fail("malformed item");
   return Item{*key, v["data"], *version};
 }
 
@@ -569,11 +647,13 @@
   using R = Result<Range>;
   const Value* items = find(v, "items");
   auto rev = revision(v);
-  if (!items || !items->is_array() || !rev) return R::fail("malformed range");
+  if (!items || !items->is_array() || !rev)
+    return R::fail("malformed range");
   Range out{{}, flag(v, "more").value_or(false), *rev};
   for (const Value& i : *items) {
     auto item = parse_item(i);
-    if (!item) return R::fail(item.error());
+    if (!item)
+      return R::fail(item.error());
     out.items.push_back(std::move(*item));
   }
   return out;
@@ -583,9 +663,11 @@
   using R = Result<Changes>;
   auto rev = revision(v);
   const Value* events = find(v, "events");
-  if (!rev || (events && !events->is_array())) return R::fail("malformed watch answer");
+  if (!rev || (events && !events->is_array()))
+    return R::fail("malformed watch answer");
   Changes out{*rev, {}};
-  if (!events) return out;
+  if (!events)
+    return out;
   for (const Value& e : *events) {
     auto put = text(e, "put"), erased = text(e, "delete");
     auto version = count(e, "stamp");
@@ -600,7 +682,9 @@
   return out;
 }
 
-std::string key_path(const std::string& key) { return "/kv/" + key; }
+std::string key_path(const std::string& key) {
+  return "/kv/" + key;
+}
 
 std::string range_path(const std::string& prefix, const std::string& after, int limit) {
   std::string path = "/kv?prefix=" + escape(prefix) + "&most=" + std::to_string(limit);
@@ -612,6 +696,8 @@
          "&holdMs=" + std::to_string(wait_ms);
 }
 
-std::string renew_path(std::uint64_t lease) { return "/leases/" + std::to_string(lease) + "/extend"; }
+std::string renew_path(std::uint64_t lease) {
+  return "/leases/" + std::to_string(lease) + "/extend";
+}
 
 }  // namespace wingtrail::wire
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -17,13 +17,27 @@
 class Result {
  public:
   Result(T value) : v_(std::in_place_index<0>, std::move(value)) {}
-  static Result fail(std::string why) { return Result(Failed{std::move(why)}); }
-  explicit operator bool() const { return v_.index() == 0; }
-  T& operator*() { return std::get<0>(v_); }
-  const T& operator*() const { return std::get<0>(v_); }
-  T* operator->() { return &std::get<0>(v_); }
-  const T* operator->() const { return &std::get<0>(v_); }
-  const std::string& error() const { return std::get<1>(v_).why; }
+  static Result fail(std::string why) {
+    return Result(Failed{std::move(why)});
+  }
+  explicit operator bool() const {
+    return v_.index() == 0;
+  }
+  T& operator*() {
+    return std::get<0>(v_);
+  }
+  const T& operator*() const {
+    return std::get<0>(v_);
+  }
+  T* operator->() {
+    return &std::get<0>(v_);
+  }
+  const T* operator->() const {
+    return &std::get<0>(v_);
+  }
+  const std::string& error() const {
+    return std::get<1>(v_).why;
+  }
 
  private:
   struct Failed {
@@ -190,9 +204,15 @@
   Txn& require(const std::string& key, std::uint64_t version);
   Txn& put(const std::string& key, Value value, std::uint64_t lease = 0);
   Txn& erase(const std::string& key);
-  int ops() const { return ops_; }
-  int conditions() const { return static_cast<int>(body_["if"].size()); }
-  Value take() { return std::move(body_); }
+  int ops() const {
+    return ops_;
+  }
+  int conditions() const {
+    return static_cast<int>(body_["if"].size());
+  }
+  Value take() {
+    return std::move(body_);
+  }
 
  private:
   Value body_ = Value{{"if", Value::array()}, {"apply", Value::array()}};
--- a/src/zones/zones.hpp
+++ b/src/zones/zones.hpp
@@ -44,20 +44,32 @@
   // So many more workers of the zone (fewer, if negative) should report from now on.
   void expected(std::size_t zone, int more);
   // So many more machines of the zone (fewer, if negative) are known and not gone.
-  void member(std::size_t zone, int more) { at(zone).members += more; }
+  void member(std::size_t zone, int more) {
+    at(zone).members += more;
+  }
   // The lease of a worker there is certainly over.
   void lease_over(std::size_t zone, Seconds now);
 
   Life life(std::size_t zone, Seconds now) const;
-  bool quiet(std::size_t zone, Seconds now) const { return lost(zone) || silent_for(zone, now, 0.3, 12); }
+  bool quiet(std::size_t zone, Seconds now) const {
+    return lost(zone) || silent_for(zone, now, 0.3, 12);
+  }
   // Out of reach, whether its leases are over or not.
-  bool cut(std::size_t zone, Seconds now) const { return lost(zone) || silent_for(zone, now, 2.0, 24); }
-  bool lost(std::size_t zone) const { return zone < zones_.size() && zones_[zone].lost_at >= 0; }
+  bool cut(std::size_t zone, Seconds now) const {
+    return lost(zone) || silent_for(zone, now, 2.0, 24);
+  }
+  bool lost(std::size_t zone) const {
+    return zone < zones_.size() && zones_[zone].lost_at >= 0;
+  }
   // Whether any zone is lost or on its way back: no time to put the fleet in order.
   bool restless(Seconds now) const;
   // Since when the zone has been within reach; a call that was sent before says nothing of its machine.
-  Seconds back_at(std::size_t zone) const { return zone < zones_.size() ? zones_[zone].back : began_; }
-  Seconds heard_at(std::size_t zone) const { return zone < zones_.size() ? zones_[zone].heard : began_; }
+  Seconds back_at(std::size_t zone) const {
+    return zone < zones_.size() ? zones_[zone].back : began_;
+  }
+  Seconds heard_at(std::size_t zone) const {
+    return zone < zones_.size() ? zones_[zone].heard : began_;
+  }
   // How long the zone has been in its state: lost since, or returning since.
   Seconds lost_for(std::size_t zone, Seconds now) const {
     return lost(zone) ? now - zones_[zone].lost_at : 0;
@@ -69,9 +81,15 @@
   }
   // A lost zone of which no machine is left: nothing there could say that it is back, so one machine at a
   // time may be rented to find out.
-  bool scout(std::size_t zone) const { return lost(zone) && zones_[zone].members <= 0; }
-  int flaps(std::size_t zone) const { return zone < zones_.size() ? zones_[zone].flaps : 0; }
-  std::size_t size() const { return zones_.size(); }
+  bool scout(std::size_t zone) const {
+    return lost(zone) && zones_[zone].members <= 0;
+  }
+  int flaps(std::size_t zone) const {
+    return zone < zones_.size() ? zones_[zone].flaps : 0;
+  }
+  std::size_t size() const {
+    return zones_.size();
+  }
 
  private:
   struct Zone {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -21,7 +21,9 @@
 
 using wire::Value;
 
-double unit(pcg32& rng) { return std::ldexp(static_cast<double>(rng()), -32); }
+double unit(pcg32& rng) {
+  return std::ldexp(static_cast<double>(rng()), -32);
+}
 
 // ---------------------------------------------------------------- turns
 
@@ -31,11 +33,14 @@
   std::vector<double> got(wants.size(), 0);
   for (int round = 0; round < 50; ++round) {
     double hungry = 0;
-    for (std::size_t i = 0; i < wants.size(); ++i) hungry += got[i] < wants[i] - 1e-9 ? weights[i] : 0;
-    if (hungry <= 0 || room < 1e-9) break;
+    for (std::size_t i = 0; i < wants.size(); ++i)
+      hungry += got[i] < wants[i] - 1e-9 ? weights[i] : 0;
+    if (hungry <= 0 || room < 1e-9)
+      break;
     double given = 0;
     for (std::size_t i = 0; i < wants.size(); ++i) {
-      if (got[i] >= wants[i] - 1e-9) continue;
+      if (got[i] >= wants[i] - 1e-9)
+        continue;
       const double more = std::min(wants[i] - got[i], room * weights[i] / hungry);
       got[i] += more;
       given += more;
@@ -50,8 +55,10 @@
     pcg32 rng(seed);
     const std::size_t teams = 2 + rng(4);
     std::vector<double> weights, rates;
-    for (std::size_t t = 0; t < teams; ++t) weights.push_back(1 + rng(8));
-    for (std::size_t t = 0; t < teams; ++t) rates.push_back(rng(3) == 0 ? 60 : 2 + rng(12));  // a second
+    for (std::size_t t = 0; t < teams; ++t)
+      weights.push_back(1 + rng(8));
+    for (std::size_t t = 0; t < teams; ++t)
+      rates.push_back(rng(3) == 0 ? 60 : 2 + rng(12));  // a second
     constexpr double kRoom = 40;
     Turns turns(weights);
     std::map<Turns::Id, std::size_t> of;
@@ -66,7 +73,8 @@
         }
       }
       for (int n = 0; n < kRoom; ++n) {
-        if (const auto id = turns.take()) served[of[*id]] += 1;
+        if (const auto id = turns.take())
+          served[of[*id]] += 1;
       }
     }
     const auto share = fair(weights, rates, kRoom);
@@ -77,20 +85,23 @@
 
 TEST(Turns, AFloodLengthensItsOwnLineOnly) {
   Turns turns({1, 1});
-  for (Turns::Id id = 1; id <= 1000; ++id) turns.add(0, 0, id, 1);
+  for (Turns::Id id = 1; id <= 1000; ++id)
+    turns.add(0, 0, id, 1);
   EXPECT_NEAR(turns.ahead(0, 0, 2), 1000, 1);
   EXPECT_LE(turns.ahead(0, 1, 2), 1) << "another class of the team";
   EXPECT_LE(turns.ahead(1, 0, 2), 1) << "another team";
   turns.add(0, 1, 2001, 2);
   turns.add(1, 0, 2002, 2);
   std::set<Turns::Id> first;
-  for (int n = 0; n < 4; ++n) first.insert(*turns.take());
+  for (int n = 0; n < 4; ++n)
+    first.insert(*turns.take());
   EXPECT_TRUE(first.contains(2001) && first.contains(2002));
 }
 
 TEST(Turns, TheOldestTryComesFirstInItsClass) {
   Turns turns({1});
-  for (Turns::Id id = 1; id <= 3; ++id) turns.add(0, 0, id, 10 + static_cast<double>(id));
+  for (Turns::Id id = 1; id <= 3; ++id)
+    turns.add(0, 0, id, 10 + static_cast<double>(id));
   const auto id = turns.take();
   EXPECT_EQ(id, 1U);
   turns.add(0, 0, *id, 11);  // nothing became of its turn
@@ -107,11 +118,15 @@
 TEST(Turns, APauseSavesNothingUp) {
   Turns turns({1, 1});
   Turns::Id id = 0;
-  for (int n = 0; n < 500; ++n) turns.add(0, 0, ++id, 0);
-  for (int n = 0; n < 400; ++n) turns.take();
-  for (int n = 0; n < 100; ++n) turns.add(1, 0, 10'000 + n, 1);
+  for (int n = 0; n < 500; ++n)
+    turns.add(0, 0, ++id, 0);
+  for (int n = 0; n < 400; ++n)
+    turns.take();
+  for (int n = 0; n < 100; ++n)
+    turns.add(1, 0, 10'000 + n, 1);
   int late = 0;
-  for (int n = 0; n < 100; ++n) late += *turns.take() >= 10'000;
+  for (int n = 0; n < 100; ++n)
+    late += *turns.take() >= 10'000;
   EXPECT_NEAR(late, 50, 2) << "who comes late shares from now on, and makes up for nothing";
 }
 
@@ -134,11 +149,13 @@
       first.try_emplace(ref, t);
       node.put_off(ref, std::min(t, known.value_or(t)), t);
     }
-    if (std::fmod(t + 1e-9, 1.0) > 0.05) continue;
+    if (std::fmod(t + 1e-9, 1.0) > 0.05)
+      continue;
     for (std::size_t a = 0; a < 5; ++a) {
       const std::string told = nodes[a].tell(t);
       for (std::size_t b = 0; b < 5; ++b) {
-        if (a != b) nodes[b].heard(told, t);
+        if (a != b)
+          nodes[b].heard(told, t);
       }
     }
   }
@@ -146,7 +163,8 @@
 
 TEST(Tries, AreForgottenAndBounded) {
   Tries tries;
-  for (int n = 0; n < 50'000; ++n) tries.put_off("req-" + std::to_string(n), n * 0.001, n * 0.001);
+  for (int n = 0; n < 50'000; ++n)
+    tries.put_off("req-" + std::to_string(n), n * 0.001, n * 0.001);
   EXPECT_LE(tries.size(), 20'000U);
   EXPECT_LE(tries.tell(50).size(), 12'000U);
   tries.put_off("req-x", 500, 500);
@@ -171,11 +189,16 @@
     bool leads = false;
     double until = -1;  // of its authority, on its own clock
   };
-  double clock(const Node& n) const { return n.offset + t * n.rate; }
-  bool entitled(const Node& n) const { return n.leads && clock(n) < n.until; }
+  double clock(const Node& n) const {
+    return n.offset + t * n.rate;
+  }
+  bool entitled(const Node& n) const {
+    return n.leads && clock(n) < n.until;
+  }
   double in_use() const {
     double sum = 0;
-    for (const Node& n : nodes) sum += n.shares.mine(clock(n), entitled(n));
+    for (const Node& n : nodes)
+      sum += n.shares.mine(clock(n), entitled(n));
     return sum;
   }
   pcg32 rng;
@@ -199,7 +222,8 @@
       }
       if (w.t >= lease_until) {  // vacant: somebody is elected, and counts its authority from before
         holder = w.rng(static_cast<std::uint32_t>(count));
-        for (auto& n : w.nodes) n.leads = &n == &w.nodes[holder] || (n.leads && w.entitled(n));
+        for (auto& n : w.nodes)
+          n.leads = &n == &w.nodes[holder] || (n.leads && w.entitled(n));
         auto& n = w.nodes[holder];
         n.until = w.clock(n) + kLease * 0.999 - 0.05;
         n.shares.lead(w.clock(n));
@@ -212,20 +236,25 @@
         n.until = w.clock(n) + kLease * 0.999 - 0.05;
         lease_until = w.t + kLease;
       }
-      if (troubled && unit(w.rng) < 0.002) lease_until = w.t + kLease;  // the last renewal before its end
+      if (troubled && unit(w.rng) < 0.002)
+        lease_until = w.t + kLease;  // the last renewal before its end
       if (troubled && std::fmod(w.t, 20) < 0.05)
         holder = holder + 0, lease_until = std::min(lease_until, w.t + 3);
       for (std::size_t i = 0; i < count; ++i) {
-        if (unit(w.rng) > 0.05) continue;  // a greeting a second, to all
+        if (unit(w.rng) > 0.05)
+          continue;  // a greeting a second, to all
         const double asked = w.clock(w.nodes[i]), wants = unit(w.rng) < 0.5 ? unit(w.rng) : 0;
         const double there = troubled ? unit(w.rng) * 0.5 : 0.001,
                      back = troubled ? unit(w.rng) * 2.5 : 0.001;
-        if (troubled && unit(w.rng) < 0.2) continue;
+        if (troubled && unit(w.rng) < 0.2)
+          continue;
         for (std::size_t l = 0; l < count; ++l) {
-          if (l == i) continue;
+          if (l == i)
+            continue;
           events.emplace(w.t + there, [&, i, l, asked, wants, back] {
             auto& leader = w.nodes[l];
-            if (!w.entitled(leader)) return;
+            if (!w.entitled(leader))
+              return;
             const double lent = leader.shares.lend(i < l ? i : i - 1, wants, w.clock(leader));
             for (int copies = 0; copies < 2; ++copies)
               events.emplace(w.t + back * (1 + copies),
@@ -234,7 +263,8 @@
         }
       }
       most = std::max(most, w.in_use());
-      if (w.t > 160) quiet_use = std::max(quiet_use, w.in_use());
+      if (w.t > 160)
+        quiet_use = std::max(quiet_use, w.in_use());
     }
     EXPECT_LE(most, 1 + 1e-9) << "seed " << seed;
     EXPECT_GT(quiet_use, 0.95) << "seed " << seed;
@@ -271,7 +301,8 @@
 
 Value records(const std::vector<std::string>& refs) {
   Value out = Value::array();
-  for (const auto& r : refs) out.push_back({{"ref", r}});
+  for (const auto& r : refs)
+    out.push_back({{"ref", r}});
   return out;
 }
 
@@ -294,14 +325,16 @@
           const jobs::Ix ix = rng(300);
           refs.push_back("req-" + std::to_string(ix));
           there[key].insert(refs.back());
-          if (over.contains(ix)) continue;
+          if (over.contains(ix))
+            continue;
           open[key].insert(ix);
           sheets.hold(key, ix);
         }
         index.sheet(key, records(refs));
         index.sheet(key, records(refs));  // told twice
         sheets.read(key);
-        if (open[key].empty()) empty.insert(key), open.erase(key);
+        if (open[key].empty())
+          empty.insert(key), open.erase(key);
       } else {
         const jobs::Ix ix = rng(300);
         over.insert(ix);
@@ -320,7 +353,8 @@
         EXPECT_EQ(empty.erase(key), 1U) << key;
         const auto gone = there.extract(key);
         index.gone(key, now);
-        for (const auto& ref : gone.mapped()) EXPECT_TRUE(index.lately(ref));
+        for (const auto& ref : gone.mapped())
+          EXPECT_TRUE(index.lately(ref));
       }
       EXPECT_TRUE(empty.empty());
       index.reached(static_cast<std::uint64_t>(n), now);
@@ -373,8 +407,12 @@
   explicit Desk(double write_rps = 35) : settings(with(write_rps)) {
     spdlog::set_level(spdlog::level::off);
     store.shared([this] { return store::Client::Parts{share, share, fixed}; });
-    intake.sheets_allowed = [this] { return together; };
-    intake.fixed_parts = [this] { return fixed; };
+    intake.sheets_allowed = [this] {
+      return together;
+    };
+    intake.fixed_parts = [this] {
+      return fixed;
+    };
   }
   void offer(int n, const std::string& team = "red", const std::string& job_class = "web") {
     wire::JobSpec s;
@@ -387,7 +425,8 @@
   }
   std::vector<ports::Call> calls() {
     std::vector<ports::Call> list;
-    for (auto& a : out.drain()) list.push_back(std::move(std::get<ports::Call>(a)));
+    for (auto& a : out.drain())
+      list.push_back(std::move(std::get<ports::Call>(a)));
     return list;
   }
   void reply(const ports::Call& call, int status, Value body = Value::object()) {
@@ -416,7 +455,8 @@
 
 TEST(Intake, OneAloneHasAKeyOfItsOwnAndWhatComesMeanwhileGoesTogether) {
   Desk d;
-  for (int n = 0; n < 10; ++n) d.offer(n);
+  for (int n = 0; n < 10; ++n)
+    d.offer(n);
   auto first = d.calls();
   ASSERT_EQ(first.size(), 1U);
   EXPECT_EQ(first[0].body["apply"][0]["put"], "j/req-0");
@@ -430,12 +470,14 @@
   EXPECT_EQ(second[0].body["apply"].size(), 1U) << "one change";
   EXPECT_EQ(second[0].body["if"].size(), 19U) << "neither live nor over, each; and the sheet is new";
   d.reply(second[0], 200, {{"ledgerRev", 6}});
-  for (int n = 1; n < 10; ++n) EXPECT_EQ(d.told[n][0].sheet, second[0].body["apply"][0]["put"]);
+  for (int n = 1; n < 10; ++n)
+    EXPECT_EQ(d.told[n][0].sheet, second[0].body["apply"][0]["put"]);
 }
 
 TEST(Intake, KeepsToTheLimitsOfATransaction) {
   Desk d;
-  for (int n = 0; n < 25; ++n) d.offer(n);
+  for (int n = 0; n < 25; ++n)
+    d.offer(n);
   d.reply(d.calls()[0], 200, {{"ledgerRev", 1}});
   const auto next = d.calls();
   ASSERT_EQ(next.size(), 1U);
@@ -446,7 +488,8 @@
 
 TEST(Intake, NobodyWaitsForOneThatIsThereAlready) {
   Desk d;
-  for (int n = 0; n < 6; ++n) d.offer(n);
+  for (int n = 0; n < 6; ++n)
+    d.offer(n);
   d.reply(d.calls()[0], 200, {{"ledgerRev", 1}});
   auto sheet = d.calls();
   d.reply(sheet[0], 409, {{"failed", {"f/req-2", "j/req-4"}}, {"ledgerRev", 9}});
@@ -457,12 +500,14 @@
   EXPECT_EQ(Desk::jobs_in(again[0]), 3U);
   EXPECT_NE(again[0].body["apply"][0]["put"], sheet[0].body["apply"][0]["put"]) << "names are not used again";
   d.reply(again[0], 200, {{"ledgerRev", 10}});
-  for (const int n : {1, 3, 5}) EXPECT_EQ(d.told[n][0].outcome, Intake::Outcome::created);
+  for (const int n : {1, 3, 5})
+    EXPECT_EQ(d.told[n][0].outcome, Intake::Outcome::created);
 }
 
 TEST(Intake, ARetryJoinsTheTryThatIsUnderWay) {
   Desk d;
-  for (int n = 0; n < 4; ++n) d.offer(n);
+  for (int n = 0; n < 4; ++n)
+    d.offer(n);
   d.offer(3);
   d.offer(0);
   auto calls = d.calls();
@@ -477,7 +522,8 @@
 TEST(Intake, OneNodeThatDoesNotKnowSheetsMeansAKeyEach) {
   Desk d;
   d.together = false;
-  for (int n = 0; n < 5; ++n) d.offer(n);
+  for (int n = 0; n < 5; ++n)
+    d.offer(n);
   for (int n = 0; n < 5; ++n) {
     auto calls = d.calls();
     ASSERT_EQ(calls.size(), 1U);
@@ -492,18 +538,22 @@
   d.fixed = true;
   d.together = false;
   d.share = 0.25;
-  for (int n = 0; n < 25; ++n) d.offer(n);
+  for (int n = 0; n < 25; ++n)
+    d.offer(n);
   const auto calls = d.calls();
   EXPECT_GT(calls.size(), 20U) << "at once, overdrawn for a while";
-  for (const auto& c : calls) d.reply(c, 200, {{"ledgerRev", 1}});
+  for (const auto& c : calls)
+    d.reply(c, 200, {{"ledgerRev", 1}});
   std::size_t told = 0;
-  for (const auto& [n, results] : d.told) told += results.size();
+  for (const auto& [n, results] : d.told)
+    told += results.size();
   EXPECT_EQ(told, 25U);
 }
 
 TEST(Intake, ASheetCalledMalformedIsMadeSmaller) {
   Desk d;
-  for (int n = 0; n < 9; ++n) d.offer(n);
+  for (int n = 0; n < 9; ++n)
+    d.offer(n);
   d.reply(d.calls()[0], 200, {{"ledgerRev", 1}});
   d.reply(d.calls()[0], 400);
   const auto next = d.calls();
@@ -514,11 +564,13 @@
 
 TEST(Intake, AnAnswerThatIsMissingIsToldAsSuch) {
   Desk d;
-  for (int n = 0; n < 4; ++n) d.offer(n);
+  for (int n = 0; n < 4; ++n)
+    d.offer(n);
   d.reply(d.calls()[0], 503);
   EXPECT_EQ(d.told[0][0].outcome, Intake::Outcome::unserved);
   d.reply(d.calls()[0], 0);
-  for (int n = 1; n < 4; ++n) EXPECT_EQ(d.told[n][0].outcome, Intake::Outcome::unserved);
+  for (int n = 1; n < 4; ++n)
+    EXPECT_EQ(d.told[n][0].outcome, Intake::Outcome::unserved);
 }
 
 // A flood of one class at forty times what the budget lets through: the others go at once, what cannot go
@@ -543,7 +595,8 @@
         came[1'000'000 + ++calm] = t;
         d.offer(1'000'000 + calm, "red", "calm");
       }
-      for (auto& c : d.calls()) open.emplace_back(t + 0.01, std::move(c));
+      for (auto& c : d.calls())
+        open.emplace_back(t + 0.01, std::move(c));
       while (!open.empty() && open.front().first <= t) {
         d.reply(open.front().second, 200, {{"ledgerRev", 1}});
         open.erase(open.begin());
@@ -551,8 +604,10 @@
       for (auto& [job, results] : d.told) {
         for (const auto& r : results) {
           longest = std::max(longest, t - came[job]);
-          if (job > 1'000'000) calm_created += r.outcome == Intake::Outcome::created;
-          if (job <= 1'000'000 && r.outcome == Intake::Outcome::later) ++flood_put_off, turns += r.turn_s;
+          if (job > 1'000'000)
+            calm_created += r.outcome == Intake::Outcome::created;
+          if (job <= 1'000'000 && r.outcome == Intake::Outcome::later)
+            ++flood_put_off, turns += r.turn_s;
         }
       }
       d.told.clear();
@@ -570,7 +625,8 @@
   int sent = 0;
   for (double t = 0; t < 30; t += 0.01) {
     d.wait(0.01);
-    for (int k = 0; k < 3; ++k) d.offer(static_cast<int>(t * 1000) + k);
+    for (int k = 0; k < 3; ++k)
+      d.offer(static_cast<int>(t * 1000) + k);
     for (const auto& c : d.calls()) {
       ++sent;
       d.reply(c, 200, {{"ledgerRev", 1}});
@@ -602,7 +658,8 @@
     for (auto actions = node.drain(); !actions.empty(); actions = node.drain()) {
       for (auto& a : actions) {
         const auto* call = std::get_if<ports::Call>(&a);
-        if (!call || call->target == ports::Target::cloud) continue;
+        if (!call || call->target == ports::Target::cloud)
+          continue;
         ports::Reply r;
         if (call->target == ports::Target::state) {
           r.status = 503;
@@ -622,14 +679,16 @@
     }
   };
   std::uint64_t abort_call = 0;
-  for (int n = 0; n < 30; ++n, now += 0.1) node.tick(now), turn();
+  for (int n = 0; n < 30; ++n, now += 0.1)
+    node.tick(now), turn();
   node.request(now, {1, "POST", "/api/jobs/req-000001/abort", ""});
   for (auto& a : node.drain()) {
     if (const auto* call = std::get_if<ports::Call>(&a); call && call->target == ports::Target::peer)
       abort_call = call->id;
   }
   ASSERT_NE(abort_call, 0U);
-  for (int n = 0; n < 30; ++n, now += 0.1) node.tick(now), turn();
+  for (int n = 0; n < 30; ++n, now += 0.1)
+    node.tick(now), turn();
   node.reply(now, abort_call, {});
   turn();
   node.request(now, {2, "GET", "/api/jobs/req-000002", ""});
--- a/tests/agents_test.cpp
+++ b/tests/agents_test.cpp
@@ -1,10 +1,11 @@
-// What the leader believes of workers' reports after a take-over: which machine a task is on, whether it may be
-// anywhere else, and whether it is done. The test plays the workers.
+// What the leader believes of workers' reports after a take-over: which machine a task is on, whether it may
+// be anywhere else, and whether it is done. The test plays the workers.
+#include "agents/agents.hpp"
+
 #include <gtest/gtest.h>
 
 #include <map>
 
-#include "agents/agents.hpp"
 #include "gates/gate.hpp"
 
 namespace wingtrail::agents {
@@ -24,13 +25,19 @@
                 {[] { return kToken; }, [] { return ports::kNever; }, [] {}, "lead"}),
         agents_(out_, settings_, registry_, ledger_,
                 {[] { return kToken; }, [] { return ports::kNever; }, [](Seconds own) { return own; },
-                 [] { return true; }},
+                 [] {
+                   return true;
+                 }},
                 {[](Machine&) {}, [](Machine&) {}, [](Machine&) {},
-                 [this](Machine&, const Slot& slot) { exits_.push_back(slot.cause); }, [] {}}) {
+                 [this](Machine&, const Slot& slot) { exits_.push_back(slot.cause); },
+                 [] {
+                 }}) {
     ledger_.set_events({[](jobs::Job&) {},
                         [this](const std::vector<jobs::Ledger::Ended>& ended) { agents_.forget(ended); },
                         [this](Ix ix) { agents_.enlisted(ix); },
-                        [this](Ix ix) { return agents_.record(ix); }});
+                        [this](Ix ix) {
+                          return agents_.record(ix);
+                        }});
     ledger_.begin();
     agents_.begin();
     agents_.set_catalog({wire::MachineType{"small", 8, 0, 32, 50, 1.0, 0.6, 0.2, 8, settings_.zones}});
@@ -113,7 +120,8 @@
 
   const Slot* slot_on(const Machine& m, std::uint64_t attempt) {
     for (const Slot& s : m.slots) {
-      if (s.attempt == attempt) return &s;
+      if (s.attempt == attempt)
+        return &s;
     }
     return nullptr;
   }
@@ -133,8 +141,8 @@
   std::vector<wire::Cause> exits_;
 };
 
-// The task was moved from m to n under an earlier leader. An old report of m comes first and gets the place; n's
-// true one can't. When m says that it has nothing, the task is still on n, whatever n was told meanwhile.
+// The task was moved from m to n under an earlier leader. An old report of m comes first and gets the place;
+// n's true one can't. When m says that it has nothing, the task is still on n, whatever n was told meanwhile.
 TEST_F(AgentsTest, ATaskWhosePlaceAnOldReportTookIsStillWhereItRuns) {
   Machine& m = inherited("m");
   Machine& n = inherited("n");
@@ -309,7 +317,8 @@
   jobs::Job& job = earlier_job("req-1");
   new_report("m", 9, {{"req-1", kOldAttempt}}, 3);
   ASSERT_EQ(job.placed, 1U);
-  for (int i = 0; i < 60; ++i) pass(0.5);  // silent for longer than its lease
+  for (int i = 0; i < 60; ++i)
+    pass(0.5);  // silent for longer than its lease
   ASSERT_FALSE(m.reporting);
   ASSERT_EQ(job.placed, 0U);
   const Seconds lease = m.lease_until;
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -75,8 +75,12 @@
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
 
-  std::uint16_t port() const { return port_; }
-  bool alive() const { return waitpid(pid_, nullptr, WNOHANG) == 0; }
+  std::uint16_t port() const {
+    return port_;
+  }
+  bool alive() const {
+    return waitpid(pid_, nullptr, WNOHANG) == 0;
+  }
   int descriptors() const {
     int n = 0;
     for (const auto& e : std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd"))
@@ -87,7 +91,8 @@
   double status(const std::string& key) const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(in, line);) {
-      if (line.starts_with(key + ":")) return std::stod(line.substr(key.size() + 1));
+      if (line.starts_with(key + ":"))
+        return std::stod(line.substr(key.size() + 1));
     }
     return -1;
   }
@@ -114,13 +119,17 @@
 void hear(std::vector<Caller>& callers, int wait_ms) {
   std::vector<pollfd> polls;
   polls.reserve(callers.size());
-  for (const Caller& c : callers) polls.push_back({c.answered_s < 0 ? c.fd : -1, POLLIN, 0});
-  if (poll(polls.data(), polls.size(), wait_ms) <= 0) return;
+  for (const Caller& c : callers)
+    polls.push_back({c.answered_s < 0 ? c.fd : -1, POLLIN, 0});
+  if (poll(polls.data(), polls.size(), wait_ms) <= 0)
+    return;
   for (std::size_t i = 0; i < callers.size(); ++i) {
-    if ((polls[i].revents & (POLLIN | POLLHUP | POLLERR)) == 0) continue;
+    if ((polls[i].revents & (POLLIN | POLLHUP | POLLERR)) == 0)
+      continue;
     char buffer[4096];
     const ssize_t n = recv(callers[i].fd, buffer, sizeof buffer, MSG_DONTWAIT);
-    if (n > 0) callers[i].got.assign(buffer, static_cast<std::size_t>(n));
+    if (n > 0)
+      callers[i].got.assign(buffer, static_cast<std::size_t>(n));
     callers[i].answered_s = std::chrono::duration<double>(Clock::now() - callers[i].sent).count();
   }
 }
@@ -135,15 +144,18 @@
     Caller& c = callers[i];
     c.fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     EXPECT_GE(c.fd, 0);
-    if (connect(c.fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS) continue;
+    if (connect(c.fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0 && errno != EINPROGRESS)
+      continue;
     pollfd p{c.fd, POLLOUT, 0};
     c.sent = Clock::now();
     if (poll(&p, 1, 3000) == 1 && (p.revents & POLLOUT) != 0)
       (void)!send(c.fd, requests[i].data(), requests[i].size(), MSG_NOSIGNAL);
-    if (i % 100 == 99) hear(callers, 0);
+    if (i % 100 == 99)
+      hear(callers, 0);
   }
   const auto end = Clock::now() + std::chrono::duration<double>(until_s);
-  while (Clock::now() < end) hear(callers, 50);
+  while (Clock::now() < end)
+    hear(callers, 50);
   return callers;
 }
 
@@ -191,7 +203,8 @@
   // Everybody hears at once: an answer, or that there is no room here, which sends them to another node.
   int answered = 0, refused = 0, later = 0;
   for (const Caller& c : callers) {
-    if (c.answered_s < 0) continue;
+    if (c.answered_s < 0)
+      continue;
     ++(c.got.starts_with("HTTP/1.1 ") ? answered : refused);
     later += c.got.find("Retry-After") != std::string::npos;
     EXPECT_LT(c.answered_s, 3.0);
@@ -200,7 +213,8 @@
   EXPECT_GT(answered, kSockets / 2);
   EXPECT_GT(later, 0) << "what cannot be served now says when to come back";
 
-  for (const Caller& c : callers) close(c.fd);
+  for (const Caller& c : callers)
+    close(c.fd);
   for (int i = 0; i < 100 && program.descriptors() > quiet + 8; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   EXPECT_LE(program.descriptors(), quiet + 8) << "what is over is given back";
--- a/tests/cells_lab.cpp
+++ b/tests/cells_lab.cpp
@@ -20,11 +20,15 @@
   double factor = 5;  // of the surge in the first
   std::uint64_t seed = 1;
 
-  double cores() const { return machines * 12.0; }  // half have 16 and half have 8
+  double cores() const {
+    return machines * 12.0;
+  }  // half have 16 and half have 8
   // Arrays like those of the fleet sites: some dozens of tasks of 2 cores and 25 s.
   static constexpr std::uint32_t kTasks = 60;
   static constexpr double kRun = 25, kInTime = 70, kFrom = 60, kTo = 120, kEnd = 240;
-  double usual() const { return 0.5 * cores() / (kTasks * 2 * kRun); }  // arrays a second: half of the cell
+  double usual() const {
+    return 0.5 * cores() / (kTasks * 2 * kRun);
+  }  // arrays a second: half of the cell
 
   Plan plan(double times) const {
     Plan p;
@@ -59,9 +63,11 @@
     std::cout << std::setw(6) << t;
     for (std::size_t c = 0; c < all.size(); ++c) {
       const auto s = all[c].leader_stats();
-      if (!s) continue;
+      if (!s)
+        continue;
       double held = 0, waiting = 0;
-      for (const auto& l : s->loads) held += l.held, waiting += l.waiting;
+      for (const auto& l : s->loads)
+        held += l.held, waiting += l.waiting;
       std::cout << " | " << held << " cores in use, " << waiting << " wait, " << all[c].held_at_home()
                 << " jobs not begun";
       for (const auto& n : s->cells)
@@ -86,18 +92,23 @@
       for (std::size_t c = 0; c < all.size(); ++c) {
         const bool surges = c == 0 && t >= kFrom && t < kTo;
         const double per_s = usual() * (surges ? with + factor - 1 : c == 0 ? with : 1);
-        for (due[c] += 0.1 * per_s; due[c] >= 1; --due[c]) all[c].user(job(c, ++n), kRun);
+        for (due[c] += 0.1 * per_s; due[c] >= 1; --due[c])
+          all[c].user(job(c, ++n), kRun);
       }
-      if (away_at >= 0 && t >= away_at && t < away_at + 0.05 + 0.1 / 2) all.down(1, 60);
+      if (away_at >= 0 && t >= away_at && t < away_at + 0.05 + 0.1 / 2)
+        all.down(1, 60);
       all.step(t + 0.1);
-      if (trace && std::fmod(t + 1e-6, 5) < 0.05) trace_line(all, t);
+      if (trace && std::fmod(t + 1e-6, 5) < 0.05)
+        trace_line(all, t);
     }
     Result r;
     for (double t = kEnd + 60; t < 2000; t += 60) {
       all.step(t);
       r.undone = 0;
-      for (std::size_t c = 0; c < all.size(); ++c) r.undone += all[c].undone();
-      if (r.undone == 0) break;
+      for (std::size_t c = 0; c < all.size(); ++c)
+        r.undone += all[c].undone();
+      if (r.undone == 0)
+        break;
     }
     r.first = all[0].over_within("batch", kInTime, kFrom, kTo + 20);
     r.others = 1;
@@ -108,7 +119,8 @@
       r.writes = std::max(r.writes, all[c].verdict().most_writes);
     }
     r.broken = all.broken().size();
-    for (const auto& b : all.broken()) std::cout << b << "\n";
+    for (const auto& b : all.broken())
+      std::cout << b << "\n";
     return r;
   }
   // Seconds until a drained cell has handed on `jobs` that wait.
@@ -120,14 +132,16 @@
       wire::JobSpec s = job(0, n);
       s.tasks = 20;
       all[0].user(s, 120);
-      if (n % 20 == 0) all.step(20 + n / 20 * 0.5);
+      if (n % 20 == 0)
+        all.step(20 + n / 20 * 0.5);
     }
     all.step(60);
     const std::size_t waiting = all[0].jobs_waiting();
     for (std::size_t i = 0; i < all[0].nodes(); ++i)
       all[0].restart_with([](settings::Settings& s) { s.cells.drain = true; }, i);
     double t = 60;
-    while (t < 600 && all[0].held_at_home() > 0) all.step(t += 1);
+    while (t < 600 && all[0].held_at_home() > 0)
+      all.step(t += 1);
     std::cout << "drained: " << waiting << " jobs waited; all of them were handed on or had begun after "
               << t - 60 << " s; " << all.broken().size() << " rules broken\n";
     return t - 60;
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -31,18 +31,22 @@
     const auto say = [&asked](Word w) {
       return peer::JobWord{asked.ref, static_cast<std::uint8_t>(w), {}, 0, 0};
     };
-    if (job.state == State::done) return say(Word::done);
-    if (job.state == State::withdrawn) return say(Word::withdrawn);
+    if (job.state == State::done)
+      return say(Word::done);
+    if (job.state == State::withdrawn)
+      return say(Word::withdrawn);
     const bool live = job.state == State::live;
     switch (asked.said()) {
       case Word::offer:
-        if (!live && !takes) return say(Word::refused);
+        if (!live && !takes)
+          return say(Word::refused);
         job.state = State::live;
         return say(Word::held);
       case Word::state:
         return say(live ? Word::held : Word::unknown);
       case Word::recall:
-        if (live && job.begun) return say(Word::held);
+        if (live && job.begun)
+          return say(Word::held);
         [[fallthrough]];
       case Word::cancel:
         job.state = State::withdrawn;
@@ -59,33 +63,44 @@
  public:
   explicit Home(std::uint64_t seed) : rng_(seed), stays_(names(), kPage) {}
 
-  static std::vector<std::string> names() { return {"south", "west"}; }
+  static std::vector<std::string> names() {
+    return {"south", "west"};
+  }
   static constexpr std::size_t kPage = 200;  // some ten names
 
   void play() {
-    for (int n = 0; n < 40; ++n) jobs_["req-" + std::to_string(n)];
+    for (int n = 0; n < 40; ++n)
+      jobs_["req-" + std::to_string(n)];
     for (int step = 0; step < 4000; ++step) {
       now_ += 0.1;
       troubled_ = step < 2500;
       const std::uint32_t what = rng_(16);
-      if (troubled_ && what == 0) leave();
-      if (troubled_ && what == 1) recall();
-      if (troubled_ && what == 2 && rng_(12) == 0) end_leader();
-      if (troubled_ && what == 3) there_[rng_(2)].takes ^= true;
+      if (troubled_ && what == 0)
+        leave();
+      if (troubled_ && what == 1)
+        recall();
+      if (troubled_ && what == 2 && rng_(12) == 0)
+        end_leader();
+      if (troubled_ && what == 3)
+        there_[rng_(2)].takes ^= true;
       // A page that was written late, after it had gone, is found by the next leader, who asks about its
       // jobs.
-      if (step == 3000) end_leader();
+      if (step == 3000)
+        end_leader();
       write();
       if (step == 2999) {
-        for (int n = 0; n < 50; ++n) write();
+        for (int n = 0; n < 50; ++n)
+          write();
         EXPECT_TRUE(stays_.to_look_at().empty() && stays_.next_write(1).empty())
             << "a page that cannot be written";
       }
-      for (std::size_t c = 0; c < 2; ++c) ask(c);
+      for (std::size_t c = 0; c < 2; ++c)
+        ask(c);
       run_elsewhere();
       late();
       check();
-      if (testing::Test::HasFailure()) return;
+      if (testing::Test::HasFailure())
+        return;
     }
     for (const auto& [ref, job] : jobs_) {
       if (job.cancelled && !job.over) {
@@ -104,13 +119,16 @@
     std::vector<Stays::Page> pages;
     int leader = 0;
   };
-  bool odds(int of) { return troubled_ && rng_(static_cast<std::uint32_t>(of)) == 0; }
+  bool odds(int of) {
+    return troubled_ && rng_(static_cast<std::uint32_t>(of)) == 0;
+  }
 
   void leave() {
     auto it =
         std::next(jobs_.begin(), static_cast<std::ptrdiff_t>(rng_(static_cast<std::uint32_t>(jobs_.size()))));
     // What runs at home is not handed on; here nothing ever does for long.
-    if (it->second.over || it->second.cancelled || stays_.find(it->first)) return;
+    if (it->second.over || it->second.cancelled || stays_.find(it->first))
+      return;
     stays_.leave(it->first, rng_(2));
     ++handed_on;
   }
@@ -118,7 +136,8 @@
     auto it =
         std::next(jobs_.begin(), static_cast<std::ptrdiff_t>(rng_(static_cast<std::uint32_t>(jobs_.size()))));
     const bool cancel = rng_(4) == 0;
-    if (!stays_.find(it->first)) return;
+    if (!stays_.find(it->first))
+      return;
     it->second.cancelled |= cancel;
     stays_.recall(it->first, cancel, now_);
   }
@@ -126,18 +145,24 @@
     ++leaders;
     ++leader_;
     stays_.clear();
-    const auto live = [this](const std::string& ref) { return !jobs_[ref].over; };
-    for (const auto& [key, page] : store_) EXPECT_TRUE(stays_.load(key, page.second, page.first, live, now_));
+    const auto live = [this](const std::string& ref) {
+      return !jobs_[ref].over;
+    };
+    for (const auto& [key, page] : store_)
+      EXPECT_TRUE(stays_.load(key, page.second, page.first, live, now_));
     for (const auto& [ref, job] : jobs_) {
-      if (job.cancelled) stays_.recall(ref, true, now_);
+      if (job.cancelled)
+        stays_.recall(ref, true, now_);
     }
   }
   // Compares and applies, as the state service does.
   bool apply(const Stored& txn) {
-    if (txn.leader != leader_) return false;
+    if (txn.leader != leader_)
+      return false;
     for (const auto& p : txn.pages) {
       const auto it = store_.find(p.key);
-      if ((it == store_.end() ? 0 : it->second.first) != p.version) return false;
+      if ((it == store_.end() ? 0 : it->second.first) != p.version)
+        return false;
     }
     ++revision_;
     for (const auto& p : txn.pages) {
@@ -149,19 +174,25 @@
     return true;
   }
   void write() {
-    if (odds(3)) return;
+    if (odds(3))
+      return;
     for (const std::string& key : stays_.to_look_at())
       stays_.looked(key, store_.contains(key) ? store_[key].first : 0);
     Stored txn{stays_.next_write(1 + rng_(3)), leader_};
-    if (txn.pages.empty()) return;
+    if (txn.pages.empty())
+      return;
     if (odds(4)) {  // no answer: carried out now, late, or never
       const auto fate = rng_(3);
-      if (fate == 0) (void)apply(txn);
-      if (fate == 1) late_.push_back({now_ + 0.1 * rng_(80), txn});
+      if (fate == 0)
+        (void)apply(txn);
+      if (fate == 1)
+        late_.push_back({now_ + 0.1 * rng_(80), txn});
       return stays_.failed(true);
     }
-    if (!apply(txn)) return stays_.failed(true);
-    for (const std::string& ref : stays_.written(revision_)) back += !jobs_[ref].over;
+    if (!apply(txn))
+      return stays_.failed(true);
+    for (const std::string& ref : stays_.written(revision_))
+      back += !jobs_[ref].over;
   }
   void late() {
     for (std::size_t i = 0; i < late_.size();) {
@@ -180,13 +211,17 @@
   }
   void ask(std::size_t c) {
     for (const peer::JobWord& w : stays_.ask(c, 5, now_)) {
-      if (odds(5)) messages_.emplace(now_ + 0.1 * rng_(300), std::pair(c, w));  // once more, much later
-      if (odds(4)) continue;
+      if (odds(5))
+        messages_.emplace(now_ + 0.1 * rng_(300), std::pair(c, w));  // once more, much later
+      if (odds(4))
+        continue;
       const peer::JobWord said = there_[c].answer(w);
-      if (odds(4)) continue;
+      if (odds(4))
+        continue;
       const auto event = stays_.heard(c, said, now_);
       Job& job = jobs_[w.ref];
-      if (event == Stays::Event::none) continue;
+      if (event == Stays::Event::none)
+        continue;
       EXPECT_FALSE(job.over) << w.ref << " ends twice";
       EXPECT_EQ(event == Stays::Event::done, there_[c].jobs[w.ref].state == Neighbour::State::done);
       ++(event == Stays::Event::done ? done : withdrawn);
@@ -197,9 +232,12 @@
   void run_elsewhere() {
     for (Neighbour& n : there_) {
       for (auto& [ref, job] : n.jobs) {
-        if (job.state != Neighbour::State::live) continue;
-        if (rng_(40) == 0) job.begun = true;
-        if (job.begun && rng_(80) == 0) job.state = Neighbour::State::done;
+        if (job.state != Neighbour::State::live)
+          continue;
+        if (rng_(40) == 0)
+          job.begun = true;
+        if (job.begun && rng_(80) == 0)
+          job.state = Neighbour::State::done;
       }
     }
   }
@@ -215,7 +253,8 @@
       // And so it is for any leader to come: it knows what the pages say.
       bool named = false;
       for (const auto& [key, page] : store_) {
-        for (const auto& r : page.second["refs"]) named |= r == ref;
+        for (const auto& r : page.second["refs"])
+          named |= r == ref;
       }
       for (Neighbour& n : there_) {
         const auto it = n.jobs.find(ref);
@@ -244,7 +283,8 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     Home home(seed);
     home.play();
-    if (HasFailure()) return;
+    if (HasFailure())
+      return;
     handed_on += home.handed_on, back += home.back, done += home.done, withdrawn += home.withdrawn;
     leaders += home.leaders, old_pages += home.old_pages;
   }
@@ -259,7 +299,8 @@
 
 TEST(Stays, ManyJobsGoWithOneChange) {
   Stays stays({"south"}, 6000);
-  for (int n = 0; n < 200; ++n) stays.leave("req-" + std::to_string(100000 + n), 0);
+  for (int n = 0; n < 200; ++n)
+    stays.leave("req-" + std::to_string(100000 + n), 0);
   const auto pages = stays.next_write(12);
   ASSERT_EQ(pages.size(), 1U);
   EXPECT_EQ(pages[0].refs.size(), 200U);
@@ -271,7 +312,8 @@
 
 TEST(Stays, APageThatIsFullIsFollowedByAnother) {
   Stays stays({"south"}, 400);
-  for (int n = 0; n < 100; ++n) stays.leave("req-" + std::to_string(100000 + n), 0);
+  for (int n = 0; n < 100; ++n)
+    stays.leave("req-" + std::to_string(100000 + n), 0);
   std::set<std::string> keys;
   for (const auto& p : stays.next_write(100)) {
     keys.insert(p.key);
@@ -282,13 +324,16 @@
 
 TEST(Stays, WhatTheStateServiceCallsTooLargeStaysHome) {
   Stays stays({"south"}, 6000);
-  for (int n = 0; n < 100; ++n) stays.leave("req-" + std::to_string(100000 + n), 0);
+  for (int n = 0; n < 100; ++n)
+    stays.leave("req-" + std::to_string(100000 + n), 0);
   ASSERT_EQ(stays.next_write(1).size(), 1U);
   EXPECT_EQ(stays.refused().size(), 100U);
   EXPECT_EQ(stays.size(), 0U);
   EXPECT_TRUE(stays.next_write(1).empty());
-  for (int n = 0; n < 400; ++n) stays.leave("req-" + std::to_string(100000 + n), 0);
-  for (const auto& page : stays.next_write(100)) EXPECT_LE(page.value().dump().size(), 3000U);
+  for (int n = 0; n < 400; ++n)
+    stays.leave("req-" + std::to_string(100000 + n), 0);
+  for (const auto& page : stays.next_write(100))
+    EXPECT_LE(page.value().dump().size(), 3000U);
 }
 
 TEST(Stays, ANeighbourThatIsGoneForGoodGivesEverythingBack) {
@@ -316,8 +361,12 @@
 
 // ---------------------------------------------------------------- the planner
 
-There open(double takes, Seconds wait) { return {true, takes, wait, 0.5, {{"red", 1e9}}}; }
-Waiting job(double cores, double run_s) { return {"red", cores, cores * run_s, 0.2, {true, true}}; }
+There open(double takes, Seconds wait) {
+  return {true, takes, wait, 0.5, {{"red", 1e9}}};
+}
+Waiting job(double cores, double run_s) {
+  return {"red", cores, cores * run_s, 0.2, {true, true}};
+}
 
 TEST(Planner, WhatWouldBeginSoonerElsewhereGoes) {
   Here here{10, {}, ports::kNever, false};
@@ -387,7 +436,8 @@
     Here here{10.0 + rng(30), {}, ports::kNever, false};
     const double there_cores = 10.0 + rng(30);
     std::vector<Waiting> waiting;
-    for (std::size_t i = 0; i < n; ++i) waiting.push_back(job(2.0 + rng(8), 5.0 + rng(60)));
+    for (std::size_t i = 0; i < n; ++i)
+      waiting.push_back(job(2.0 + rng(8), 5.0 + rng(60)));
     const auto cost = [&](std::uint32_t goes) {
       double ahead_here = 0, ahead_there = 0, sum = 0;
       for (std::size_t i = 0; i < n; ++i) {
@@ -399,11 +449,13 @@
       return sum;
     };
     double best = 1e18;
-    for (std::uint32_t goes = 0; goes < 1U << n; ++goes) best = std::min(best, cost(goes));
+    for (std::uint32_t goes = 0; goes < 1U << n; ++goes)
+      best = std::min(best, cost(goes));
     // What it takes at a time is what it has free, told anew once a second; here all of it at once.
     std::uint32_t goes = 0;
     double room = there_cores;
-    for (const Spill& s : plan(here, waiting, {open(room, 0)}, 100).go) goes |= 1U << s.waiting;
+    for (const Spill& s : plan(here, waiting, {open(room, 0)}, 100).go)
+      goes |= 1U << s.waiting;
     planned += cost(goes), best_of_all += best, stay_of_all += cost(0);
     EXPECT_LE(cost(goes), cost(0) * 1.5 + 5);
   }
@@ -452,7 +504,9 @@
 }
 
 TEST(CellSettings, ProblemsNameTheirPlace) {
-  const auto problems = [](const std::string& yaml) { return settings::parse(toml(), yaml).problems; };
+  const auto problems = [](const std::string& yaml) {
+    return settings::parse(toml(), yaml).problems;
+  };
   const auto one = [&](const std::string& yaml) {
     const auto p = problems(yaml);
     EXPECT_EQ(p.size(), 1U);
--- a/tests/cells_world_test.cpp
+++ b/tests/cells_world_test.cpp
@@ -22,8 +22,10 @@
 }
 
 void whole(Cells& cells) {
-  for (std::size_t c = 0; c < cells.size(); ++c) EXPECT_EQ(cells[c].close().unfinished, 0U) << "cell " << c;
-  for (const auto& b : cells.broken()) ADD_FAILURE() << b;
+  for (std::size_t c = 0; c < cells.size(); ++c)
+    EXPECT_EQ(cells[c].close().unfinished, 0U) << "cell " << c;
+  for (const auto& b : cells.broken())
+    ADD_FAILURE() << b;
 }
 
 // A surge of six and a half times in the first of the cells, and the usual load in the others; the share of
@@ -44,17 +46,21 @@
     const double per_s = t >= 40 && t < 80 ? 2.6 : 0.4;
     // One cell of both sizes has the load of both.
     const double both = cells.size() == 1 ? others_per_s : 0;
-    for (due += 0.1 * (per_s + both); due >= 1; --due) cells[0].user(work(0, ++n, 4, 8), 8);
+    for (due += 0.1 * (per_s + both); due >= 1; --due)
+      cells[0].user(work(0, ++n, 4, 8), 8);
     for (std::size_t c = 1; c < cells.size(); ++c) {
-      for (others[c] += 0.1 * others_per_s; others[c] >= 1; --others[c]) cells[c].user(work(c, ++n, 4, 8), 8);
+      for (others[c] += 0.1 * others_per_s; others[c] >= 1; --others[c])
+        cells[c].user(work(c, ++n, 4, 8), 8);
     }
     cells.step(t + 0.1);
   }
   cells.step(700);
   Surge s;
   s.in_time = cells[0].over_within("batch", 25, 40, 85);
-  for (std::size_t c = 0; c < cells.size(); ++c) s.guests += cells[c].verdict().guests_started;
-  if (cells.size() > 1) s.others_in_time = cells[1].over_within("batch", 25, 40, 100);
+  for (std::size_t c = 0; c < cells.size(); ++c)
+    s.guests += cells[c].verdict().guests_started;
+  if (cells.size() > 1)
+    s.others_in_time = cells[1].over_within("batch", 25, 40, 100);
   whole(cells);
   return s;
 }
@@ -70,7 +76,8 @@
     int n = 0;
     double due = 0;
     for (double t = 0; t < 160; t += 0.1) {
-      for (due += 0.1 * 0.4; due >= 1; --due) cells[1].user(work(1, ++n, 4, 8), 8);
+      for (due += 0.1 * 0.4; due >= 1; --due)
+        cells[1].user(work(1, ++n, 4, 8), 8);
       cells.step(t + 0.1);
     }
     cells.step(300);
@@ -114,7 +121,8 @@
     // The home's machines are full for a minute; what comes behind that is handed on, and some is cancelled.
     cells[0].user(work(0, 1, 12, 60), 60);
     cells.step(18);
-    for (int n = 2; n < 14; ++n) cells[0].user(work(0, n, 3, 10), 10, n % 4 == 0 ? 24 + n * 0.3 : -1);
+    for (int n = 2; n < 14; ++n)
+      cells[0].user(work(0, n, 3, 10), 10, n % 4 == 0 ? 24 + n * 0.3 : -1);
     cells.step(18.4 + 0.25 * k);
     World &home = cells[0], &taker = cells[1];
     switch (trouble) {
@@ -147,7 +155,8 @@
     cells.step(400);
     guests += cells[1].verdict().guests_started;
     whole(cells);
-    if (HasFailure()) return;
+    if (HasFailure())
+      return;
   }
   EXPECT_GT(guests, 20U) << "the hand-over must have come to something";
 }
@@ -165,7 +174,8 @@
   cells.step(15);
   cells[0].user(work(0, 1, 12, 200), 200);
   cells.step(18);
-  for (int n = 2; n < 6; ++n) cells[0].user(work(0, n, 3, 150), 150, 40);
+  for (int n = 2; n < 6; ++n)
+    cells[0].user(work(0, n, 3, 150), 150, 40);
   cells.step(35);
   EXPECT_GT(cells[1].verdict().guests_started, 0U);
   cells.cut(0, 1, 30, false);
@@ -185,7 +195,8 @@
   Cells cells({cell(7, 4), cell(8, 12)}, 3);
   cells.begin();
   cells.step(15);
-  for (int n = 1; n <= 60; ++n) cells[0].user(work(0, n, 4, 10), 10);
+  for (int n = 1; n <= 60; ++n)
+    cells[0].user(work(0, n, 4, 10), 10);
   cells.step(20);
   const std::size_t waiting = cells[0].jobs_waiting();
   EXPECT_GT(waiting, 30U);
@@ -208,7 +219,8 @@
   cells.step(55);  // custody has begun
   cells[0].user(work(0, 1, 12, 100), 100);
   cells.step(58);
-  for (int n = 2; n < 10; ++n) cells[0].user(work(0, n, 3, 40), 40);
+  for (int n = 2; n < 10; ++n)
+    cells[0].user(work(0, n, 3, 40), 40);
   cells.step(70);
   const auto held = cells[1].verdict().guests_started;
   EXPECT_GT(held, 5U);
@@ -224,7 +236,8 @@
   std::size_t guests = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const CellsDay day = play_cells(seed);
-    for (const auto& b : day.broken) ADD_FAILURE() << b << " (cells, seed " << seed << ")";
+    for (const auto& b : day.broken)
+      ADD_FAILURE() << b << " (cells, seed " << seed << ")";
     EXPECT_EQ(day.unfinished, 0U) << "seed " << seed;
     guests += day.guests_started;
   }
--- a/tests/chains_test.cpp
+++ b/tests/chains_test.cpp
@@ -9,7 +9,9 @@
 namespace wingtrail::jobs {
 namespace {
 
-std::string ref(int n) { return "req-" + std::to_string(n); }
+std::string ref(int n) {
+  return "req-" + std::to_string(n);
+}
 
 class ChainsTest : public ::testing::Test {
  protected:
@@ -21,7 +23,9 @@
                    auto it = over.find(r);
                    return it == over.end() ? std::nullopt : std::optional(it->second);
                  },
-                 [](const Job& job) { return job.spec.estimate_s; }}};
+                 [](const Job& job) {
+                   return job.spec.estimate_s;
+                 }}};
   std::uint64_t revision = 0;
 
   Job& add(int n, const std::vector<int>& needs, wire::Priority priority = wire::Priority::low,
@@ -32,20 +36,23 @@
     s.estimate_s = 10;
     s.priority = priority;
     s.deadline_s = due;
-    for (const int k : needs) s.waits_on.push_back(ref(k));
+    for (const int k : needs)
+      s.waits_on.push_back(ref(k));
     Job& job = registry.add(s, ++revision, 0);
     chains.join(job);
     return job;
   }
   void end(int n, bool done, Seconds at = 1) {
-    if (Job* job = registry.find(ref(n))) job->closing = job->closed = true;
+    if (Job* job = registry.find(ref(n)))
+      job->closing = job->closed = true;
     over[ref(n)] = {done, at};
     chains.ended(ref(n), {done, at});
   }
   std::vector<std::string> names(const std::vector<Ix>& jobs) {
     std::vector<std::string> out;
     out.reserve(jobs.size());
-    for (const Ix ix : jobs) out.push_back(registry.at(ix)->spec.ref);
+    for (const Ix ix : jobs)
+      out.push_back(registry.at(ix)->spec.ref);
     std::sort(out.begin(), out.end());
     return out;
   }
@@ -140,7 +147,8 @@
   EXPECT_LT(chains.visits(), 10U * kMany);
   end(0, false);
   EXPECT_EQ(chains.take_orphans().size(), 2U * kMany + 1);
-  for (int i = 1; i <= 2 * kMany; ++i) end(i, false);
+  for (int i = 1; i <= 2 * kMany; ++i)
+    end(i, false);
   end(3 * kMany, false);
   chains.spread_urgency();
   EXPECT_LT(chains.visits(), 30U * kMany);
@@ -159,11 +167,13 @@
       std::vector<int> list;
       for (std::uint32_t k = 0, most = rng(4); k < most && n > 0; ++k) {
         const int need = static_cast<int>(rng(static_cast<std::uint32_t>(n)));
-        if (std::find(list.begin(), list.end(), need) == list.end()) list.push_back(need);
+        if (std::find(list.begin(), list.end(), need) == list.end())
+          list.push_back(need);
       }
       needs.push_back(list);
       Job& job = add(n, list);
-      if (!job.held()) ready.insert(ref(n));
+      if (!job.held())
+        ready.insert(ref(n));
     } else if (n > 0) {
       const int k = static_cast<int>(rng(static_cast<std::uint32_t>(n)));
       Job* job = registry.find(ref(k));
@@ -172,15 +182,18 @@
         end(k, fate[k] == 1);
       }
     }
-    for (const Ix ix : chains.take_ready()) ready.insert(registry.at(ix)->spec.ref);
-    for (const Ix ix : chains.take_orphans()) orphans.insert(registry.at(ix)->spec.ref);
+    for (const Ix ix : chains.take_ready())
+      ready.insert(registry.at(ix)->spec.ref);
+    for (const Ix ix : chains.take_orphans())
+      orphans.insert(registry.at(ix)->spec.ref);
     for (int i = 0; i < static_cast<int>(needs.size()); ++i) {
       bool all = true, lost = false;
       for (const int k : needs[i]) {
         all &= fate.contains(k) && fate[k] == 1;
         lost |= (fate.contains(k) && fate[k] == 2) || (!fate.contains(k) && orphans.contains(ref(k)));
       }
-      if (fate.contains(i)) continue;
+      if (fate.contains(i))
+        continue;
       ASSERT_EQ(ready.contains(ref(i)), all && !lost) << i << " in step " << step;
       ASSERT_EQ(orphans.contains(ref(i)), lost) << i << " in step " << step;
     }
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -58,11 +58,14 @@
       getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size) == 0) {
     port = ntohs(a.sin_port);
   }
-  if (fd >= 0) close(fd);
+  if (fd >= 0)
+    close(fd);
   return port;
 }
 
-std::string address(std::uint16_t port) { return std::string(kHere) + ":" + std::to_string(port); }
+std::string address(std::uint16_t port) {
+  return std::string(kHere) + ":" + std::to_string(port);
+}
 
 class Cluster {
  public:
@@ -97,7 +100,10 @@
                                carry(i, std::move(in), std::move(then));
                              },
                              [this](const std::string& host) { return worker(host); },
-                             [this](std::size_t i) { boot(i); }, [this](std::size_t i) { crash(i); }});
+                             [this](std::size_t i) { boot(i); },
+                             [this](std::size_t i) {
+                               crash(i);
+                             }});
     if (options.cells > 1) {
       reach->cells.push_back(world_.get());
       world_->join(reach);
@@ -110,14 +116,18 @@
         world_->cloud(r.method, r.target, body(r), std::move(reply));
       });
       write_settings(i);
-      auto relay = [this, i](net::Request r) -> net::Co<net::Response> { return pass_on(i, std::move(r)); };
+      auto relay = [this, i](net::Request r) -> net::Co<net::Response> {
+        return pass_on(i, std::move(r));
+      };
       servers_.push_back(
           std::make_unique<net::Server>(scope_, kHere, nodes_[i].relay, net::ServerLimits{}, relay));
-      if (auto why = servers_.back()->listen()) spdlog::error("{}", *why);
+      if (auto why = servers_.back()->listen())
+        spdlog::error("{}", *why);
     }
   }
   ~Cluster() {
-    for (std::size_t i = 0; i < kNodes; ++i) crash(i);
+    for (std::size_t i = 0; i < kNodes; ++i)
+      crash(i);
     std::filesystem::remove_all(folder_);
   }
   Cluster(const Cluster&) = delete;
@@ -125,12 +135,15 @@
 
   // Who the neighbours are, once all have their ports.
   void meet(const std::vector<std::unique_ptr<Cluster>>& all) {
-    if (all.size() < 2) return;
+    if (all.size() < 2)
+      return;
     std::ofstream f(tunables());
-    if (!options_.tunables.empty()) f << std::ifstream(options_.tunables).rdbuf() << "\n";
+    if (!options_.tunables.empty())
+      f << std::ifstream(options_.tunables).rdbuf() << "\n";
     f << "cells:\n  name: c" << cell_ << "\n  neighbours:\n";
     for (const auto& other : all) {
-      if (other.get() == this) continue;
+      if (other.get() == this)
+        continue;
       f << "    c" << other->cell_ << ": [";
       for (std::size_t i = 0; i < kNodes; ++i)
         f << (i > 0 ? ", " : "") << '"' << address(other->nodes_[i].relay) << '"';
@@ -148,7 +161,8 @@
         world_->crash(0);
       });
     }
-    if (options_.gap) play_gap();
+    if (options_.gap)
+      play_gap();
     if (options_.cells > 1) {
       world_->at_once_after(options_.seconds * 0.25, [this] { refuses_ = true; });
       world_->at_once_after(options_.seconds * 0.35, [this] { refuses_ = false; });
@@ -156,11 +170,13 @@
     if (options_.cells > 1 && cell_ + 1 == options_.cells) {
       for (double t = 0; t < options_.seconds * 0.1; t += 0.5) {
         world_->at_once_after(options_.seconds * 0.42 + t, [this] {
-          for (std::size_t i = 0; i < kNodes; ++i) world_->crash(i);
+          for (std::size_t i = 0; i < kNodes; ++i)
+            world_->crash(i);
         });
       }
     }
-    if (options_.tell) tell();
+    if (options_.tell)
+      tell();
   }
   // docs/meetings.md: the leader refused alone, jobs called off, then the service down for all.
   void play_gap() {
@@ -184,8 +200,12 @@
     world_->step(now());
     return start_ + std::min(world_->next(), options_.seconds);
   }
-  bool over() { return now() >= options_.seconds || !world_->verdict().broken.empty(); }
-  const Verdict& close() { return world_->close(); }
+  bool over() {
+    return now() >= options_.seconds || !world_->verdict().broken.empty();
+  }
+  const Verdict& close() {
+    return world_->close();
+  }
 
  private:
   struct Process {
@@ -195,7 +215,9 @@
   };
   using Service = std::function<void(net::Request, World::Reply)>;
 
-  double now() { return loop_.refresh() - start_; }
+  double now() {
+    return loop_.refresh() - start_;
+  }
 
   void say(const std::string& what) {
     if (options_.tell)
@@ -221,7 +243,8 @@
       return answer(service, std::move(r));
     };
     servers_.push_back(std::make_unique<net::Server>(scope_, kHere, port, net::ServerLimits{}, handle));
-    if (auto why = servers_.back()->listen()) spdlog::error("{}", *why);
+    if (auto why = servers_.back()->listen())
+      spdlog::error("{}", *why);
   }
 
   net::Co<net::Response> answer(const Service& service, net::Request r) {
@@ -233,7 +256,8 @@
     auto reply = co_await got->wait(scope_, loop_.now() + 60);
     net::Response out;
     out.status = reply ? reply->first : 504;
-    if (reply) out.body = wire::encode_cbor(reply->second);
+    if (reply)
+      out.body = wire::encode_cbor(reply->second);
     co_return out;
   }
 
@@ -241,10 +265,12 @@
   net::Co<net::Response> pass_on(std::size_t i, net::Request r) {
     net::Response out;
     out.status = 503;
-    if (refuses_) co_return out;
+    if (refuses_)
+      co_return out;
     const net::Outcome o = co_await client_.call(kHere, nodes_[i].peer, std::move(r), "application/msgpack",
                                                  loop_.now() + 5, ports::kNever);
-    if (scope_.cancelled() || o.status == 0) co_return out;
+    if (scope_.cancelled() || o.status == 0)
+      co_return out;
     out.status = o.status;
     out.content_type = "application/msgpack";
     out.body = o.body;
@@ -255,7 +281,8 @@
     const std::uint16_t port = free_port();
     serve(port, [this, host](net::Request r, const World::Reply& reply) {
       // One that hangs does not answer: the caller's own deadline ends its wait.
-      if (auto a = world_->commands(host, body(r))) reply(a->first, std::move(a->second));
+      if (auto a = world_->commands(host, body(r)))
+        reply(a->first, std::move(a->second));
     });
     return address(port);
   }
@@ -264,10 +291,12 @@
     net::Request request{in.method, in.path, in.body};
     const net::Outcome o = co_await client_.call(kHere, nodes_[i].client, std::move(request),
                                                  "application/cbor", loop_.now() + kUserWaits, ports::kNever);
-    if (scope_.cancelled() || o.status == 0) co_return;
+    if (scope_.cancelled() || o.status == 0)
+      co_return;
     ports::Answer a;
     a.status = o.status;
-    if (!o.body.empty()) a.body = wire::decode_cbor(o.body).value_or(nullptr);
+    if (!o.body.empty())
+      a.body = wire::decode_cbor(o.body).value_or(nullptr);
     world_->step(now());
     then(a);
   }
@@ -279,7 +308,8 @@
     f << "node_name = \"node-" << i << "\"\narea = \"" << s.zones[i % 2] << "\"\nclient_listen = \""
       << address(nodes_[i].client) << "\"\npeer_listen = \"" << address(nodes_[i].peer) << "\"\n";
     for (std::size_t p = 0; p < kNodes; ++p) {
-      if (p == i) continue;
+      if (p == i)
+        continue;
       f << "[[seeds]]\nnode_name = \"node-" << p << "\"\narea = \"" << s.zones[p % 2] << "\"\nendpoint = \""
         << address(nodes_[p].peer) << "\"\n";
     }
@@ -300,14 +330,17 @@
       << "\n[params.limits]\ncores = 0.5\nmem_mb = 200.0\nmax_connections = 1000\n";
   }
 
-  std::string path(std::size_t i) const { return folder_ / ("node-" + std::to_string(i) + ".toml"); }
+  std::string path(std::size_t i) const {
+    return folder_ / ("node-" + std::to_string(i) + ".toml");
+  }
 
   std::string tunables() const {
     return options_.cells > 1 ? std::string(folder_ / "tunables.yaml") : options_.tunables;
   }
 
   void boot(std::size_t i) {
-    if (nodes_[i].pid > 0) return;
+    if (nodes_[i].pid > 0)
+      return;
     const std::string settings = path(i);
     const std::string& program = world_->former(i) ? options_.former : options_.program;
     const std::string choices = tunables();
@@ -325,7 +358,8 @@
   }
 
   void crash(std::size_t i) {
-    if (nodes_[i].pid <= 0) return;
+    if (nodes_[i].pid <= 0)
+      return;
     kill(nodes_[i].pid, SIGKILL);
     waitpid(nodes_[i].pid, nullptr, 0);
     nodes_[i].pid = -1;
@@ -375,13 +409,16 @@
   std::vector<std::unique_ptr<world::Cluster>> cells;
   for (std::size_t c = 0; c < options.cells; ++c)
     cells.push_back(std::make_unique<world::Cluster>(options, loop, scope, c, reach));
-  for (auto& c : cells) c->meet(cells);
-  for (auto& c : cells) c->begin();
+  for (auto& c : cells)
+    c->meet(cells);
+  for (auto& c : cells)
+    c->begin();
   loop.before_sleep([&] {
     net::Seconds next = ports::kNever;
     for (auto& c : cells) {
       next = std::min(next, c->step());
-      if (c->over()) loop.stop();
+      if (c->over())
+        loop.stop();
     }
     return next;
   });
@@ -390,7 +427,8 @@
   world::Verdict v;
   for (auto& c : cells) {
     const world::Verdict& own = c->close();
-    for (const auto& b : own.broken) std::cout << b << "\n";
+    for (const auto& b : own.broken)
+      std::cout << b << "\n";
     v.broken.insert(v.broken.end(), own.broken.begin(), own.broken.end());
     v.accepted += own.accepted, v.started += own.started, v.finished += own.finished;
     v.chained += own.chained, v.orphans += own.orphans, v.cancelled += own.cancelled;
--- a/tests/custody_test.cpp
+++ b/tests/custody_test.cpp
@@ -25,7 +25,8 @@
 
   void play(double until) {
     lead(0);
-    for (std::size_t i = 0; i < 3; ++i) later(between(0, 1), [this, i] { greet(i); });
+    for (std::size_t i = 0; i < 3; ++i)
+      later(between(0, 1), [this, i] { greet(i); });
     later(0.1, [this] { beat(); });
     later(5, [this] { trouble(); });
     while (!events_.empty() && events_.begin()->first < until && wrong_ == 0) {
@@ -35,10 +36,18 @@
       judge();
     }
   }
-  int wrong() const { return wrong_; }
-  int ends() const { return ends_; }
-  int kept() const { return kept_; }
-  int agreed() const { return agreed_; }
+  int wrong() const {
+    return wrong_;
+  }
+  int ends() const {
+    return ends_;
+  }
+  int kept() const {
+    return kept_;
+  }
+  int agreed() const {
+    return agreed_;
+  }
 
  private:
   struct Node {
@@ -46,15 +55,24 @@
     std::uint64_t life = 1, knows = 0;
     std::unique_ptr<Custodian> custodian;
   };
-  double between(double a, double b) { return a + (b - a) * std::ldexp(static_cast<double>(rng_()), -32); }
-  bool odds(double p) { return between(0, 1) < p; }
-  void later(double delay, std::function<void()> f) { events_.emplace(t_ + delay, std::move(f)); }
-  Seconds clock(std::size_t i) const { return 1000 + t_ * nodes_[i].rate; }
+  double between(double a, double b) {
+    return a + (b - a) * std::ldexp(static_cast<double>(rng_()), -32);
+  }
+  bool odds(double p) {
+    return between(0, 1) < p;
+  }
+  void later(double delay, std::function<void()> f) {
+    events_.emplace(t_ + delay, std::move(f));
+  }
+  Seconds clock(std::size_t i) const {
+    return 1000 + t_ * nodes_[i].rate;
+  }
   // Lost, late by milliseconds, or held until the cut between the two is over.
   void send(std::size_t a, std::size_t b, std::function<void()> f) {
     const double cut = std::max(nodes_[a].cut_until, nodes_[b].cut_until);
     if (t_ < cut) {
-      if (odds(0.5)) later(cut - t_ + between(0, 0.1), std::move(f));
+      if (odds(0.5))
+        later(cut - t_ + between(0, 0.1), std::move(f));
     } else if (!odds(0.02)) {
       later(odds(0.2) ? between(0, 4) : 0.002, std::move(f));
     }
@@ -77,26 +95,34 @@
     if (i == leader_ && !vacant_)  // what it did itself is in own_
       grants_->vouched(i, clock(i), clock(i), {clock(i) - nodes_[i].born, -1, true});
     for (std::size_t j = 0; j < 3; ++j) {
-      if (j == i) continue;
+      if (j == i)
+        continue;
       const Seconds asked = clock(i);
       const std::uint64_t life = nodes_[i].life, knew = nodes_[i].knows;
       send(i, j, [this, i, j, asked, life, knew] {
         Node& to = nodes_[j];
-        if (knew > to.knows) to.knows = knew, to.custodian->heard(knew);
+        if (knew > to.knows)
+          to.knows = knew, to.custodian->heard(knew);
         const bool grants = j == leader_ && !vacant_;
         // Whoever may give no orders agrees; a leader past its authority puts it down.
-        if (j == leader_) grants_->granted(i, clock(j));
+        if (j == leader_)
+          grants_->granted(i, clock(j));
         const std::uint64_t newest = to.custodian->newest();
         const Grants::Word word{clock(j) - to.born, to.custodian->held_s(clock(j)), true};
         send(j, i, [this, i, j, asked, life, knows = to.knows, grants, word, newest] {
           Node& me = nodes_[i];
-          if (me.life != life) return;
-          if (knows > me.knows) me.knows = knows, me.custodian->heard(knows);
-          if (grants) me.custodian->granted(knows, asked);
-          if (!grants) me.custodian->consented(j, newest, asked, kSpan);
+          if (me.life != life)
+            return;
+          if (knows > me.knows)
+            me.knows = knows, me.custodian->heard(knows);
+          if (grants)
+            me.custodian->granted(knows, asked);
+          if (!grants)
+            me.custodian->consented(j, newest, asked, kSpan);
           me.custodian->consented(i, me.custodian->newest(), asked,
                                   kSpan);  // itself, where it counts as a peer
-          if (i == leader_ && !vacant_ && knows >= token_) grants_->vouched(j, asked, clock(i), word);
+          if (i == leader_ && !vacant_ && knows >= token_)
+            grants_->vouched(j, asked, clock(i), word);
         });
       });
     }
@@ -104,7 +130,8 @@
   // The worker reports somewhere.
   void beat() {
     later(odds(0.1) ? between(15, 120) : between(0.5, 6), [this] { beat(); });  // it hangs now and then
-    if ((t_ - renewed_) * worker_rate_ > kLease) ++worker_, renewed_ = t_, mandate_ = 0;
+    if ((t_ - renewed_) * worker_rate_ > kLease)
+      ++worker_, renewed_ = t_, mandate_ = 0;
     const std::size_t i = rng_(3);
     const std::uint64_t session = worker_;
     const double sent = t_;
@@ -112,9 +139,11 @@
       Node& n = nodes_[i];
       std::uint64_t token = 0;
       if (i == leader_ && !vacant_) {
-        if (odds(0.7)) return;  // it is out of the leader's reach, mostly
+        if (odds(0.7))
+          return;  // it is out of the leader's reach, mostly
         token = token_;
-        if (session >= watched_) watched_ = session, own_ = clock(i) + kLease * (1 + kDrift) + 0.5;
+        if (session >= watched_)
+          watched_ = session, own_ = clock(i) + kLease * (1 + kDrift) + 0.5;
       } else if (const auto may = n.custodian->may_answer(clock(i), mandate_)) {
         n.custodian->answered(clock(i));
         token = *may;
@@ -122,9 +151,11 @@
         if (i == leader_ && session >= watched_)
           watched_ = session, own_ = clock(i) + kLease * (1 + kDrift) + 0.5;
       }
-      if (token == 0) return;
+      if (token == 0)
+        return;
       later(between(0, 1), [this, session, sent, token, i] {
-        if (session != worker_ || token < mandate_ || (t_ - renewed_) * worker_rate_ > kLease) return;
+        if (session != worker_ || token < mandate_ || (t_ - renewed_) * worker_rate_ > kLease)
+          return;
         kept_ += i != leader_ && sent > renewed_;
         mandate_ = token;
         renewed_ = std::max(renewed_, sent);
@@ -143,14 +174,17 @@
         nodes_[i].born = clock(i);
         nodes_[i].knows = 0;
         nodes_[i].custodian = std::make_unique<Custodian>(kSpan, 3);
-        if (i == leader_) dead_ = true, vacant_ = true;
-        if (dead_ && odds(0.5)) lead((i + 1) % 3), dead_ = false;
+        if (i == leader_)
+          dead_ = true, vacant_ = true;
+        if (dead_ && odds(0.5))
+          lead((i + 1) % 3), dead_ = false;
         return;
       case 4:  // nobody leads for a while: the leader may not, or its process is over and no other was
                // elected
         vacant_ = true;
         later(between(1, 120), [this, was = token_] {
-          if (token_ != was) return;
+          if (token_ != was)
+            return;
           dead_ ? lead(rng_(3)) : void(vacant_ = false);
           dead_ = false;
         });
@@ -164,21 +198,25 @@
           nodes_[k].custodian = std::make_unique<Custodian>(kSpan, 3);
         }
         later(between(1, 120), [this, was = token_] {
-          if (token_ == was && dead_) lead(rng_(3)), dead_ = false;
+          if (token_ == was && dead_)
+            lead(rng_(3)), dead_ = false;
         });
         return;
       case 2:
-        if (i != leader_) lead(i), dead_ = false;
+        if (i != leader_)
+          lead(i), dead_ = false;
         return;
       default:
         nodes_[i].cut_until = t_;
     }
   }
   void judge() {
-    if (vacant_ || watched_ == 0 || grants_->lease_end(own_) > clock(leader_)) return;
+    if (vacant_ || watched_ == 0 || grants_->lease_end(own_) > clock(leader_))
+      return;
     ++ends_;
     // Sessions up to the one that was heard of last must be over.
-    if (worker_ <= watched_ && (t_ - renewed_) * worker_rate_ <= kLease) ++wrong_;
+    if (worker_ <= watched_ && (t_ - renewed_) * worker_rate_ <= kLease)
+      ++wrong_;
     watched_ = 0;
   }
 
@@ -275,7 +313,8 @@
   links.begin(0);
   links.expected(0, 200);
   links.expected(1, 4);
-  for (double t = 1; t < 10; t += 0.05) links.heard(0, t);
+  for (double t = 1; t < 10; t += 0.05)
+    links.heard(0, t);
   links.heard(1, 9);
   EXPECT_FALSE(links.quiet(0, 10));
   EXPECT_TRUE(links.quiet(0, 10.5)) << "forty reports a second, and none for half of one";
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -36,7 +36,8 @@
       return world.crash(leader);
     case Trouble::node_dead:
       // Its share must be of use to the others while it is away.
-      for (int k = 0; k < 12; ++k) world.at_once_after(k, [&world, other] { world.crash(other); });
+      for (int k = 0; k < 12; ++k)
+        world.at_once_after(k, [&world, other] { world.crash(other); });
       return;
     case Trouble::cut_from_peers:
       return world.cut_node(other, false, true, 12, true);
@@ -47,7 +48,8 @@
     case Trouble::frozen:
       return world.freeze(leader, 6);
     case Trouble::restarts:
-      for (int k = 0; k < 20; ++k) world.at_once_after(k, [&world, other] { world.crash(other); });
+      for (int k = 0; k < 20; ++k)
+        world.at_once_after(k, [&world, other] { world.crash(other); });
       return;
     default:
       return;
@@ -88,7 +90,8 @@
   double flood_due = 0, calm_due = 0;
   for (double t = 10; t < kEnd; t += 0.1) {
     const bool now = t >= kFrom && t < kTo;
-    for (flood_due += 0.1 * (now ? flood.factor : 1); flood_due >= 1; --flood_due) submit("flood", "red", t);
+    for (flood_due += 0.1 * (now ? flood.factor : 1); flood_due >= 1; --flood_due)
+      submit("flood", "red", t);
     for (calm_due += 0.05 * (now && flood.everybody ? flood.factor : 1); calm_due >= 1; --calm_due)
       submit("calm", "blue", t);
     if (t >= kFrom + 5 && !struck) {
@@ -114,7 +117,8 @@
   }
   world.step(400);
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+  for (const auto& b : world.verdict().broken)
+    ADD_FAILURE() << b;
 }
 
 class Floods : public testing::TestWithParam<int> {};
@@ -125,7 +129,8 @@
   for (const std::size_t nodes : {3U, 5U}) {
     for (const int factor : {3, 10, 40}) {
       // Without sheets it takes minutes to record the ends of such a flood: a change or more for each.
-      if (trouble == Trouble::older && factor == 40) continue;
+      if (trouble == Trouble::older && factor == 40)
+        continue;
       play(static_cast<std::uint64_t>(factor), {nodes, factor, trouble}, tally);
     }
   }
@@ -143,7 +148,8 @@
 
 TEST(Flood, OfEverybodyAtOnce) {
   Tally tally;
-  for (const std::uint64_t seed : {1U, 2U}) play(seed, {3, 40, Trouble::none, true}, tally);
+  for (const std::uint64_t seed : {1U, 2U})
+    play(seed, {3, 40, Trouble::none, true}, tally);
   EXPECT_GE(tally.calm_in_time / tally.calm, 0.9);
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
@@ -195,7 +201,8 @@
     world.step(200);
     EXPECT_EQ(world.close().unfinished, 0U);
     EXPECT_EQ(world.verdict().started_again, 0U) << "what runs is found again";
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
@@ -223,7 +230,8 @@
     EXPECT_GT(world.verdict().on_sheets, 20U);
     EXPECT_EQ(world.close().unfinished, 0U);
     EXPECT_EQ(world.verdict().started_again, 0U);
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
@@ -250,7 +258,8 @@
     world.state_outage(45);
     world.step(200);
     EXPECT_GT(world.verdict().orphans, 0U);
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
@@ -271,12 +280,15 @@
       world.user(s, n % 3 == 0 ? 8 : 60, n % 3 == 0 ? -1 : 20 + n);
     }
     world.step(15);
-    for (int n = 1; n <= 30; ++n) world.watch_closely("req-" + std::to_string(n), 150);
-    for (std::size_t i = 0; i < world.nodes(); ++i) world.cut_node(i, false, true, 50, false);
+    for (int n = 1; n <= 30; ++n)
+      world.watch_closely("req-" + std::to_string(n), 150);
+    for (std::size_t i = 0; i < world.nodes(); ++i)
+      world.cut_node(i, false, true, 50, false);
     world.state_slow(60);
     world.step(80);
     EXPECT_GT(world.verdict().cancelled, 10U);
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -19,7 +19,8 @@
 }
 
 void crash_all(World& w) {
-  for (std::size_t i = 0; i < 3; ++i) w.crash(i);
+  for (std::size_t i = 0; i < 3; ++i)
+    w.crash(i);
 }
 
 // The state service is away for longer than a lease and a grant, and every process is new meanwhile: nobody
@@ -49,7 +50,8 @@
         agreed(seed, 12),
         [](World& w) {
           w.state_outage(60);
-          for (int i = 0; i < 12; ++i) w.at_once_after(1 + i, [&w] { crash_all(w); });
+          for (int i = 0; i < 12; ++i)
+            w.at_once_after(1 + i, [&w] { crash_all(w); });
           for (int i = 0; i < 20; ++i)
             w.at_once_after(25 + 1.5 * i, [&w, i] { w.crash(static_cast<std::size_t>(i % 3)); });
           w.at_once_after(59.9, [&w] { crash_all(w); });
@@ -71,10 +73,12 @@
         [](World& w) {
           w.state_outage(65);
           // Not in step with the second after which workers try again.
-          for (int i = 0; i < 60; ++i) w.at_once_after(1 + i + 0.15 * (i % 4), [&w] { crash_all(w); });
+          for (int i = 0; i < 60; ++i)
+            w.at_once_after(1 + i + 0.15 * (i % 4), [&w] { crash_all(w); });
         },
         90);
-    for (const auto& b : r.verdict.broken) ADD_FAILURE() << b;
+    for (const auto& b : r.verdict.broken)
+      ADD_FAILURE() << b;
     EXPECT_LE(r.verdict.lost_by_lease, r.before / 5);
     EXPECT_TRUE(r.over);
   }
@@ -91,7 +95,8 @@
         w.at_once_after(4, [&w] { crash_all(w); });
       },
       90);
-  for (const auto& b : r.verdict.broken) ADD_FAILURE() << b;
+  for (const auto& b : r.verdict.broken)
+    ADD_FAILURE() << b;
   EXPECT_GT(r.verdict.lost_by_lease, 10U);
 }
 
@@ -104,7 +109,8 @@
       lost_nothing(ride_through(
           agreed(seed, 12, 4),
           [leaders](World& w) {
-            for (const double at : {1.0, 6.0, 8.0, 14.0}) w.at_once_after(at, [&w] { crash_all(w); });
+            for (const double at : {1.0, 6.0, 8.0, 14.0})
+              w.at_once_after(at, [&w] { crash_all(w); });
             w.at_once_after(24, [&w, leaders] {
               w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 55, true);
             });
@@ -131,7 +137,8 @@
       EXPECT_TRUE(world.leader()) << "seed " << seed << " at " << t;
       world.step(t + 5);
     }
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
@@ -150,7 +157,8 @@
               w.at_once_after(after * (in_turn ? static_cast<double>(i + 1) : 1.0), [&w, i] { w.crash(i); });
           },
           60);
-      for (const auto& b : r.verdict.broken) ADD_FAILURE() << b;
+      for (const auto& b : r.verdict.broken)
+        ADD_FAILURE() << b;
       EXPECT_EQ(r.again, 0U);
       EXPECT_EQ(r.verdict.lost_by_lease, 0U);
       EXPECT_TRUE(r.over);
@@ -225,7 +233,8 @@
     for (const double at : {1.0, loss.cut_s - 35, loss.cut_s - 16}) {
       world.at_once_after(at, [&world] { crash_all(world); });
     }
-  if (loss.crash_at > 15) world.at_once_after(loss.crash_at - 15, [&world] { crash_all(world); });
+  if (loss.crash_at > 15)
+    world.at_once_after(loss.crash_at - 15, [&world] { crash_all(world); });
   for (int n = 0; n < loss.surge; ++n) {
     world.step(66 + n);
     wire::JobSpec s = job_of(100 + n, 20, "blue");
@@ -255,24 +264,28 @@
     EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), loss.machines / 3) << "service " << n;
   }
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+  for (const auto& b : world.verdict().broken)
+    ADD_FAILURE() << b;
 }
 
 TEST(LostZone, ComesBackWhole) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    for (const std::size_t zones : {2U, 3U, 4U}) lose(seed, {.zones = zones});
+    for (const std::size_t zones : {2U, 3U, 4U})
+      lose(seed, {.zones = zones});
   }
 }
 
 TEST(LostZone, WithTheLeaderInside) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    for (const std::size_t zones : {2U, 3U}) lose(seed, {.zones = zones, .leaders = true});
+    for (const std::size_t zones : {2U, 3U})
+      lose(seed, {.zones = zones, .leaders = true});
   }
 }
 
 TEST(LostZone, WithAllControllersNewMeanwhile) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    for (const std::size_t zones : {2U, 3U}) lose(seed, {.zones = zones, .all_new = true});
+    for (const std::size_t zones : {2U, 3U})
+      lose(seed, {.zones = zones, .all_new = true});
   }
 }
 
@@ -283,15 +296,18 @@
 }
 
 TEST(LostZone, UnderASurge) {
-  for (std::uint64_t seed = 1; seed <= 2; ++seed) lose(seed, {.zones = 3, .machines = 48, .surge = 30});
+  for (std::uint64_t seed = 1; seed <= 2; ++seed)
+    lose(seed, {.zones = 3, .machines = 48, .surge = 30});
 }
 
 TEST(LostZone, ComesBackWithAFifthOfItsMachinesMissing) {
-  for (std::uint64_t seed = 1; seed <= 2; ++seed) lose(seed, {.machines = 36, .dead_share = 0.2});
+  for (std::uint64_t seed = 1; seed <= 2; ++seed)
+    lose(seed, {.machines = 36, .dead_share = 0.2});
 }
 
 TEST(LostZone, TwoInTurn) {
-  for (std::uint64_t seed = 1; seed <= 2; ++seed) lose(seed, {.zones = 3, .also = 5});
+  for (std::uint64_t seed = 1; seed <= 2; ++seed)
+    lose(seed, {.zones = 3, .also = 5});
 }
 
 // Flapping with every period: the rules, nothing returned while it is away, everything whole when it rests.
@@ -315,7 +331,8 @@
     EXPECT_EQ(world.verdict().returned_in_cut, 0U);
     world.step(world.next() + 120);
     EXPECT_EQ(world.replicas_up("req-1"), 6U);
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
@@ -352,10 +369,12 @@
   EXPECT_EQ(world.verdict().lost_by_lease, 0U);
   EXPECT_EQ(world.verdict().returned_in_cut, 0U);
   std::size_t up = 0;
-  for (int n = 1; n <= 30; ++n) up += world.replicas_up("req-" + std::to_string(n));
+  for (int n = 1; n <= 30; ++n)
+    up += world.replicas_up("req-" + std::to_string(n));
   EXPECT_EQ(up, 1800U);
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+  for (const auto& b : world.verdict().broken)
+    ADD_FAILURE() << b;
 }
 
 }  // namespace
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -38,7 +38,8 @@
     for (int n = 0; n < count; ++n) {
       wire::JobSpec s = job_of(10 + n, tasks, n % 2 == 0 ? "red" : "blue");
       s.estimate_s = run_s;
-      if (n % 3 == 2) s.zone = "z" + std::to_string(n % 2);
+      if (n % 3 == 2)
+        s.zone = "z" + std::to_string(n % 2);
       world.user(s, run_s);
     }
   }
@@ -55,19 +56,29 @@
       });
     }
   }
-  void at(double when, const std::function<void()>& fn) { world.at_time(when, fn); }
-  void crash_leader() { world.crash(world.leader().value_or(0)); }
-  static std::string ref(int n) { return "req-" + std::to_string(n); }
+  void at(double when, const std::function<void()>& fn) {
+    world.at_time(when, fn);
+  }
+  void crash_leader() {
+    world.crash(world.leader().value_or(0));
+  }
+  static std::string ref(int n) {
+    return "req-" + std::to_string(n);
+  }
   void cancel(int first, int count, double from, double apart = 0.05) {
-    for (int n = 0; n < count; ++n) at(from + n * apart, [this, n, first] { world.cancel(ref(first + n)); });
+    for (int n = 0; n < count; ++n)
+      at(from + n * apart, [this, n, first] { world.cancel(ref(first + n)); });
+  }
+  std::size_t elections() const {
+    return world.verdict().elections;
   }
-  std::size_t elections() const { return world.verdict().elections; }
 
   // All becomes quiet; then nothing is left undone, untold or unanswered.
   const Verdict& finish(double calm_s = 420) {
     world.step(world.now() + calm_s);
     const Verdict& v = world.close();
-    for (const auto& b : v.broken) ADD_FAILURE() << b;
+    for (const auto& b : v.broken)
+      ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U);
     EXPECT_LE(v.longest_beside_room, 90) << "all was calm";
     EXPECT_EQ(world.cancellations_open(), 0U) << "users who were put off have to hear in the end";
@@ -92,7 +103,8 @@
   for (int seed = 1; seed <= seeds * wide(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     sum += day(static_cast<std::uint64_t>(seed));
-    if (::testing::Test::HasFailure()) return;
+    if (::testing::Test::HasFailure())
+      return;
   }
   EXPECT_GE(sum, happened * static_cast<std::size_t>(wide())) << "the meeting did not happen";
 }
@@ -111,7 +123,8 @@
   day.world.state_refuses(old, 14);
   day.cancel(10, 7, 60 + gap.a);
   day.at(60 + gap.b, [&] { day.world.state_outage(gap.down_s); });
-  if (gap.beside) gap.beside(day);
+  if (gap.beside)
+    gap.beside(day);
   const double until = 60 + gap.b + gap.down_s;
   day.world.step(until);
   std::size_t confirmed = 0;
@@ -131,7 +144,8 @@
         SCOPED_TRACE("cancelled after " + std::to_string(a) + " s, down after " + std::to_string(b) +
                      " s for " + std::to_string(down));
         confirmed += play_gap(deployed(static_cast<std::uint64_t>(10 * a + b + 20)), {a, b, down, {}});
-        if (HasFailure()) return;
+        if (HasFailure())
+          return;
       }
     }
   }
@@ -143,26 +157,50 @@
       {"all controllers end amid it",
        [](Day& d) {
          d.at(75, [&d] {
-           for (std::size_t i = 0; i < 3; ++i) d.world.crash(i);
+           for (std::size_t i = 0; i < 3; ++i)
+             d.world.crash(i);
          });
        }},
-      {"machines hang", [](Day& d) { d.at(62.1, [&d] { d.world.ail(World::Ail::hung, 3, 30, "req-10"); }); }},
+      {"machines hang",
+       [](Day& d) {
+         d.at(62.1, [&d] { d.world.ail(World::Ail::hung, 3, 30, "req-10"); });
+       }},
       {"machines out of reach",
-       [](Day& d) { d.at(61, [&d] { d.world.ail(World::Ail::unreachable, 3, 50, "req-11"); }); }},
-      {"deaf machines", [](Day& d) { d.at(61, [&d] { d.world.ail(World::Ail::deaf, 3, 40, "req-10"); }); }},
-      {"mute machines", [](Day& d) { d.at(61, [&d] { d.world.ail(World::Ail::mute, 3, 40, "req-10"); }); }},
-      {"answers lost", [](Day& d) { d.at(58, [&d] { d.world.late_writes(0.4, 20, true); }); }},
-      {"late writes", [](Day& d) { d.at(58, [&d] { d.world.late_writes(0.4, 20, false); }); }},
-      {"old reports", [](Day& d) { d.at(50, [&d] { d.world.late_reports(0.5, 12, World::CopyArrives::after_election); }); }},
+       [](Day& d) {
+         d.at(61, [&d] { d.world.ail(World::Ail::unreachable, 3, 50, "req-11"); });
+       }},
+      {"deaf machines",
+       [](Day& d) {
+         d.at(61, [&d] { d.world.ail(World::Ail::deaf, 3, 40, "req-10"); });
+       }},
+      {"mute machines",
+       [](Day& d) {
+         d.at(61, [&d] { d.world.ail(World::Ail::mute, 3, 40, "req-10"); });
+       }},
+      {"answers lost",
+       [](Day& d) {
+         d.at(58, [&d] { d.world.late_writes(0.4, 20, true); });
+       }},
+      {"late writes",
+       [](Day& d) {
+         d.at(58, [&d] { d.world.late_writes(0.4, 20, false); });
+       }},
+      {"old reports",
+       [](Day& d) {
+         d.at(50, [&d] { d.world.late_reports(0.5, 12, World::CopyArrives::after_election); });
+       }},
       {"the old leader stands still",
-       [](Day& d) { d.at(61, [&d] { d.world.freeze(d.world.leader().value_or(0), 9); }); }},
+       [](Day& d) {
+         d.at(61, [&d] { d.world.freeze(d.world.leader().value_or(0), 9); });
+       }},
   };
   std::size_t confirmed = 0;
   for (const auto& [name, trouble] : beside) {
     for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(2 * wide()); ++seed) {
       SCOPED_TRACE(name + ", seed " + std::to_string(seed));
       confirmed += play_gap(deployed(seed), {2.0 + static_cast<double>(seed % 3), 8, 50, trouble});
-      if (HasFailure()) return;
+      if (HasFailure())
+        return;
     }
   }
   EXPECT_GT(confirmed, 30U);
@@ -180,7 +218,8 @@
         plan.agreed = consent;
         plan.one_fixed = fixed;
         confirmed += play_gap(plan, {2.5, 9, 45, {}});
-        if (HasFailure()) return;
+        if (HasFailure())
+          return;
       }
     }
   }
@@ -195,8 +234,10 @@
     day.world.close_looks(90);
     day.long_arrays(4, 20);
     day.stream(120, 0.4, 0.4);
-    if (seed % 2 == 0) day.at(60, [&] { day.world.state_slow(20); });
-    for (double t = 70; t < 120; t += 18) day.at(t, [&] { day.crash_leader(); });
+    if (seed % 2 == 0)
+      day.at(60, [&] { day.world.state_slow(20); });
+    for (double t = 70; t < 120; t += 18)
+      day.at(t, [&] { day.crash_leader(); });
     day.world.step(130);
     return day.finish(200).looks;
   });
@@ -250,9 +291,12 @@
     day.world.step(58);
     const std::size_t before = day.elections(), old = day.world.leader().value_or(0);
     const double shift = 0.5 * static_cast<double>(seed % 12);
-    if (seed % 3 == 0) day.at(60, [&] { day.world.crash(old); });
-    if (seed % 3 == 1) day.at(60, [&] { day.world.freeze(old, 7); });
-    if (seed % 3 == 2) day.at(60, [&] { day.world.cut_node(old, true, false, 12, seed % 2 == 0); });
+    if (seed % 3 == 0)
+      day.at(60, [&] { day.world.crash(old); });
+    if (seed % 3 == 1)
+      day.at(60, [&] { day.world.freeze(old, 7); });
+    if (seed % 3 == 2)
+      day.at(60, [&] { day.world.cut_node(old, true, false, 12, seed % 2 == 0); });
     day.cancel(10, 8, 59 + shift, 0.1);
     day.world.step(80);
     const std::size_t changes = day.elections() - before;
@@ -295,11 +339,13 @@
     Day day(plan);
     day.long_arrays(6, 25);
     day.stream(150, 0.6, 0.3);
-    day.world.late_reports(0.4, 60, seed % 3 != 0 ? World::CopyArrives::after_election : World::CopyArrives::later);
+    day.world.late_reports(0.4, 60,
+                           seed % 3 != 0 ? World::CopyArrives::after_election : World::CopyArrives::later);
     day.at(52, [&] { day.world.ail(World::Ail::unreachable, 3, 26); });  // their sessions end
     day.at(60 + 0.3 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(85, [&] {
-      day.world.late_reports(0.4, 50, seed % 3 == 0 ? World::CopyArrives::after_election : World::CopyArrives::later);
+      day.world.late_reports(0.4, 50,
+                             seed % 3 == 0 ? World::CopyArrives::after_election : World::CopyArrives::later);
       day.crash_leader();
     });
     day.at(110, [&] { day.crash_leader(); });
@@ -319,7 +365,8 @@
     plan.write_rps = 21;
     Day day(plan);
     day.stream(160, 0.25, 0.25);
-    if (seed % 2 == 0) day.at(100, [&] { day.crash_leader(); });
+    if (seed % 2 == 0)
+      day.at(100, [&] { day.crash_leader(); });
     day.world.step(170);
     day.world.cancel(Day::ref(1)), day.world.cancel(Day::ref(2));
     const Verdict& v = day.finish(120);
@@ -342,7 +389,8 @@
     day.long_arrays(6, 15);
     day.stream(100, 0.4, 0.5);
     day.cancel(10, 4, 47, 2.3);
-    if (seed % 2 == 0) day.at(70, [&] { day.crash_leader(); });
+    if (seed % 2 == 0)
+      day.at(70, [&] { day.crash_leader(); });
     day.world.step(110);
     return day.finish().told_gone;
   });
@@ -360,7 +408,8 @@
     day.long_arrays(8, 20, 6);
     day.stream(110, 0.5, 0.3, 2);
     day.at(75 + static_cast<double>(seed), [&] { day.crash_leader(); });
-    if (seed % 2 == 0) day.at(100, [&] { day.crash_leader(); });
+    if (seed % 2 == 0)
+      day.at(100, [&] { day.crash_leader(); });
     day.world.step(120);
     return day.finish().late_writes;
   });
@@ -393,8 +442,10 @@
     Day day(deployed(seed));
     day.long_arrays(8, 40);
     day.stream(170, 0.7, 0.4);
-    for (int k = 0; k < 10; ++k) day.at(50 + 12 * k, [&] { day.crash_leader(); });
-    if (seed % 2 == 0) day.at(80, [&] { day.world.state_outage(20); });
+    for (int k = 0; k < 10; ++k)
+      day.at(50 + 12 * k, [&] { day.crash_leader(); });
+    if (seed % 2 == 0)
+      day.at(80, [&] { day.world.state_outage(20); });
     day.cancel(10, 6, 51, 9);
     day.world.step(180);
     const std::size_t n = day.elections();
@@ -413,10 +464,12 @@
     day.long_arrays(6, 40);
     day.stream(110, 0.7, 0.4);
     const auto all = [&day] {
-      for (std::size_t i = 0; i < 3; ++i) day.world.crash(i);
+      for (std::size_t i = 0; i < 3; ++i)
+        day.world.crash(i);
     };
     day.at(60, all);
-    if (!long_away) day.at(61 + 0.3 * static_cast<double>(seed), all);
+    if (!long_away)
+      day.at(61 + 0.3 * static_cast<double>(seed), all);
     day.at(100, all);
     day.cancel(10, 4, 59.5, 0.4);
     day.world.step(150);
@@ -434,7 +487,8 @@
     day.world.step(58);
     day.world.cut_zone(seed % 2, 35, seed % 4 < 2);
     day.cancel(10, 7, 57 + static_cast<double>(seed), 0.4);
-    if (seed % 3 == 0) day.at(70, [&] { day.crash_leader(); });
+    if (seed % 3 == 0)
+      day.at(70, [&] { day.crash_leader(); });
     day.world.step(150);
     const std::size_t n = day.world.verdict().kept_in_custody;
     day.finish();
@@ -473,7 +527,8 @@
     day.world.odd_requests(100);
     day.stream(120, 0.5, 0.1, 2 + static_cast<std::uint32_t>(seed % 2), 4);
     if (seed % 3 != 0) {
-      for (double t = 60; t < 130; t += 17) day.at(t, [&] { day.crash_leader(); });
+      for (double t = 60; t < 130; t += 17)
+        day.at(t, [&] { day.crash_leader(); });
     }
     day.world.step(140);
     const Verdict& v = day.finish();
@@ -493,8 +548,10 @@
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec s = job_of(10 + n, 5, n % 2 == 0 ? "red" : "blue");
       s.estimate_s = 40;
-      if (n % 2 == 0) s.zone = "z0";
-      if (n % 4 == 1) s.one_zone = true;
+      if (n % 2 == 0)
+        s.zone = "z0";
+      if (n % 4 == 1)
+        s.one_zone = true;
       day.world.user(s, 40);
     }
     day.world.step(56);
@@ -520,10 +577,12 @@
     day.stream(150, 0.5, 0.5);
     day.at(50, [&] { day.world.state_slow(60); });
     day.at(60, [&] {
-      if (seed % 2 == 0) day.world.state_refuses(day.world.leader().value_or(0), 10);
+      if (seed % 2 == 0)
+        day.world.state_refuses(day.world.leader().value_or(0), 10);
     });
     day.at(64 + static_cast<double>(seed), [&] {
-      if (seed % 2 == 0) day.world.state_outage(40);
+      if (seed % 2 == 0)
+        day.world.state_outage(40);
     });
     day.cancel(10, 7, 60, 0.8);
     day.world.step(170);
@@ -549,10 +608,12 @@
       day.world.step(day.world.now() + 2);
     }
     day.world.cancel("req-10");
-    for (double t = day.world.now(); day.world.keys("f/") == 0 && t < 80; t += 0.0002) day.world.step(t);
+    for (double t = day.world.now(); day.world.keys("f/") == 0 && t < 80; t += 0.0002)
+      day.world.step(t);
     day.world.state_outage(33);
     const double back = day.world.now() + 33;
-    for (int n = 11; n < 14; ++n) day.world.watch_closely(Day::ref(n), 60);
+    for (int n = 11; n < 14; ++n)
+      day.world.watch_closely(Day::ref(n), 60);
     day.world.step(back);
     day.world.late_writes(0.7, 8, false);  // of reads for users too, so some of them do get through
     day.world.step(back + 1.4);
@@ -579,7 +640,8 @@
     }
     day.world.step(50);
     day.world.late_writes(0.35, 40, true);
-    for (int k = 0; k < 3; ++k) day.at(52 + 12 * k, [&] { day.crash_leader(); });
+    for (int k = 0; k < 3; ++k)
+      day.at(52 + 12 * k, [&] { day.crash_leader(); });
     day.world.step(95);
     const std::size_t n = day.elections();
     const Verdict& v = day.finish(500);
@@ -601,8 +663,10 @@
     day.cancel(11, 1, 61);
     day.world.step(330);
     std::string rules;
-    for (const auto& b : day.world.verdict().broken) rules += b.substr(0, b.find(' ')) + " ";
-    if (day.world.verdict().longest_beside_room > 90) rules += "beside_room";
+    for (const auto& b : day.world.verdict().broken)
+      rules += b.substr(0, b.find(' ')) + " ";
+    if (day.world.verdict().longest_beside_room > 90)
+      rules += "beside_room";
     return rules;
   };
   EXPECT_EQ(broken(""), "");
@@ -627,7 +691,8 @@
       for (int k = 0; k < 3; ++k) {
         day.at(45 + 2.0 * n, [&day, n, k, seed] {
           wire::JobSpec s = job_of(1000 + 3 * n + k, 10, k % 2 == 0 ? "red" : "blue");
-          if (seed % 2 == 0) s.priority = wire::Priority::high;
+          if (seed % 2 == 0)
+            s.priority = wire::Priority::high;
           s.estimate_s = 10;
           day.world.user(s, 10);
         });
@@ -643,8 +708,10 @@
     day.at(150, [&] { day.crash_leader(); });
     day.world.step(60 + 240);
     std::size_t n = 0;
-    for (int ref = 10; ref < 14; ++ref) n += day.world.began_at(Day::ref(ref)) >= 0;
-    for (const auto& b : day.world.verdict().broken) ADD_FAILURE() << b;
+    for (int ref = 10; ref < 14; ++ref)
+      n += day.world.began_at(Day::ref(ref)) >= 0;
+    for (const auto& b : day.world.verdict().broken)
+      ADD_FAILURE() << b;
     return n;
   };
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -24,7 +24,8 @@
   const jobs::ProgressCodec codec(8);
   jobs::Job job = big_job(wire::kMaxTasks);
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
-    if (i * 2654435761U % 7 < 3) job.tasks[i].state = jobs::TaskState::done;
+    if (i * 2654435761U % 7 < 3)
+      job.tasks[i].state = jobs::TaskState::done;
   }
   std::vector<bool> back(job.spec.tasks);
   for (std::uint32_t c = 0; c < codec.chunks(job); ++c) {
@@ -38,7 +39,9 @@
 
 TEST(Progress, RecordsThatMakeNoSenseAreRefused) {
   const jobs::ProgressCodec codec(8);
-  const auto none = [](std::uint32_t) { FAIL(); };
+  const auto none = [](std::uint32_t) {
+    FAIL();
+  };
   EXPECT_FALSE(codec.decode({{"from", 0}, {"bits", "~"}}, 6, none));
   EXPECT_FALSE(codec.decode({{"from", 90}, {"bits", "00"}}, 12, none));
   EXPECT_FALSE(codec.decode({{"bits", "0"}}, 6, none));
@@ -77,7 +80,8 @@
     for (; port < 23'200; ++port) {
       server = std::make_unique<net::Server>(scope, "127.0.0.1", port, limits,
                                              [](net::Request r) { return echo(std::move(r)); });
-      if (!server->listen()) break;
+      if (!server->listen())
+        break;
     }
     std::string got;
     run(loop, scope, port, bytes, got);
@@ -108,7 +112,8 @@
     co_await net::Sleep(scope, loop.now() + 0.15);
     char buffer[8192];
     const ssize_t n = recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
-    if (n > 0) got.assign(buffer, static_cast<std::size_t>(n));
+    if (n > 0)
+      got.assign(buffer, static_cast<std::size_t>(n));
     close(fd);
     loop.stop();
   }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -34,7 +34,9 @@
                  {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
       ledger.set_events({[](Job&) {}, [](const std::vector<Ledger::Ended>&) {},
                          [this](Ix ix) { enlisted.insert(ix); },
-                         [this](Ix ix) { return record(hosts[ix]); }});
+                         [this](Ix ix) {
+                           return record(hosts[ix]);
+                         }});
       ledger.begin();
     }
     static settings::Settings with(double value_kb, int txn_ops) {
@@ -68,7 +70,8 @@
   int lose = 0;  // so many transactions from now on get no answer
   std::vector<wire::Value> late;
   std::uint64_t version_of(const std::string& key) const {
-    if (key == "lead") return 7;
+    if (key == "lead")
+      return 7;
     const auto it = versions.find(key);
     return !kept.contains(key) ? 0 : it == versions.end() ? 1 : it->second;
   }
@@ -76,11 +79,13 @@
   void apply(const wire::Value& body, ports::Reply& r) {
     wire::Value failed = wire::Value::array();
     for (const auto& c : body["if"]) {
-      if (version_of(c["path"]) != c["stamp"]) failed.push_back(c["path"]);
+      if (version_of(c["path"]) != c["stamp"])
+        failed.push_back(c["path"]);
     }
     r.status = failed.empty() ? 200 : 409;
     r.body = {{"ledgerRev", revision + failed.empty()}, {"failed", failed}};
-    if (!failed.empty()) return;
+    if (!failed.empty())
+      return;
     ++revision;
     for (const auto& op : body["apply"]) {
       if (op.contains("put")) {
@@ -96,7 +101,8 @@
   // Lets the ledger write until nothing is left to do; false once it has "crashed".
   bool run(Leader& l) {
     for (int i = 0; i < 4000; ++i) {
-      if (!step(l)) return false;
+      if (!step(l))
+        return false;
     }
     return true;
   }
@@ -107,15 +113,18 @@
       if (call.method == "GET") {
         const std::string key = call.path.substr(std::string("/kv/").size());
         r.status = kept.contains(key) ? 200 : 404;
-        if (r.status == 200) r.body = {{"path", key}, {"data", kept[key]}, {"stamp", version_of(key)}};
+        if (r.status == 200)
+          r.body = {{"path", key}, {"data", kept[key]}, {"stamp", version_of(key)}};
         l.out.complete(call.id, r);
         continue;
       }
       std::size_t size = 0;
       for (const auto& op : call.body["apply"]) {
-        if (op.contains("data")) size = std::max(size, op["data"].dump().size());
+        if (op.contains("data"))
+          size = std::max(size, op["data"].dump().size());
       }
-      if (crash_after == 0) return false;
+      if (crash_after == 0)
+        return false;
       if (lose > 0) {  // no answer; `late` is carried out when the test says so
         --lose;
         late.push_back(call.body);
@@ -124,7 +133,8 @@
       }
       r.status = size > refuse_above ? 400 : 200;
       if (r.status == 200) {
-        if (crash_after > 0) --crash_after;
+        if (crash_after > 0)
+          --crash_after;
         largest = std::max(largest, size);
         most_ops = std::max(most_ops, call.body["apply"].size());
         apply(call.body, r);
@@ -151,7 +161,8 @@
         EXPECT_TRUE(l.ledger.load_roster(key, value, version_of(key), [&l](const wire::Value& r) {
           const auto host = wire::text(r, "host").value();
           for (Ix ix = 0; ix < l.hosts.size(); ++ix) {
-            if (l.hosts[ix] == host) return ix;
+            if (l.hosts[ix] == host)
+              return ix;
           }
           return l.host(host);
         }));
@@ -165,7 +176,8 @@
     std::string bits;
     for (std::uint32_t i = from; i < to; i += 6) {
       unsigned six = 0;
-      for (unsigned b = 0; b < 6; ++b) six |= done.contains(i + b) ? 1U << b : 0;
+      for (unsigned b = 0; b < 6; ++b)
+        six |= done.contains(i + b) ? 1U << b : 0;
       bits += six == '\\' - '0' ? 'z' : static_cast<char>('0' + six);
     }
     return {{"ref", ref}, {"from", from}, {"bits", bits}};
@@ -173,9 +185,11 @@
   std::set<std::uint32_t> former_reads(const std::string& ref) const {
     std::set<std::uint32_t> done;
     for (const auto& [key, value] : kept) {
-      if (!key.starts_with(kProgress)) continue;
+      if (!key.starts_with(kProgress))
+        continue;
       for (const auto& entry : value) {
-        if (entry["ref"] != ref) continue;
+        if (entry["ref"] != ref)
+          continue;
         const auto bits = entry["bits"].get<std::string>();
         for (std::size_t i = 0; i < bits.size() * 6; ++i) {
           const int six = bits[i / 6] == 'z' ? '\\' - '0' : bits[i / 6] - '0';
@@ -189,16 +203,21 @@
   std::multiset<std::string> former_hosts() const {
     std::multiset<std::string> out;
     for (const auto& [key, value] : kept) {
-      if (!key.starts_with(kRoster)) continue;
+      if (!key.starts_with(kRoster))
+        continue;
       for (const auto& h : value["hosts"]) {
-        for (const char* field : {"addr", "type", "zone"}) EXPECT_TRUE(wire::text(h, field));
-        for (const auto& i : h["images"]) EXPECT_LT(i.get<std::size_t>(), value["images"].size());
+        for (const char* field : {"addr", "type", "zone"})
+          EXPECT_TRUE(wire::text(h, field));
+        for (const auto& i : h["images"])
+          EXPECT_LT(i.get<std::size_t>(), value["images"].size());
         out.insert(h["host"].get<std::string>());
       }
     }
     return out;
   }
-  static std::string name(int i) { return "i-" + std::to_string(100000 + i); }
+  static std::string name(int i) {
+    return "i-" + std::to_string(100000 + i);
+  }
 };
 
 // A chunk of the former layout is several of ours; each part must stay recorded when its page is rewritten,
@@ -207,7 +226,8 @@
   constexpr std::uint32_t kTasks = 100'000, kChunk = 4096 * 6;
   std::set<std::uint32_t> done;
   for (std::uint32_t i = 0; i < kTasks; ++i) {
-    if (i * 2654435761U % 7 < 3) done.insert(i);
+    if (i * 2654435761U % 7 < 3)
+      done.insert(i);
   }
   std::map<std::string, wire::Value> former;
   for (std::uint32_t c = 0; c * kChunk < kTasks; ++c) {
@@ -226,7 +246,8 @@
     // One more task of each of the former chunks, so that every page is written anew.
     std::set<std::uint32_t> more = done;
     for (std::uint32_t t = 5; t < kTasks; t += kChunk) {
-      if (done.contains(t)) continue;
+      if (done.contains(t))
+        continue;
       a.registry.complete(*a.registry.find("req-1"), t, kNone);
       a.ledger.progress(*a.registry.find("req-1"), t, 0, 1);
       more.insert(t);
@@ -243,7 +264,8 @@
     load(b);
     EXPECT_GE(b.registry.find("req-1")->done, done.size());
     EXPECT_EQ(b.registry.find("req-2")->done, 5U);
-    if (!whole) continue;
+    if (!whole)
+      continue;
     EXPECT_EQ(read, more);
   }
 }
@@ -290,7 +312,8 @@
     load(l);
     ASSERT_EQ(l.hosts.size(), all.size());
     // One machine of each page is gone, and a new one joins.
-    for (int page = 0; page < 6; ++page) l.ledger.delist(static_cast<Ix>(page * 45));
+    for (int page = 0; page < 6; ++page)
+      l.ledger.delist(static_cast<Ix>(page * 45));
     const Ix fresh = l.host("i-900000");
     l.ledger.enlist(fresh);
     const bool whole = run(l);
@@ -300,7 +323,8 @@
       EXPECT_TRUE(i % 45 == 0 || read.contains(l.hosts[i])) << l.hosts[i] << " after " << crash;
     }
     EXPECT_EQ(l.enlisted.contains(fresh), read.contains("i-900000"));
-    if (!whole) continue;
+    if (!whole)
+      continue;
     EXPECT_EQ(read.size(), all.size() - 6 + 1) << "each machine once, and none that is gone";
   }
 }
@@ -309,7 +333,8 @@
 TEST_F(RecordsTest, WhatTheStateServiceRefusesIsDividedFurther) {
   refuse_above = 700;
   Leader l(8, 12);
-  for (int i = 0; i < 60; ++i) l.ledger.enlist(l.host(name(i)));
+  for (int i = 0; i < 60; ++i)
+    l.ledger.enlist(l.host(name(i)));
   ASSERT_TRUE(run(l));
   EXPECT_EQ(l.enlisted.size(), 60U);
   EXPECT_EQ(former_hosts().size(), 60U);
--- a/tests/rides.hpp
+++ b/tests/rides.hpp
@@ -87,7 +87,8 @@
 }
 
 inline void lost_nothing(const Ride& r) {
-  for (const auto& b : r.verdict.broken) ADD_FAILURE() << b;
+  for (const auto& b : r.verdict.broken)
+    ADD_FAILURE() << b;
   EXPECT_GT(r.before, 20U);
   EXPECT_EQ(r.again, 0U) << "what ran on unseen was started again";
   EXPECT_EQ(r.verdict.returned_in_cut, 0U);
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -32,19 +32,23 @@
     for (std::size_t task = 0; task < kMachines * kPerMachine / 32; ++task) {
       const std::size_t m = any(rng);
       const double took = runs(rng) * whole * (m < kSlow ? speed : 1);
-      if (n >= 5) speeds.ended(m, job, std::log(took / mean));
+      if (n >= 5)
+        speeds.ended(m, job, std::log(took / mean));
       mean = (mean * n + took) / (n + 1);
       ++n;
       speeds.look(m);
       speeds.runs(m, job, std::log(0.7));
-      if (speeds.slow(m)) alarmed[m] = true;
+      if (speeds.slow(m))
+        alarmed[m] = true;
     }
   }
   Verdicts v;
   for (std::size_t m = 0; m < kMachines; ++m) {
-    if (!alarmed[m]) continue;
+    if (!alarmed[m])
+      continue;
     ++(m < kSlow ? v.found : v.blamed);
-    if (m < kSlow) v.factor += speeds.factor(m) / kSlow;
+    if (m < kSlow)
+      v.factor += speeds.factor(m) / kSlow;
   }
   return v;
 }
@@ -67,18 +71,22 @@
 // What one job does is the job's own matter, however clear.
 TEST(Speeds, OneJobAloneBlamesNoMachine) {
   Speeds speeds;
-  for (int i = 0; i < 50; ++i) speeds.ended(7, 1, std::log(4.0));
-  for (int i = 0; i < 50; ++i) speeds.runs(7, 1, std::log(4.0));
+  for (int i = 0; i < 50; ++i)
+    speeds.ended(7, 1, std::log(4.0));
+  for (int i = 0; i < 50; ++i)
+    speeds.runs(7, 1, std::log(4.0));
   EXPECT_FALSE(speeds.slow(7));
   for (const Ix job : {2U, 3U}) {
-    for (int i = 0; i < 5; ++i) speeds.ended(7, job, std::log(4.0));
+    for (int i = 0; i < 5; ++i)
+      speeds.ended(7, job, std::log(4.0));
   }
   speeds.look(7);
   speeds.runs(7, 3, std::log(4.0));
   EXPECT_TRUE(speeds.slow(7));
   // Sound again: enough tasks of other jobs take what they should.
   for (Ix job = 10; job < 30; ++job) {
-    for (int i = 0; i < 5; ++i) speeds.ended(7, job, 0);
+    for (int i = 0; i < 5; ++i)
+      speeds.ended(7, job, 0);
   }
   EXPECT_FALSE(speeds.slow(7));
 }
@@ -115,7 +123,9 @@
     pcg32 rng(seed);
     jobs::Registry registry(settings);
     Picture picture;
-    registry.on_placed = [&](const Job& job, Ix zone, int tasks) { picture.placed(job, zone, tasks); };
+    registry.on_placed = [&](const Job& job, Ix zone, int tasks) {
+      picture.placed(job, zone, tasks);
+    };
     std::vector<Job*> all;
     for (int j = 0; j < 12; ++j) {
       wire::JobSpec spec;
@@ -136,12 +146,14 @@
         const Ix zone = job.in_zone.size() > 1 && job.in_zone[1] > 0 ? 1 : 0;
         rng(3) == 0 ? registry.complete(job, task, zone) : registry.unplace(job, task, zone);
       }
-      if (step % 100 != 0) continue;
+      if (step % 100 != 0)
+        continue;
       std::map<Picture::Key, double> held;
       std::vector<double> zones(2);
       for (const Job* j : all) {
         held[{j->team, j->job_class}] += j->placed * j->spec.need.cpus;
-        for (std::size_t z = 0; z < j->in_zone.size(); ++z) zones[z] += j->in_zone[z] * j->spec.need.cpus;
+        for (std::size_t z = 0; z < j->in_zone.size(); ++z)
+          zones[z] += j->in_zone[z] * j->spec.need.cpus;
       }
       for (const auto& [key, cores] : held) {
         const auto* load = picture.of(key.first, key.second);
@@ -163,9 +175,11 @@
   spec.tasks = 1;
   const Job& job = registry.add(spec, 1, 0);
   Picture picture;
-  for (int s = 0; s < 200; ++s) picture.came(job, 100, s);
+  for (int s = 0; s < 200; ++s)
+    picture.came(job, 100, s);
   EXPECT_NEAR(picture.of(0, 0)->surge(200), 1, 0.15);
-  for (int s = 200; s < 210; ++s) picture.came(job, 500, s);
+  for (int s = 200; s < 210; ++s)
+    picture.came(job, 500, s);
   EXPECT_GT(picture.of(0, 0)->surge(210), 2);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -82,7 +82,8 @@
     std::string bytes = good;
     for (std::uint32_t k = rng(6) + 1; k > 0; --k)
       bytes[rng(static_cast<std::uint32_t>(bytes.size()))] = static_cast<char>(rng(256));
-    if (rng(3) == 0) bytes.resize(rng(static_cast<std::uint32_t>(bytes.size())));
+    if (rng(3) == 0)
+      bytes.resize(rng(static_cast<std::uint32_t>(bytes.size())));
     if (auto v = decode_cbor(bytes)) {
       ++parsed;
       (void)parse_job(*v);
--- a/tests/world_hunt.cpp
+++ b/tests/world_hunt.cpp
@@ -13,8 +13,10 @@
   std::size_t guests = 0;
   for (int seed = first; seed < first + count; ++seed) {
     const auto day = wingtrail::world::play_cells(static_cast<std::uint64_t>(seed));
-    for (const auto& b : day.broken) std::cout << b << " (cells, seed " << seed << ")\n";
-    if (day.unfinished > 0) std::cout << "seed " << seed << ": " << day.unfinished << " unfinished\n";
+    for (const auto& b : day.broken)
+      std::cout << b << " (cells, seed " << seed << ")\n";
+    if (day.unfinished > 0)
+      std::cout << "seed " << seed << ": " << day.unfinished << " unfinished\n";
     broken += !day.broken.empty();
     unfinished += day.unfinished > 0;
     guests += day.guests_started;
@@ -30,17 +32,22 @@
 int main(int argc, char** argv) {
   const int first = argc > 1 ? std::atoi(argv[1]) : 1, count = argc > 2 ? std::atoi(argv[2]) : 100;
   spdlog::set_level(argc > 3 ? spdlog::level::from_str(argv[3]) : spdlog::level::off);
-  if (argc > 4 && std::strcmp(argv[4], "cells") == 0) return hunt_cells(first, count);
+  if (argc > 4 && std::strcmp(argv[4], "cells") == 0)
+    return hunt_cells(first, count);
   int broken = 0, unfinished = 0;
   for (int seed = first; seed < first + count; ++seed) {
     wingtrail::world::Plan plan = wingtrail::world::plan_of(static_cast<std::uint64_t>(seed));
-    if (argc > 4) plan.fault_every_s = 0;
+    if (argc > 4)
+      plan.fault_every_s = 0;
     const auto v = wingtrail::world::World(plan).run();
-    for (const auto& b : v.broken) std::cout << b << "\n";
-    if (v.unfinished > 0) std::cout << "seed " << seed << ": " << v.unfinished << " unfinished\n";
+    for (const auto& b : v.broken)
+      std::cout << b << "\n";
+    if (v.unfinished > 0)
+      std::cout << "seed " << seed << ": " << v.unfinished << " unfinished\n";
     broken += !v.broken.empty();
     unfinished += v.unfinished > 0;
-    if (argc > 4 && v.elections > 1) std::cout << "seed " << seed << ": " << v.elections << " elections\n";
+    if (argc > 4 && v.elections > 1)
+      std::cout << "seed " << seed << ": " << v.elections << " elections\n";
     if (count == 1) {
       std::cout << v.started << " started, " << v.accepted << " accepted, " << v.finished << " finished, "
                 << v.cancelled << " cancelled, " << v.elections << " elections, " << v.chained << " chained, "
@@ -48,8 +55,8 @@
                 << " on sheets, " << v.put_off << " put off\n"
                 << v.late_writes << " written late, " << v.lost_answers << " answers lost, " << v.late_reports
                 << " late reports, " << v.late_commands << " late commands, " << v.again_after_done
-                << " started again after they were done, " << v.kept_reports << " kept for the next leader, " << v.unheard
-                << " unheard, " << v.called_off << " called off together, " << v.at_the_end
+                << " started again after they were done, " << v.kept_reports << " kept for the next leader, "
+                << v.unheard << " unheard, " << v.called_off << " called off together, " << v.at_the_end
                 << " cancelled at the end, " << v.odd_answers << " odd requests, " << v.looks
                 << " close looks, beside room for " << v.longest_beside_room << " s at most, unanswered for "
                 << v.longest_unanswered << " s at most\n";
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -8,14 +8,17 @@
 
 class Seeds : public ::testing::TestWithParam<int> {
  protected:
-  void SetUp() override { spdlog::set_level(spdlog::level::off); }
+  void SetUp() override {
+    spdlog::set_level(spdlog::level::off);
+  }
 };
 
 // To repeat one: world_hunt SEED 1
 TEST_P(Seeds, RulesHoldUnderTroubles) {
   const Plan plan = plan_of(static_cast<std::uint64_t>(GetParam()));
   const Verdict v = World(plan).run();
-  for (const auto& b : v.broken) ADD_FAILURE() << b;
+  for (const auto& b : v.broken)
+    ADD_FAILURE() << b;
   EXPECT_GT(v.started, 20U);
   EXPECT_GT(v.accepted, 20U);
   EXPECT_GT(v.finished, 5U);
@@ -53,7 +56,8 @@
     Plan plan = plan_of(seed);
     plan.fault_every_s = 0;
     const Verdict v = World(plan).run();
-    for (const auto& b : v.broken) ADD_FAILURE() << b;
+    for (const auto& b : v.broken)
+      ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U) << seed;
     EXPECT_LE(v.elections, 4U) << seed;
     EXPECT_EQ(v.over_limits, 0U) << seed;
@@ -72,7 +76,8 @@
     plan.machines = 12;
     plan.fault_every_s = 40;
     const Verdict v = World(plan).run();
-    for (const auto& b : v.broken) ADD_FAILURE() << b;
+    for (const auto& b : v.broken)
+      ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U) << seed;
     over += v.over_limits;
   }
@@ -110,7 +115,8 @@
         [](World& w) {
           w.state_outage(35);
           w.at_once_after(34, [&w] {
-            for (std::size_t i = 0; i < 3; ++i) w.crash(i);
+            for (std::size_t i = 0; i < 3; ++i)
+              w.crash(i);
           });
         },
         60));
@@ -210,7 +216,8 @@
     Plan plan = large(seed, 1000);
     plan.fault_every_s = 8;
     const Verdict v = World(plan).run();
-    for (const auto& b : v.broken) ADD_FAILURE() << b;
+    for (const auto& b : v.broken)
+      ADD_FAILURE() << b;
     EXPECT_GT(v.started, 300U);
     EXPECT_GT(v.elections, 0U);
   }
@@ -232,7 +239,8 @@
     world.step(100);
     const auto s = world.leader_stats();
     EXPECT_TRUE(before && s && s->tasks_started > 200);
-    if (!before || !s) return Cost{0, 0, 0};
+    if (!before || !s)
+      return Cost{0, 0, 0};
     const auto per = [](std::uint64_t a, std::uint64_t b) {
       return static_cast<double>(a) / std::max(1.0, static_cast<double>(b));
     };
@@ -278,7 +286,8 @@
     world.begin();
     world.step(10);
     int n = 0;
-    for (int i = 0; i < 60; ++i) world.user(live(++n, 2, i % 10), 0);
+    for (int i = 0; i < 60; ++i)
+      world.user(live(++n, 2, i % 10), 0);
     world.step(30);
     for (int i = 0; i < 30; ++i) {
       wire::JobSpec s = job_of(++n, 40, "blue");
@@ -287,13 +296,16 @@
     }
     world.step(60);
     const std::size_t before = world.verdict().services_late;
-    for (int i = 0; i < 24; ++i) world.user(live(++n, 2, i % 10), 0);
+    for (int i = 0; i < 24; ++i)
+      world.user(live(++n, 2, i % 10), 0);
     world.step(70);
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
     return world.verdict().services_late - before;
   };
   std::size_t with = 0, without = 0;
-  for (const std::uint64_t seed : {1U, 2U, 3U}) with += late(seed, true), without += late(seed, false);
+  for (const std::uint64_t seed : {1U, 2U, 3U})
+    with += late(seed, true), without += late(seed, false);
   EXPECT_LT(with, 12U) << "of 144";
   EXPECT_GT(without, 2 * with) << "else this shows nothing";
 }
@@ -324,14 +336,19 @@
     const auto stats = world.leader_stats();
     moved += stats ? stats->moves_done : 0;
     // Amid the moves: the leader crashes, a zone is cut off, machines die, the state service is down.
-    if (seed % 4 == 0) world.crash(world.leader().value_or(0));
-    if (seed % 4 == 1) world.cut_zone(seed % 2, 20, true);
-    if (seed % 4 == 2) world.kill_machines(10);
-    if (seed % 4 == 3) world.state_outage(8);
+    if (seed % 4 == 0)
+      world.crash(world.leader().value_or(0));
+    if (seed % 4 == 1)
+      world.cut_zone(seed % 2, 20, true);
+    if (seed % 4 == 2)
+      world.kill_machines(10);
+    if (seed % 4 == 3)
+      world.state_outage(8);
     wave(240);
     world.step(900);
     EXPECT_EQ(world.close().unfinished, 0U) << seed;
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
   EXPECT_GT(moved, 20U);
 }
@@ -356,9 +373,11 @@
       wire::JobSpec s = job_of(++n, 15, "blue");
       s.estimate_s = 30;
       world.user(s, 30);
-      if (t == 90) world.kill_machines(10);
+      if (t == 90)
+        world.kill_machines(10);
       if (t == 100) {
-        for (std::size_t c = 0; c < 3; ++c) world.crash(c);
+        for (std::size_t c = 0; c < 3; ++c)
+          world.crash(c);
       }
       world.step(t + 2);
       if (t > 100) {
@@ -370,7 +389,8 @@
     EXPECT_GT(stats->loads.size(), 1U);
     world.step(1500);
     EXPECT_EQ(world.served("red", 300), 1.0) << seed;
-    for (const auto& b : world.verdict().broken) ADD_FAILURE() << b;
+    for (const auto& b : world.verdict().broken)
+      ADD_FAILURE() << b;
   }
 }
 
@@ -380,7 +400,8 @@
   hush();
   const Verdict v = World(plan_of(800994)).run();
   EXPECT_EQ(v.unfinished, 0U);
-  for (const auto& b : v.broken) ADD_FAILURE() << b;
+  for (const auto& b : v.broken)
+    ADD_FAILURE() << b;
 }
 
 }  // namespace
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -87,7 +87,8 @@
     t = settled + 3;
   }
   EXPECT_GT(last, kLease - 1);
-  for (double at = t - 3; at < t + 120; at += 0.1) z.heard(0, at);  // a rest
+  for (double at = t - 3; at < t + 120; at += 0.1)
+    z.heard(0, at);  // a rest
   ASSERT_TRUE(z.heard(0, t + 130));
   EXPECT_EQ(z.flaps(0), 1);
 }
@@ -125,7 +126,8 @@
         if (cut) {
           // It returns for at least two rounds of reports and at most a lease.
           double end = t;
-          while (z.life(0, end) == Life::returning) end += 0.01, z.heard(0, end);
+          while (z.life(0, end) == Life::returning)
+            end += 0.01, z.heard(0, end);
           ASSERT_GE(end - t, 2 * kReport - 0.02);
           ASSERT_LE(end - t, kLease + 0.02);
           heard = t = end;
