--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -47,7 +47,7 @@
   struct Pool {  // where machines can be had
     Ix type, zone;
     bool spot;
-    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the defaulted comparison with 0 for a pointer.
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the comparison with 0 for a pointer.
     auto operator<=>(const Pool&) const = default;
   };
   struct Hire {
