--- a/src/emulator/cloud.cpp
+++ b/src/emulator/cloud.cpp
@@ -4,17 +4,18 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-void World::keep_listing() {
+void SimulatedCluster::keep_listing() {
   snapshot_list();
   later(0.5, [this] { keep_listing(); });
 }
 
-World::Host& World::add_host(std::size_t type, std::size_t zone, bool spot, double boot) {
-  auto h = std::make_unique<Host>();
+SimulatedCluster::WorkerMachine& SimulatedCluster::add_host(std::size_t type, std::size_t zone, bool spot,
+                                                            double boot) {
+  auto h = std::make_unique<WorkerMachine>();
   char name[16];
   std::snprintf(name, sizeof name, "i-%06zu", ++hosts_made_);
   h->name = name;
@@ -26,28 +27,28 @@
   h->rate = 1 + between(-0.0005, 0.0005);
   h->never = boot > 0 && odds(0.05);
   h->sick = boot > 0 && odds(0.05);
-  Host& out = *h;
-  hosts_[h->name] = std::move(h);
+  WorkerMachine& out = *h;
+  machines_[h->name] = std::move(h);
   if (t_ < quick_boots_until_ && boot > 0)
     boot = between(0.2, 1.5), out.never = false;
   if (!out.never)
-    later(boot + between(0, 0.5), [this, n = out.name] { worker_up(*hosts_.at(n)); });
+    later(boot + between(0, 0.5), [this, n = out.name] { worker_up(*machines_.at(n)); });
   return out;
 }
 
-void World::remove_host(Host& h) {
+void SimulatedCluster::remove_host(WorkerMachine& h) {
   spdlog::debug("{:.3f} {} of {}: returned with {} tasks", t_, h.name, settings_.zones[h.zone],
                 h.tasks.size());
-  verdict_.returned_in_cut +=
+  run_report_.returned_in_cut +=
       t_ < zone_cuts_[h.zone].until &&
       std::any_of(h.tasks.begin(), h.tasks.end(), [](const TaskOn& x) { return x.phase != "exited"; });
   h.gone = true;
   h.tasks.clear();
 }
 
-void World::snapshot_list() {
+void SimulatedCluster::snapshot_list() {
   Value hosts = Value::array();
-  for (auto& [name, h] : hosts_) {
+  for (auto& [name, h] : machines_) {
     if (h->gone)
       continue;
     hosts.push_back({{"ref", name},
@@ -63,7 +64,8 @@
     lists_.erase(lists_.begin());
 }
 
-void World::cloud(const std::string& method, const std::string& path, const Value& body, Reply reply) {
+void SimulatedCluster::cloud(const std::string& method, const std::string& path, const Value& body,
+                             Reply reply) {
   if (t_ < cloud_down_until_)
     return reply(503, {{"error", "trouble"}});
   if (path == "/catalog") {
@@ -97,7 +99,7 @@
     if (auto it = hires_.find(name); it != hires_.end())
       return reply(200, it->second);
     std::size_t live = 0;
-    for (auto& [n, h] : hosts_)
+    for (auto& [n, h] : machines_)
       live += !h->gone;
     if (t_ < no_capacity_until_ || live >= plan_.most_machines)
       return reply(503, {{"error", "no capacity"}});
@@ -110,7 +112,7 @@
     const bool long_cut = cut_off(zone) && t_ > zone_cuts_[zone].from + kSeenWithin;
     for (std::size_t k = 0; k < body["howMany"].get<std::size_t>() && live < plan_.most_machines;
          ++k, ++live) {
-      verdict_.rented_in_cut += long_cut;
+      run_report_.rented_in_cut += long_cut;
       names.push_back(
           add_host(type, zone, body["standby"].get<bool>(), catalog_[type].boot_s * between(0.3, 2.5)).name);
     }
@@ -118,11 +120,11 @@
     return reply(200, hires_[name]);
   }
   for (const Value& n : body["hosts"]) {
-    auto it = hosts_.find(n.get<std::string>());
-    if (it != hosts_.end())
+    auto it = machines_.find(n.get<std::string>());
+    if (it != machines_.end())
       remove_host(*it->second);
   }
   reply(200, Value::object());
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/meetings.cpp
+++ b/src/emulator/combined_faults.cpp
@@ -1,18 +1,19 @@
-// The troubles that meet each other, as the operators list them: called by tests, or at random.
+// The faults that meet each other, as the operators list them: called by tests, or at random.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 // ---------------------------------------------------------------- machines and their reports
 
-std::size_t World::ail(Ail what, std::size_t n, double for_s, const std::string& ref) {
-  troubled(for_s);
-  std::vector<Host*> up;
-  for (auto& [name, h] : hosts_) {
+std::size_t SimulatedCluster::fail_machines(MachineFault what, std::size_t n, double for_s,
+                                            const std::string& ref) {
+  fault_lasts(for_s);
+  std::vector<WorkerMachine*> up;
+  for (auto& [name, h] : machines_) {
     if (!h->gone && !h->dead && h->up)
       up.push_back(h.get());
   }
@@ -20,7 +21,7 @@
     for (std::size_t k = up.size(); k > 1; --k)
       std::swap(up[k - 1], up[pick(k)]);
   } else {
-    const auto has = [&ref](const Host* h) {
+    const auto has = [&ref](const WorkerMachine* h) {
       return std::any_of(h->tasks.begin(), h->tasks.end(), [&ref](const TaskOn& x) {
         return x.job && x.job->spec.ref == ref && x.phase != "exited";
       });
@@ -28,16 +29,16 @@
     std::stable_partition(up.begin(), up.end(), has);
   }
   up.resize(std::min(n, up.size()));
-  for (Host* h : up) {
+  for (WorkerMachine* h : up) {
     const double until = t_ + for_s * between(0.95, 1.05);
     spdlog::debug("{:.3f} {}: ails ({}) until {:.1f}", t_, h->name, static_cast<int>(what), until);
-    if (what == Ail::hung)
+    if (what == MachineFault::hung)
       h->hung_until = until;
-    if (what == Ail::deaf)
+    if (what == MachineFault::deaf)
       h->deaf_until = until;
-    if (what == Ail::mute)
+    if (what == MachineFault::mute)
       h->mute_until = until;
-    if (what != Ail::unreachable)
+    if (what != MachineFault::unreachable)
       continue;
     for (std::size_t k = 0; k < plan_.nodes; ++k)
       cut(node_name(k), h->name, for_s, false);
@@ -45,60 +46,60 @@
   return up.size();
 }
 
-void World::late_reports(double share, double for_s, CopyArrives when) {
-  troubled(for_s);
+void SimulatedCluster::late_reports(double share, double for_s, CopyArrives when) {
+  fault_lasts(for_s);
   late_report_share_ = share;
   late_reports_until_ = t_ + for_s;
   copies_arrive_ = when;
 }
 
-void World::late_commands(double share, double for_s) {
-  troubled(for_s + 16);
+void SimulatedCluster::late_commands(double share, double for_s) {
+  fault_lasts(for_s + 16);
   late_command_share_ = share;
   late_commands_until_ = t_ + for_s;
 }
 
 // To every node, the new leader among them: as it begins, and once it has acted.
-void World::release_reports(std::size_t) {
-  troubled(5);
+void SimulatedCluster::release_reports(std::size_t) {
+  fault_lasts(5);
   for (daemon::Incoming& in : std::exchange(kept_reports_, {})) {
     if (copies_arrive_ == CopyArrives::at_election) {
       // Before the first answer of any worker; a worker's copies in no particular order.
       later(between(0, 0.0005), [this, in] {
-        ++verdict_.kept_reports;
+        ++run_report_.kept_reports;
         for (std::size_t i = 0; i < plan_.nodes; ++i)
           deliver(i, in, [](const ports::Answer&) {});
       });
       continue;
     }
     later(odds(0.3) ? between(0, 0.2) : between(0.2, 5), [this, in] {
-      ++verdict_.kept_reports;
+      ++run_report_.kept_reports;
       for (std::size_t i = 0; i < plan_.nodes; ++i)
         deliver(i, in, [](const ports::Answer&) {});
     });
   }
 }
 
-void World::quick_boots(double for_s) {
+void SimulatedCluster::quick_boots(double for_s) {
   quick_boots_until_ = t_ + for_s;
 }
 
-void World::slow_links(double for_s) {
-  troubled(for_s);
+void SimulatedCluster::slow_links(double for_s) {
+  fault_lasts(for_s);
   slow_links_until_ = t_ + for_s;
 }
 
 // ---------------------------------------------------------------- users
 
-void World::cancel(const std::string& ref) {
+void SimulatedCluster::cancel(const std::string& ref) {
   UserJob& job = *jobs_.at(ref);
   job.want_abort = true;
   abort(job);
 }
 
-void World::cancel_now(std::size_t n, double hang_s) {
+void SimulatedCluster::cancel_now(std::size_t n, double hang_s) {
   std::set<UserJob*> running;
-  for (const auto& [name, h] : hosts_) {
+  for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
     for (const TaskOn& x : h->tasks) {
@@ -116,30 +117,30 @@
   some.resize(std::min(n, some.size()));
   std::size_t hung = 0;
   for (UserJob* job : some) {
-    ++verdict_.called_off;
+    ++run_report_.called_off;
     later(between(0, 0.2), [this, job] {
       job->want_abort = true;
       abort(*job);
     });
     if (hang_s > 0 && hung < 8)
-      hung += ail(Ail::hung, 1, hang_s, job->spec.ref);
+      hung += fail_machines(MachineFault::hung, 1, hang_s, job->spec.ref);
   }
 }
 
-void World::cancel_at_end(double share, double for_s) {
+void SimulatedCluster::cancel_at_end(double share, double for_s) {
   cancel_at_end_share_ = share;
   cancel_at_end_until_ = t_ + for_s;
 }
 
-void World::close_looks(double for_s) {
+void SimulatedCluster::close_looks(double for_s) {
   looks_until_ = t_ + for_s;
 }
 
 // At all nodes, again and again within milliseconds; the submission too; some call the job off at once.
-void World::look_closely(UserJob& job) {
+void SimulatedCluster::look_closely(UserJob& job) {
   for (std::size_t round = 0; round < 4; ++round) {
     for (std::size_t i = 0; i < plan_.nodes; ++i) {
-      ++verdict_.looks;
+      ++run_report_.looks;
       later(static_cast<double>(round) * between(0.001, 0.02) + between(0, 0.003),
             [this, i, &job] { ask(job, i, "a close look"); });
     }
@@ -155,12 +156,12 @@
   });
 }
 
-void World::odd_requests(double for_s) {
+void SimulatedCluster::odd_requests(double for_s) {
   odd_until_ = t_ + for_s;
   odd_request();
 }
 
-void World::odd_request() {
+void SimulatedCluster::odd_request() {
   if (t_ > odd_until_)
     return;
   later(between(0.1, 1), [this] { odd_request(); });
@@ -174,11 +175,11 @@
   }
   const auto kind = pick(4);
   if (kind == 0 && !open.empty()) {
-    ++verdict_.odd_answers;
+    ++run_report_.odd_answers;
     return submit_at(*open[pick(open.size())], t_ - 100, i);
   }
   if (kind == 1 && !done.empty()) {
-    ++verdict_.odd_answers;
+    ++run_report_.odd_answers;
     return abort_at(*done[pick(done.size())], i);
   }
   if (jobs_.empty() || kind < 2)
@@ -210,7 +211,7 @@
   in.body = wire::encode_cbor(body);
   send("users", node_name(i), [this, in, i, ref = s.ref, kind] {
     deliver(i, in, [this, ref, kind](const ports::Answer& a) {
-      ++verdict_.odd_answers;
+      ++run_report_.odd_answers;
       if (a.status < 300 || plan_.sabotage == "odd_accepted" || (kind == 3 && a.status != 400))
         broke("accepted_odd", ref + " got " + std::to_string(a.status));
     });
@@ -227,8 +228,8 @@
 }
 
 // A planted fault: an order of nobody's brings a task of it to some machine.
-void World::start_anywhere(const UserJob& job) {
-  for (auto& [name, h] : hosts_) {
+void SimulatedCluster::start_anywhere(const UserJob& job) {
+  for (auto& [name, h] : machines_) {
     if (h->gone || h->dead || !h->up)
       continue;
     return order(*h, {{"verb", "start"}, {"shard", job.spec.ref + "/0"}, {"try", std::uint64_t{1} << 60}});
@@ -237,29 +238,29 @@
 
 // ---------------------------------------------------------------- what tests ask
 
-double World::began_at(const std::string& ref) const {
+double SimulatedCluster::began_at(const std::string& ref) const {
   return jobs_.at(ref)->began_at;
 }
 
-double World::cancelled_at(const std::string& ref) const {
+double SimulatedCluster::cancelled_at(const std::string& ref) const {
   return jobs_.at(ref)->told_cancelled;
 }
 
-std::size_t World::cancellations_open() const {
+std::size_t SimulatedCluster::cancellations_open() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
     return j.second->want_abort && j.second->accepted && !j.second->told_done && j.second->told_cancelled < 0;
   }));
 }
-bool World::told_done(const std::string& ref) const {
+bool SimulatedCluster::told_done(const std::string& ref) const {
   return jobs_.at(ref)->told_done;
 }
-bool World::accepted(const std::string& ref) const {
+bool SimulatedCluster::accepted(const std::string& ref) const {
   return jobs_.at(ref)->accepted;
 }
 
-std::size_t World::on_machines(const std::string& ref) const {
+std::size_t SimulatedCluster::on_machines(const std::string& ref) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : hosts_) {
+  for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
       continue;
     n += static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(), [&ref](const TaskOn& x) {
@@ -269,4 +270,4 @@
   return n;
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/parts.hpp
+++ b/src/emulator/components.hpp
@@ -2,21 +2,21 @@
 // platform.
 #pragma once
 
-#include "emulator/world.hpp"
+#include "emulator/simulated_cluster.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 inline constexpr double kSpan = 5;  // over which changes are counted against the budget
 inline constexpr double kSeenWithin =
     20;  // of a zone's end of contact, with as few machines as some tests have
 inline constexpr double kReport = 3, kLease = 20, kCancel = 30, kGangWait = 25, kGangPeer = 8;
 inline constexpr double kFreeCheckEvery = 0.25;  // of what is free to start; a walk over all machines
-inline constexpr double kUnanswered = 75;        // after which a job counts as forgotten, troubles being over
+inline constexpr double kUnanswered = 75;        // after which a job counts as forgotten, faults being over
 inline std::string node_name(std::size_t i) {
   return "node-" + std::to_string(i);
 }
 
-struct World::TaskOn {
+struct SimulatedCluster::TaskOn {
   std::string name;
   std::uint64_t attempt = 0;
   std::string phase;  // pulling, running, exited
@@ -28,7 +28,7 @@
   }
 };
 
-struct World::Host {
+struct SimulatedCluster::WorkerMachine {
   std::string name, addr;
   std::size_t type = 0, zone = 0;
   bool spot = false, up = false, gone = false, dead = false, never = false, sick = false;
@@ -43,7 +43,7 @@
   std::set<std::string> images;
 };
 
-struct World::UserJob {
+struct SimulatedCluster::UserJob {
   wire::JobSpec spec;
   Value body;
   double run_s = 10;
@@ -65,7 +65,7 @@
   }
 };
 
-struct World::Ctl {
+struct SimulatedCluster::Controller {
   std::unique_ptr<daemon::Node> node;
   std::uint64_t life = 0;
   double rate = 1, paused_until = -1, wake = -1;
@@ -75,9 +75,9 @@
   bool former = false;  // runs with the settings, and so the layout, of before the upgrade
 };
 
-struct World::Link {
+struct SimulatedCluster::Link {
   double cut_until = -1;
   bool hold = false;
 };
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/controllers.cpp
+++ b/src/emulator/controllers.cpp
@@ -4,19 +4,19 @@
 #include <algorithm>
 #include <cmath>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-void World::freeze(std::size_t i, double for_s) {
-  troubled(for_s);
-  ctls_[i]->paused_until = t_ + for_s;
+void SimulatedCluster::freeze(std::size_t i, double for_s) {
+  fault_lasts(for_s);
+  controllers_[i]->paused_until = t_ + for_s;
 }
 
-void World::boot(std::size_t i) {
+void SimulatedCluster::boot(std::size_t i) {
   if (outside_.boot)
     return outside_.boot(i);
-  Ctl& c = *ctls_[i];
+  Controller& c = *controllers_[i];
   if (c.node)
     return;
   settings::Settings s = c.former ? former_ : settings_;
@@ -37,22 +37,22 @@
   act(i);
 }
 
-void World::crash(std::size_t i) {
-  Ctl& c = *ctls_[i];
+void SimulatedCluster::crash(std::size_t i) {
+  Controller& c = *controllers_[i];
   if (outside_.crash)
     outside_.crash(i);
   if (!c.node && !outside_.crash)
     return;
   spdlog::debug("{:.3f} {} ends", t_, node_name(i));
-  troubled(plan_.back_to);
+  fault_lasts(plan_.back_to);
   c.node.reset();
   ++c.life;
   c.open.clear();
   later(between(plan_.back_from, plan_.back_to), [this, i] { boot(i); });
 }
 
-void World::act(std::size_t i) {
-  Ctl& c = *ctls_[i];
+void SimulatedCluster::act(std::size_t i) {
+  Controller& c = *controllers_[i];
   if (!c.node)
     return;
   for (auto actions = c.node->drain(); !actions.empty(); actions = c.node->drain()) {
@@ -69,34 +69,34 @@
   }
   if (c.node->entitled() != c.led) {
     c.led = c.node->entitled();
-    verdict_.elections += c.led;
+    run_report_.elections += c.led;
     if (c.led && !kept_reports_.empty())
       release_reports(i);
   }
   // Two nodes that may both give orders would break everything else.
   std::size_t entitled = 0;
-  for (auto& other : ctls_)
+  for (auto& other : controllers_)
     entitled += other->node && node_time(*other) < other->node->authority_until();
   if (entitled > 1)
     broke("two_leaders", node_name(i) + " acts beside another");
   poke(i);
 }
 
-void World::poke(std::size_t i) {
-  Ctl& c = *ctls_[i];
+void SimulatedCluster::poke(std::size_t i) {
+  Controller& c = *controllers_[i];
   const double wake = (c.node->next_wake() - 1000) / c.rate;
   if (!std::isfinite(wake) || (c.wake >= t_ && c.wake <= wake + 1e-9))
     return;
   c.wake = std::max(wake, t_) + 1e-6;
   at(c.wake, [this, i, life = c.life, due = c.wake] {
-    Ctl& ctl = *ctls_[i];
+    Controller& ctl = *controllers_[i];
     if (!ctl.node || ctl.life != life || ctl.wake != due)
       return;
     ctl.wake = -1;
     if (t_ < ctl.paused_until) {  // a stalled process: its timers fire when it goes on
       ctl.wake = ctl.paused_until;
       return at(ctl.paused_until, [this, i, life] {
-        Ctl& again = *ctls_[i];
+        Controller& again = *controllers_[i];
         if (!again.node || again.life != life)
           return;
         again.wake = -1;
@@ -109,15 +109,15 @@
   });
 }
 
-void World::carry_out(std::size_t i, ports::Call call) {
-  Ctl& c = *ctls_[i];
+void SimulatedCluster::carry_out(std::size_t i, ports::Call call) {
+  Controller& c = *controllers_[i];
   if (plan_.sabotage != "no_authority_check" && node_time(c) >= call.not_after) {
     later(0, [this, i, life = c.life, id = call.id] {
-      if (!ctls_[i]->node || ctls_[i]->life != life)
+      if (!controllers_[i]->node || controllers_[i]->life != life)
         return;
       ports::Reply none;
       none.delivered = false;
-      ctls_[i]->node->reply(node_time(*ctls_[i]), id, none);
+      controllers_[i]->node->reply(node_time(*controllers_[i]), id, none);
       act(i);
     });
     return;
@@ -127,12 +127,12 @@
     if (*answered)
       return;
     *answered = true;
-    Ctl& ctl = *ctls_[i];
+    Controller& ctl = *controllers_[i];
     if (!ctl.node || ctl.life != life)
       return;
     if (t_ < ctl.paused_until) {
       at(ctl.paused_until, [this, i, life, id, r] {
-        Ctl& again = *ctls_[i];
+        Controller& again = *controllers_[i];
         if (!again.node || again.life != life)
           return;
         again.node->reply(node_time(again), id, r);
@@ -162,12 +162,12 @@
                    : call.target == ports::Target::cloud ? "cloud"
                                                          : "";
   std::size_t peer = 0;
-  Host* host = nullptr;
+  WorkerMachine* host = nullptr;
   if (call.target == ports::Target::peer) {
     peer = call.peer < i ? call.peer : call.peer + 1;
     to = node_name(peer);
   } else if (call.target == ports::Target::worker) {
-    for (auto& [name, h] : hosts_) {
+    for (auto& [name, h] : machines_) {
       if (h->addr == call.address)
         host = h.get();
     }
@@ -192,14 +192,14 @@
         return;
       case ports::Target::state:
         // Of a process that has ended since, and may have known of other limits.
-        carried_out_late_ = life != ctls_[i]->life;
+        carried_out_late_ = life != controllers_[i]->life;
         state(i, call.method, call.path, call.body, back);
         carried_out_late_ = false;
         return;
       case ports::Target::cloud:
         return cloud(call.method, call.path, call.body, back);
       case ports::Target::peer: {
-        Ctl& other = *ctls_[peer];
+        Controller& other = *controllers_[peer];
         if (!other.node || t_ < other.paused_until)
           return;
         const std::uint64_t id = ++other.requests;
@@ -218,10 +218,10 @@
         if (!host || host->gone || host->dead || !host->up)
           return;
         if (t_ < host->deaf_until)
-          return void(++verdict_.unheard);
+          return void(++run_report_.unheard);
         const std::string name = host->name;
         auto arrive = [this, name, call, back] {
-          Host& h = *hosts_.at(name);
+          WorkerMachine& h = *machines_.at(name);
           if (h.gone || h.dead || !h.up)
             return;
           check_lease(h);
@@ -229,13 +229,13 @@
           back(status, status == 400 ? Value::object() : report_value(h));
         };
         if (t_ < late_commands_until_ && odds(late_command_share_)) {
-          ++verdict_.late_commands;
+          ++run_report_.late_commands;
           return later(between(2, 16), [this, name, body = call.body] {
-            Host& h = *hosts_.at(name);
+            WorkerMachine& h = *machines_.at(name);
             if (h.gone || h.dead || !h.up)
               return;
             const auto carried_out = [this, name, body] {
-              Host& there = *hosts_.at(name);
+              WorkerMachine& there = *machines_.at(name);
               if (there.gone || there.dead)
                 return;
               check_lease(there);
@@ -257,8 +257,8 @@
   });
 }
 
-void World::frame(std::size_t node, const peer::Frame& frame, OnAnswer then) {
-  Ctl& c = *ctls_[node];
+void SimulatedCluster::frame(std::size_t node, const peer::Frame& frame, OnAnswer then) {
+  Controller& c = *controllers_[node];
   if (!c.node || t_ < c.paused_until)
     return;
   const std::uint64_t id = ++c.requests;
@@ -267,15 +267,15 @@
   act(node);
 }
 
-void World::deliver(std::size_t i, daemon::Incoming in, OnAnswer then) {
+void SimulatedCluster::deliver(std::size_t i, daemon::Incoming in, OnAnswer then) {
   if (outside_.deliver)
     return outside_.deliver(i, std::move(in), std::move(then));
-  Ctl& c = *ctls_[i];
+  Controller& c = *controllers_[i];
   if (!c.node)
     return;
   if (t_ < c.paused_until) {
     at(c.paused_until, [this, i, in, then, life = c.life] {
-      if (ctls_[i]->life == life)
+      if (controllers_[i]->life == life)
         deliver(i, in, then);
     });
     return;
@@ -286,9 +286,10 @@
   act(i);
 }
 
-void World::restart_with(const std::function<void(settings::Settings&)>& change, std::size_t node) {
+void SimulatedCluster::restart_with(const std::function<void(settings::Settings&)>& change,
+                                    std::size_t node) {
   change(settings_);
   crash(node);
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/history.cpp
+++ b/src/emulator/history.cpp
@@ -1,35 +1,35 @@
 // What tests ask of the history so far.
 #include <algorithm>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-std::size_t World::undone() const {
+std::size_t SimulatedCluster::undone() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [this](const auto& j) {
     const UserJob& job = *j.second;
     return job.accepted && job.spec.shape != wire::Shape::service && !job.over() && !hopeless(job);
   }));
 }
 
-std::size_t World::held_at_home() const {
+std::size_t SimulatedCluster::held_at_home() const {
   const auto i = leader();
   if (!i)
     return jobs_waiting();
   std::size_t n = 0;
-  ctls_[*i]->node->registry().each([&n](const jobs::Job& job) {
+  controllers_[*i]->node->registry().each([&n](const jobs::Job& job) {
     n += job.open() && !job.held() && !job.service() && job.placed == 0 && job.done == 0;
   });
   return n;
 }
 
-std::size_t World::jobs_over() const {
+std::size_t SimulatedCluster::jobs_over() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
     return j.second->accepted && !j.second->want_abort && j.second->over();
   }));
 }
 
-std::size_t World::jobs_waiting() const {
+std::size_t SimulatedCluster::jobs_waiting() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
     const UserJob& job = *j.second;
     return job.accepted && !job.want_abort && job.begun.empty() && !job.over() &&
@@ -37,7 +37,7 @@
   }));
 }
 
-double World::over_within(const std::string& job_class, double s, double from, double to) const {
+double SimulatedCluster::over_within(const std::string& job_class, double s, double from, double to) const {
   double came = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
     if (job->spec.job_class != job_class || job->came < from || job->came >= to || job->want_abort)
@@ -48,11 +48,11 @@
   return came > 0 ? in_time / came : 1;
 }
 
-bool World::over(const std::string& ref) const {
+bool SimulatedCluster::over(const std::string& ref) const {
   return jobs_.at(ref)->over();
 }
 
-double World::served(const std::string& team, double older_than) const {
+double SimulatedCluster::served(const std::string& team, double older_than) const {
   double came = 0, over = 0;
   for (const auto& [ref, job] : jobs_) {
     if (job->spec.team != team || job->spec.shape == wire::Shape::service || job->want_abort ||
@@ -64,7 +64,8 @@
   return came > 0 ? over / came : 1;
 }
 
-double World::accepted_within(const std::string& job_class, double s, double from, double to) const {
+double SimulatedCluster::accepted_within(const std::string& job_class, double s, double from,
+                                         double to) const {
   double came = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
     if (job->spec.job_class != job_class || job->came < from || job->came >= to)
@@ -75,9 +76,9 @@
   return came > 0 ? in_time / came : 1;
 }
 
-std::size_t World::replicas_up(const std::string& ref) const {
+std::size_t SimulatedCluster::replicas_up(const std::string& ref) const {
   std::size_t up = 0;
-  for (const auto& [name, h] : hosts_) {
+  for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
     for (const TaskOn& x : h->tasks)
@@ -86,16 +87,16 @@
   return up;
 }
 
-std::size_t World::machines_in(std::size_t zone) const {
+std::size_t SimulatedCluster::machines_in(std::size_t zone) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : hosts_)
+  for (const auto& [name, h] : machines_)
     n += h->zone == zone && !h->gone && !h->dead;
   return n;
 }
 
-std::size_t World::slow_and_running(double factor) const {
+std::size_t SimulatedCluster::slow_and_running(double factor) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : hosts_) {
+  for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead || h->slow < factor)
       continue;
     n += static_cast<std::size_t>(
@@ -104,4 +105,4 @@
   return n;
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -3,21 +3,21 @@
 
 #include <algorithm>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-World::Link& World::link(const std::string& a, const std::string& b) {
+SimulatedCluster::Link& SimulatedCluster::link(const std::string& a, const std::string& b) {
   return links_[std::minmax(a, b)];
 }
 
-double World::latency() {
+double SimulatedCluster::latency() {
   if (t_ < slow_links_until_)
     return between(0.05, 0.5);
   return odds(0.01) ? between(0.05, 0.6) : between(0.0003, 0.003);
 }
 
-bool World::send(const std::string& a, const std::string& b, std::function<void()> fn) {
+bool SimulatedCluster::send(const std::string& a, const std::string& b, std::function<void()> fn) {
   Link l = link(a, b);
   if (const auto [until, hold] = zone_cut(a, b); until > l.cut_until)
     l.cut_until = until, l.hold = hold;
@@ -29,14 +29,14 @@
   return true;
 }
 
-std::optional<std::size_t> World::zone_of(const std::string& who) const {
+std::optional<std::size_t> SimulatedCluster::zone_of(const std::string& who) const {
   if (who.starts_with("node-"))
     return static_cast<std::size_t>(who.back() - '0') % settings_.zones.size();
-  const auto host = hosts_.find(who);
-  return host == hosts_.end() ? std::nullopt : std::optional(host->second->zone);
+  const auto host = machines_.find(who);
+  return host == machines_.end() ? std::nullopt : std::optional(host->second->zone);
 }
 
-std::pair<double, bool> World::zone_cut(const std::string& a, const std::string& b) const {
+std::pair<double, bool> SimulatedCluster::zone_cut(const std::string& a, const std::string& b) const {
   std::pair<double, bool> most{-1, false};
   if (std::none_of(zone_cuts_.begin(), zone_cuts_.end(), [this](const ZoneCut& c) { return t_ < c.until; }))
     return most;
@@ -50,9 +50,9 @@
   return most;
 }
 
-void World::cut_zone(std::size_t zone, double for_s, bool hold) {
+void SimulatedCluster::cut_zone(std::size_t zone, double for_s, bool hold) {
   spdlog::debug("{:.3f} {} is cut off for {:.1f} s", t_, settings_.zones[zone], for_s);
-  troubled(for_s);
+  fault_lasts(for_s);
   ZoneCut& cut = zone_cuts_[zone];
   if (t_ >= cut.until)
     cut.from = t_;
@@ -60,11 +60,11 @@
   cut.hold = hold;
 }
 
-void World::cut(const std::string& a, const std::string& b, double for_s, bool hold) {
-  troubled(for_s);
+void SimulatedCluster::cut(const std::string& a, const std::string& b, double for_s, bool hold) {
+  fault_lasts(for_s);
   Link& l = link(a, b);
   l.cut_until = std::max(l.cut_until, t_ + for_s);
   l.hold = hold;
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/troubles.cpp
+++ b/src/emulator/random_faults.cpp
@@ -1,11 +1,11 @@
-// Troubles, at random and as tests order them.
+// Faults, at random and as tests order them.
 #include <spdlog/spdlog.h>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-void World::cut_node(std::size_t i, bool from_state, bool from_peers, double for_s, bool hold) {
+void SimulatedCluster::cut_node(std::size_t i, bool from_state, bool from_peers, double for_s, bool hold) {
   if (from_state)
     cut(node_name(i), "state", for_s, hold);
   for (std::size_t k = 0; k < plan_.nodes; ++k) {
@@ -14,8 +14,8 @@
   }
 }
 
-void World::slow_machines(std::size_t n, double factor) {
-  for (auto& [name, h] : hosts_) {
+void SimulatedCluster::slow_machines(std::size_t n, double factor) {
+  for (auto& [name, h] : machines_) {
     if (n == 0)
       return;
     if (h->gone || h->dead || !h->up)
@@ -25,8 +25,8 @@
   }
 }
 
-void World::kill_machines(std::size_t n) {
-  for (auto& [name, h] : hosts_) {
+void SimulatedCluster::kill_machines(std::size_t n) {
+  for (auto& [name, h] : machines_) {
     if (n == 0)
       return;
     if (h->gone || h->dead || !h->up)
@@ -37,8 +37,8 @@
   }
 }
 
-void World::kill_in_zone(std::size_t zone, std::size_t n) {
-  for (auto& [name, h] : hosts_) {
+void SimulatedCluster::kill_in_zone(std::size_t zone, std::size_t n) {
+  for (auto& [name, h] : machines_) {
     if (n == 0)
       return;
     if (h->gone || h->dead || !h->up || h->zone != zone)
@@ -49,8 +49,8 @@
   }
 }
 
-// One of the troubles that are asked for by name elsewhere (meetings.cpp), often beside another.
-void World::meeting() {
+// One of the faults that are asked for by name elsewhere (combined_faults.cpp), often beside another.
+void SimulatedCluster::combined_fault() {
   const double span = between(5, 40);
   const auto kind = pick(plan_.late_commands ? 15 : 12);
   const std::size_t i = pick(plan_.nodes), on = leader().value_or(i);
@@ -64,7 +64,7 @@
       return late_reports(between(0.1, 0.5), span,
                           kind == 3 ? CopyArrives::after_election : CopyArrives::later);
     case 4:
-      return void(ail(odds(0.5) ? Ail::deaf : Ail::mute, 1 + pick(4), span));
+      return void(fail_machines(odds(0.5) ? MachineFault::deaf : MachineFault::mute, 1 + pick(4), span));
     case 5:  // the leader alone, then everybody
       state_refuses(on, between(3, 15));
       if (odds(0.5))
@@ -93,28 +93,28 @@
       return later(between(0, span), [this] { crash(leader().value_or(0)); });
     case 14:
       late_commands(between(0.2, 0.6), span + 10);
-      ail(Ail::hung, 1 + pick(3), span);
+      fail_machines(MachineFault::hung, 1 + pick(3), span);
       return later(between(0, 5), [this] { crash(leader().value_or(0)); });
     default:
       return slow_links(std::min(span, 15.0));
   }
 }
 
-void World::trouble() {
+void SimulatedCluster::random_fault() {
   if (t_ > plan_.duration_s)
     return;
-  later(between(0, 2 * plan_.fault_every_s), [this] { trouble(); });
-  troubled(40);  // what is not said more exactly below
-  std::vector<Host*> live;
-  for (auto& [n, h] : hosts_) {
+  later(between(0, 2 * plan_.fault_every_s), [this] { random_fault(); });
+  fault_lasts(40);  // what is not said more exactly below
+  std::vector<WorkerMachine*> live;
+  for (auto& [n, h] : machines_) {
     if (!h->gone && !h->dead && h->up)
       live.push_back(h.get());
   }
   const std::size_t i = pick(plan_.nodes);
   const bool hold = odds(0.5);
   const double span = between(1, 25);
-  if (plan_.meetings && odds(0.5))
-    return meeting();
+  if (plan_.combined_faults && odds(0.5))
+    return combined_fault();
   const auto kind = pick(plan_.cuts ? 18 : 13);
   spdlog::debug("{:.3f} trouble {} for {:.1f} s, node {}", t_, kind, span, i);
   switch (kind) {
@@ -133,7 +133,7 @@
     case 4:
       return cut(node_name(i), "state", span, hold);
     case 5:
-      for (auto& [n, h] : hosts_)
+      for (auto& [n, h] : machines_)
         cut(node_name(i), n, span, hold);
       return;
     case 6:
@@ -143,7 +143,7 @@
       }
       return;
     case 7:
-      for (auto& [n, h] : hosts_)
+      for (auto& [n, h] : machines_)
         cut(node_name(i), n, span, hold);
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
         if (k != i)
@@ -153,7 +153,7 @@
       cut(node_name(i), "users", span, hold);
       return;
     case 8:
-      ctls_[i]->paused_until = t_ + between(0.2, 8);
+      controllers_[i]->paused_until = t_ + between(0.2, 8);
       return;
     case 9:
       cloud_down_until_ = t_ + span;
@@ -167,14 +167,14 @@
     case 15:
       return state_outage(between(5, 50));
     case 16:
-      ctls_[i]->paused_until = t_ + between(5, 40);
+      controllers_[i]->paused_until = t_ + between(5, 40);
       return;
     case 17:
       if (odds(0.5)) {
         state_slow_until_ = t_ + span;
         return;
       }
-      for (Host* h : live) {
+      for (WorkerMachine* h : live) {
         if (odds(0.5))
           h->hung_until = t_ + span * between(0.9, 1.1);
       }
@@ -184,7 +184,7 @@
   }
   if (live.empty())
     return;
-  Host& h = *live[pick(live.size())];
+  WorkerMachine& h = *live[pick(live.size())];
   const auto harm = pick(5);
   spdlog::debug("{:.3f} {}: trouble {}", t_, h.name, harm);
   switch (harm) {
@@ -207,4 +207,4 @@
   }
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -4,13 +4,13 @@
 #include <algorithm>
 #include <cmath>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 // What the leader takes for used on a machine is what its tasks there need, once no move is under way.
-void World::check_rooms() {
-  for (const auto& c : ctls_) {
+void SimulatedCluster::check_rooms() {
+  for (const auto& c : controllers_) {
     if (!c->node || !c->node->entitled())
       continue;
     const daemon::Stats stats = c->node->stats();
@@ -29,12 +29,12 @@
   }
 }
 
-World::UserJob* World::described(const std::string& ref) {
+SimulatedCluster::UserJob* SimulatedCluster::described(const std::string& ref) {
   if (const auto job = jobs_.find(ref); job != jobs_.end())
     return job->second.get();
   if (!reach_)
     return nullptr;
-  for (World* other : reach_->cells) {
+  for (SimulatedCluster* other : reach_->cells) {
     if (const auto job = other->jobs_.find(ref); job != other->jobs_.end())
       return job->second.get();
   }
@@ -42,14 +42,14 @@
 }
 
 // A job has one holder among cells: nothing of it is on a machine of another.
-void World::check_other_cells(const TaskOn& task, const UserJob& job) {
+void SimulatedCluster::check_other_cells(const TaskOn& task, const UserJob& job) {
   if (!reach_)
     return;
-  verdict_.guests_started += !jobs_.contains(job.spec.ref);
-  for (World* other : reach_->cells) {
+  run_report_.guests_started += !jobs_.contains(job.spec.ref);
+  for (SimulatedCluster* other : reach_->cells) {
     if (other == this)
       continue;
-    for (const auto& [name, h] : other->hosts_) {
+    for (const auto& [name, h] : other->machines_) {
       if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
         continue;
       for (const TaskOn& x : h->tasks) {
@@ -63,17 +63,17 @@
   }
 }
 
-void World::check_start(Host& h, TaskOn& task, UserJob& job) {
-  ++verdict_.started;
+void SimulatedCluster::check_start(WorkerMachine& h, TaskOn& task, UserJob& job) {
+  ++run_report_.started;
   if (job.began_at < 0)
     job.began_at = t_;
-  verdict_.started_again += !job.begun.insert(task.index).second;
+  run_report_.started_again += !job.begun.insert(task.index).second;
   check_after_done(task, job);
   check_other_cells(task, job);
   const wire::JobSpec& s = job.spec;
   std::map<std::size_t, int> zones;
   double team = 0;
-  for (auto& [name, other] : hosts_) {
+  for (auto& [name, other] : machines_) {
     if (other->gone || other->dead)
       continue;
     // Beyond its lease a hanging worker's tasks are over: it kills them before it does anything else.
@@ -125,14 +125,14 @@
 }
 
 // Whatever a leader decides next may start what is free to start, so this fails before `ran_twice` does.
-void World::check_free_to_start() {
+void SimulatedCluster::check_free_to_start() {
   if (t_ < free_checked_at_ + kFreeCheckEvery)
     return;
   free_checked_at_ = t_;
-  for (const auto& c : ctls_) {
+  for (const auto& c : controllers_) {
     if (!c->node || !c->node->entitled() || node_time(*c) >= c->node->authority_until())
       continue;
-    for (const auto& [name, h] : hosts_) {
+    for (const auto& [name, h] : machines_) {
       if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
         continue;
       for (const TaskOn& x : h->tasks) {
@@ -148,7 +148,7 @@
   }
 }
 
-void World::done_heard(Host& h, const Value& report, const ports::Answer& answer) {
+void SimulatedCluster::done_heard(WorkerMachine& h, const Value& report, const ports::Answer& answer) {
   const std::uint64_t token = wire::count(answer.body, "mandate").value_or(0);
   for (const Value& shown : report["shards"]) {
     if (!shown.contains("cause") || shown["cause"] != "done")
@@ -166,25 +166,25 @@
 
 // A leader never starts what it was told is done. A later one may, if the result was not recorded before the
 // earlier one ended.
-void World::check_after_done(const TaskOn& task, const UserJob& job) {
+void SimulatedCluster::check_after_done(const TaskOn& task, const UserJob& job) {
   const auto heard = job.done_heard.find(task.index);
   if (heard == job.done_heard.end())
     return;
-  ++verdict_.again_after_done;
+  ++run_report_.again_after_done;
   const std::uint64_t started_by = (task.attempt & ~custody::kHonest) >> custody::kTokenShift;
   if (started_by == heard->second)
     broke("again_after_done",
           task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
 }
 
-void World::check_cancelled() {
+void SimulatedCluster::check_cancelled() {
   check_free_to_start();
   // A walk over all machines after each step would be most of a large world's time; what it looks for lasts.
   if (plan_.machines > 100 && t_ < checked_at_ + 0.5)
     return;
   checked_at_ = t_;
   // What waits for others takes nothing: neither room nor a part of its team's limit.
-  for (auto& c : ctls_) {
+  for (auto& c : controllers_) {
     if (!c->node || !c->node->entitled() || !plan_.chains)
       continue;
     c->node->registry().each([this](const jobs::Job& job) {
@@ -195,7 +195,7 @@
         broke("waiting_placed", job.spec.ref);
     });
   }
-  for (auto& [name, h] : hosts_) {
+  for (auto& [name, h] : machines_) {
     if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
       continue;
     for (const TaskOn& x : h->tasks) {
@@ -207,7 +207,7 @@
 }
 
 // From when it and all that need it are cancelled, as far as their users know.
-void World::doom(UserJob& job, double since) {
+void SimulatedCluster::doom(UserJob& job, double since) {
   // One that is still being submitted is accepted all the same, and counts from then (seed 700681: it took
   // its user 40 s of retries).
   if (job.doomed_at >= 0 || !job.accepted)
@@ -217,7 +217,7 @@
     doom(*next, since);
 }
 
-bool World::may_be_cancelled(const UserJob& job) const {
+bool SimulatedCluster::may_be_cancelled(const UserJob& job) const {
   if (job.told_done || (job.over() && job.spec.shape != wire::Shape::service && !job.want_abort))
     return false;
   return job.want_abort || std::any_of(job.needs.begin(), job.needs.end(),
@@ -225,41 +225,41 @@
 }
 
 // Neither done nor bound to be: cancelled, submitted with a mistake, or in need of one that is.
-bool World::hopeless(const UserJob& job) const {
+bool SimulatedCluster::hopeless(const UserJob& job) const {
   if (job.bad || job.told_cancelled >= 0 || job.doomed_at >= 0)
     return true;
   return std::any_of(job.needs.begin(), job.needs.end(),
                      [this](const UserJob* n) { return !n->over() && (n->want_abort || hopeless(*n)); });
 }
 
-void World::troubled(double for_s) {
-  troubled_until_ = std::max(troubled_until_, t_ + for_s);
+void SimulatedCluster::fault_lasts(double for_s) {
+  faults_until_ = std::max(faults_until_, t_ + for_s);
 }
 
-double World::calm_at() const {
-  return std::max(troubled_until_, plan_.fault_every_s > 0 ? plan_.duration_s : 0.0);
+double SimulatedCluster::calm_at() const {
+  return std::max(faults_until_, plan_.fault_every_s > 0 ? plan_.duration_s : 0.0);
 }
 
-void World::answered(UserJob& job) {
+void SimulatedCluster::answered(UserJob& job) {
   job.answered_at = t_;
 }
 
-// Troubles being over, an accepted job about which nobody gets an answer counts as forgotten.
-void World::check_answered(UserJob& job) {
+// Faults being over, an accepted job about which nobody gets an answer counts as forgotten.
+void SimulatedCluster::check_answered(UserJob& job) {
   if (!job.accepted || job.told_done || job.told_cancelled >= 0)
     return;
   const double spell = t_ - std::max({job.answered_at, job.accepted_at, calm_at()});
-  verdict_.longest_unanswered = std::max(verdict_.longest_unanswered, spell);
+  run_report_.longest_unanswered = std::max(run_report_.longest_unanswered, spell);
   if (spell > kUnanswered)
     broke("unanswered", job.spec.ref + ": no answer for " + std::to_string(spell) + " s, all being calm");
 }
 
 // Whether a sound machine has room for one more task of the job, and its team's limit too.
-bool World::room_beside(const UserJob& job) const {
+bool SimulatedCluster::room_beside(const UserJob& job) const {
   const wire::JobSpec& s = job.spec;
   double team = 0;
   std::map<std::size_t, std::uint32_t> zones;
-  for (const auto& [name, h] : hosts_) {
+  for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
     for (const TaskOn& x : h->tasks) {
@@ -274,8 +274,8 @@
     if (t.name == s.team && t.cpus_max > 0 && team + s.need.cpus > t.cpus_max + 1e-6)
       return false;
   }
-  return std::any_of(hosts_.begin(), hosts_.end(), [&](const auto& entry) {
-    const Host& h = *entry.second;
+  return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
+    const WorkerMachine& h = *entry.second;
     if (h.gone || h.dead || !h.up || h.sick || h.slow > 1 ||
         t_ < std::max({h.hung_until, h.deaf_until, h.mute_until}))
       return false;
@@ -300,14 +300,14 @@
   });
 }
 
-// Troubles being over, nothing waits for long beside room for it. Gangs need room for all, and what fails
+// Faults being over, nothing waits for long beside room for it. Gangs need room for all, and what fails
 // everywhere backs off.
-void World::check_waiting() {
+void SimulatedCluster::check_waiting() {
   later(5, [this] { check_waiting(); });
   if (t_ < calm_at())
     return;
   std::map<const UserJob*, std::set<std::uint32_t>> on_machines;
-  for (const auto& [name, h] : hosts_) {
+  for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
     for (const TaskOn& x : h->tasks) {
@@ -330,10 +330,10 @@
     }
     if (j.beside_room_since < 0)
       j.beside_room_since = t_;
-    if (t_ - j.beside_room_since > verdict_.longest_beside_room)
+    if (t_ - j.beside_room_since > run_report_.longest_beside_room)
       spdlog::debug("{:.3f} {} waits beside room since {:.1f}", t_, ref, j.beside_room_since);
-    verdict_.longest_beside_room = std::max(verdict_.longest_beside_room, t_ - j.beside_room_since);
+    run_report_.longest_beside_room = std::max(run_report_.longest_beside_room, t_ - j.beside_room_since);
   }
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/cells_world.cpp
+++ b/src/emulator/simulated_cells.cpp
@@ -1,15 +1,15 @@
-#include "emulator/cells_world.hpp"
+#include "emulator/simulated_cells.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 Cells::Cells(std::vector<Plan> plans, std::uint64_t seed) : rng_(seed) {
   for (std::size_t c = 0; c < plans.size(); ++c) {
     plans[c].cell = c;
     plans[c].cells = plans.size();
-    worlds_.push_back(std::make_unique<World>(plans[c]));
+    worlds_.push_back(std::make_unique<SimulatedCluster>(plans[c]));
     reach_->cells.push_back(worlds_.back().get());
   }
   reach_->send = [this](std::size_t from, std::size_t to, std::function<void()> fn) {
@@ -27,7 +27,7 @@
 // In the order of time over all cells, so that none sees another's future.
 void Cells::step(double until) {
   while (true) {
-    World* first = nullptr;
+    SimulatedCluster* first = nullptr;
     for (auto& w : worlds_) {
       if (!first || w->next() < first->next())
         first = w.get();
@@ -43,7 +43,7 @@
 std::vector<std::string> Cells::broken() const {
   std::vector<std::string> all;
   for (const auto& w : worlds_) {
-    const auto& b = w->verdict().broken;
+    const auto& b = w->run_report().broken;
     all.insert(all.end(), b.begin(), b.end());
   }
   return all;
@@ -56,7 +56,7 @@
 }
 
 void Cells::down(std::size_t cell, double for_s) {
-  World& w = *worlds_[cell];
+  SimulatedCluster& w = *worlds_[cell];
   for (double t = 0; t < for_s; t += 0.5) {
     w.at_time(now_ + t, [&w] {
       for (std::size_t i = 0; i < w.nodes(); ++i)
@@ -126,7 +126,7 @@
   cells.step(cells.now() + 60);
   CellsDay day;
   for (std::size_t c = 0; c < n; ++c) {
-    const Verdict& v = cells[c].close();
+    const RunReport& v = cells[c].close();
     day.guests_started += v.guests_started;
     day.unfinished += v.unfinished;
     day.accepted += v.accepted;
@@ -135,4 +135,4 @@
   return day;
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/cells_world.hpp
+++ b/src/emulator/simulated_cells.hpp
@@ -4,16 +4,16 @@
 // neither must any task of its job.
 #pragma once
 
-#include "emulator/world.hpp"
+#include "emulator/simulated_cluster.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 class Cells {
  public:
   // One plan for each; their numbers are set here.
   explicit Cells(std::vector<Plan> plans, std::uint64_t seed = 1);
 
-  World& operator[](std::size_t c) {
+  SimulatedCluster& operator[](std::size_t c) {
     return *worlds_[c];
   }
   std::size_t size() const {
@@ -32,7 +32,7 @@
   void down(std::size_t cell, double for_s);
   // Of what is said, that share arrives a second time, up to a minute later.
   double doubled = 0;
-  // Troubles of the links at random, on average so far apart, until then.
+  // Faults of the links at random, on average so far apart, until then.
   void trouble_links(double every_s, double until);
 
  private:
@@ -48,11 +48,11 @@
   pcg32 rng_;
   double now_ = 0;
   std::shared_ptr<Reach> reach_ = std::make_shared<Reach>();
-  std::vector<std::unique_ptr<World>> worlds_;
+  std::vector<std::unique_ptr<SimulatedCluster>> worlds_;
   std::map<std::pair<std::size_t, std::size_t>, Link> links_;
 };
 
-// Two or three small cells with all the troubles of the random days in each, and of the links; the first one
+// Two or three small cells with all the faults of the random days in each, and of the links; the first one
 // has more work than machines. Returns what was broken, and what it tells of the spilling.
 struct CellsDay {
   std::vector<std::string> broken;
@@ -60,4 +60,4 @@
 };
 CellsDay play_cells(std::uint64_t seed);
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/world.cpp
+++ b/src/emulator/simulated_cluster.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 Plan plan_of(std::uint64_t seed) {
   Plan plan;
@@ -27,7 +27,7 @@
   if (seed % 6 == 1)
     plan.zones = 3;
   plan.admission = seed / 5 % 2 == 0;
-  plan.meetings = seed >= 1'000'000;
+  plan.combined_faults = seed >= 1'000'000;
   plan.late_commands = seed >= 2'000'000;
   // A team's limit lets large tasks through a few at a time (seed 2000174: 102 of them, 12 at a time).
   if (plan.late_commands)
@@ -35,7 +35,7 @@
   return plan;
 }
 
-World::World(Plan plan, Outside outside)
+SimulatedCluster::SimulatedCluster(Plan plan, Outside outside)
     : plan_(std::move(plan)), outside_(std::move(outside)), rng_(plan_.seed) {
   for (std::size_t z = 0; z < plan_.zones; ++z)
     settings_.zones.push_back(std::string("z").append(std::to_string(z)));
@@ -71,8 +71,8 @@
   catalog_ = {a, b};
   zone_cuts_.resize(settings_.zones.size());
   for (std::size_t i = 0; i < plan_.nodes; ++i) {
-    ctls_.push_back(std::make_unique<Ctl>());
-    ctls_[i]->rate = 1 + between(-0.0005, 0.0005);
+    controllers_.push_back(std::make_unique<Controller>());
+    controllers_[i]->rate = 1 + between(-0.0005, 0.0005);
   }
   if (plan_.machines > 100) {  // budgets as of a large deployment
     settings_.max_connections = 2 * plan_.machines;
@@ -85,7 +85,7 @@
     settings_.value_kb = 2;
     settings_.txn_ops = 4;
     settings_.state_write_rps *= 0.7;
-    for (auto& c : ctls_)
+    for (auto& c : controllers_)
       c->former = true;
     former_.tunables.admission = 0;  // of a version that does not know them
   }
@@ -94,25 +94,25 @@
     add_host(static_cast<std::size_t>(i % 2), static_cast<std::size_t>(i / 2) % plan_.zones, false, 0);
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-void World::at(double when, std::function<void()> fn) {
+void SimulatedCluster::at(double when, std::function<void()> fn) {
   events_.emplace(std::max(when, t_), std::move(fn));
 }
 
-Verdict World::run() {
+RunReport SimulatedCluster::run() {
   begin();
   step(plan_.duration_s + plan_.settle_s);
   return close();
 }
 
-void World::begin() {
+void SimulatedCluster::begin() {
   for (std::size_t i = 0; i < plan_.nodes; ++i)
     at(between(0, 0.2), [this, i] { boot(i); });
   if (!plan_.script)
     at(1, [this] { submit_some(); });
   if (plan_.fault_every_s > 0)
-    at(plan_.fault_every_s, [this] { trouble(); });
+    at(plan_.fault_every_s, [this] { random_fault(); });
   at(0, [this] { keep_listing(); });
   at(0, [this] { check_waiting(); });
   if (!plan_.upgrade)
@@ -121,8 +121,8 @@
   double when = between(15, 60);
   for (std::size_t i = 0; i < plan_.nodes; ++i, when += between(4, 20)) {
     at(when, [this, i] {
-      ctls_[i]->former = false;
-      if (ctls_[i]->node || outside_.crash)
+      controllers_[i]->former = false;
+      if (controllers_[i]->node || outside_.crash)
         crash(i);
     });
   }
@@ -134,8 +134,8 @@
   });
 }
 
-void World::step(double until) {
-  while (!events_.empty() && events_.begin()->first < until && verdict_.broken.empty()) {
+void SimulatedCluster::step(double until) {
+  while (!events_.empty() && events_.begin()->first < until && run_report_.broken.empty()) {
     auto node = events_.extract(events_.begin());
     t_ = node.key();
     node.mapped()();
@@ -146,14 +146,14 @@
     t_ = std::max(t_, until);
 }
 
-const Verdict& World::close() {
+const RunReport& SimulatedCluster::close() {
   check_rooms();
   for (auto& [ref, job] : jobs_) {
     if (!job->accepted || job->spec.shape == wire::Shape::service || job->over() || hopeless(*job))
       continue;
-    ++verdict_.unfinished;
+    ++run_report_.unfinished;
     spdlog::debug("unfinished: {} {} of {}: {}", ref, job->done.size(), job->spec.tasks, job->body.dump());
-    for (auto& c : ctls_) {
+    for (auto& c : controllers_) {
       if (!c->node || !c->node->entitled())
         continue;
       jobs::Job* known = c->node->registry().find(ref);
@@ -176,36 +176,36 @@
       }
     }
   }
-  return verdict_;
+  return run_report_;
 }
 
-std::optional<daemon::Stats> World::leader_stats() const {
-  for (const auto& c : ctls_) {
+std::optional<daemon::Stats> SimulatedCluster::leader_stats() const {
+  for (const auto& c : controllers_) {
     if (c->node && c->node->entitled())
       return c->node->stats();
   }
   return std::nullopt;
 }
 
-void World::broke(const std::string& rule, const std::string& how) {
-  verdict_.broken.push_back(rule + " at " + std::to_string(t_) + " (seed " + std::to_string(plan_.seed) +
-                            "): " + how);
+void SimulatedCluster::broke(const std::string& rule, const std::string& how) {
+  run_report_.broken.push_back(rule + " at " + std::to_string(t_) + " (seed " + std::to_string(plan_.seed) +
+                               "): " + how);
 }
 
-std::optional<std::size_t> World::leader() const {
-  for (std::size_t i = 0; i < ctls_.size(); ++i) {
-    if (ctls_[i]->node && ctls_[i]->node->entitled())
+std::optional<std::size_t> SimulatedCluster::leader() const {
+  for (std::size_t i = 0; i < controllers_.size(); ++i) {
+    if (controllers_[i]->node && controllers_[i]->node->entitled())
       return i;
   }
   return std::nullopt;
 }
 
-bool World::former(std::size_t node) const {
-  return ctls_[node]->former;
+bool SimulatedCluster::former(std::size_t node) const {
+  return controllers_[node]->former;
 }
 
-double World::node_time(const Ctl& c) const {
+double SimulatedCluster::node_time(const Controller& c) const {
   return 1000 + t_ * c.rate;
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/world.hpp
+++ b/src/emulator/simulated_cluster.hpp
@@ -15,15 +15,15 @@
 
 #include "daemon/node.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 using wire::Value;
 
 struct Plan {
   std::uint64_t seed = 1;
-  double duration_s = 240;  // troubles end here; what follows must become quiet
+  double duration_s = 240;  // faults end here; what follows must become quiet
   double settle_s = 600;
-  double fault_every_s = 12;  // mean distance of troubles; 0: none
+  double fault_every_s = 12;  // mean distance of faults; 0: none
   bool limits = true;         // teams have limits
   int machines = 6;           // at the start
   std::size_t most_machines = 24;
@@ -37,7 +37,7 @@
   // not know that, and write under the limits, and so in the layout, of before.
   bool upgrade = false;
   bool script = false;  // users submit only what `user` is told
-  // Besides the other troubles: zones cut off, outages and stalls longer than a worker's lease, waves of
+  // Besides the other faults: zones cut off, outages and stalls longer than a worker's lease, waves of
   // machines that hang, a slow state service.
   bool cuts = false;
   double late_writes = 0;  // of transactions, what gets no answer and is carried out 2 to 12 s later
@@ -58,8 +58,8 @@
   bool drain = false;  // it is to be emptied
   // At random among the others: transactions without an answer, late reports, deaf and mute machines, jobs
   // called off in numbers and at their ends, odd requests, close looks, machines up at once, slow links.
-  bool meetings = false;
-  // Among those troubles also direct commands that are held up on their way, and old reports that reach a new
+  bool combined_faults = false;
+  // Among those faults also direct commands that are held up on their way, and old reports that reach a new
   // leader before any worker does.
   bool late_commands = false;
   // A fault planted on purpose, to show that a check can fail. See docs/safety.md.
@@ -67,10 +67,10 @@
 };
 
 // What world_hunt and the suite play for a seed: every other one with chains, every third with an upgrade,
-// those from a million on with the troubles of meetings.
+// those from a million on with the faults of combined faults.
 Plan plan_of(std::uint64_t seed);
 
-struct Verdict {
+struct RunReport {
   std::vector<std::string> broken;  // rule and circumstances
   std::size_t started = 0, accepted = 0, finished = 0, cancelled = 0, elections = 0, unfinished = 0;
   std::size_t chained = 0, orphans = 0, over_limits = 0, aborts_put_off = 0;
@@ -85,7 +85,7 @@
   std::size_t services_late = 0;  // first starts of services later than two seconds after they were submitted
   std::size_t guests_started = 0;   // tasks of jobs of other cells
   std::size_t kept_in_custody = 0;  // reports that a node answered without being entitled to give orders
-  // What the troubles of meetings came to.
+  // What the faults of combined faults came to.
   std::size_t late_writes = 0, lost_answers = 0;   // transactions carried out late, or at once unheard
   std::size_t late_reports = 0, kept_reports = 0;  // copies that arrived again; of these, after a new leader
   std::size_t late_commands = 0;                   // direct commands held up on their way
@@ -98,18 +98,18 @@
   std::size_t looks = 0;           // questions within milliseconds after something was told
   std::size_t told_gone = 0;       // cancellations confirmed
   double longest_beside_room = 0;  // a job's longest wait beside a machine with room for it, all being calm
-  double longest_unanswered = 0;   // a job's longest spell without an answered question, troubles being over
+  double longest_unanswered = 0;   // a job's longest spell without an answered question, faults being over
 };
 
-class World;
+class SimulatedCluster;
 
 // The way between cells: carries `fn` to the cell, as an event of its own there; or loses it, or delays it.
 struct Reach {
-  std::vector<World*> cells;
+  std::vector<SimulatedCluster*> cells;
   std::function<void(std::size_t from, std::size_t to, std::function<void()>)> send;
 };
 
-class World {
+class SimulatedCluster {
  public:
   using Reply = std::function<void(int, Value)>;
   using OnAnswer = std::function<void(const ports::Answer&)>;
@@ -121,16 +121,16 @@
     std::function<std::string(const std::string&)> address;
     std::function<void(std::size_t)> boot, crash;
   };
-  explicit World(Plan plan, Outside outside = {});
-  ~World();
-  Verdict run();
+  explicit SimulatedCluster(Plan plan, Outside outside = {});
+  ~SimulatedCluster();
+  RunReport run();
 
   void begin();
   void step(double until);  // plays what is due by then
   double next() const {
     return events_.empty() ? t_ + 1 : events_.begin()->first;
   }
-  const Verdict& close();  // counts what is left undone
+  const RunReport& close();  // counts what is left undone
   // A user submits the job now, and cancels it at that time if there is one.
   void user(const wire::JobSpec& spec, double run_s, double cancel_at = -1);
   // So many more users ask about the job, again and again, as its own does.
@@ -144,7 +144,7 @@
   std::size_t sheets() const;  // that the state service holds
   // The node ends and comes back with other settings, as will the others when they do.
   void restart_with(const std::function<void(settings::Settings&)>& change, std::size_t node);
-  // Troubles that a test orders: for so long, from now.
+  // Faults that a test orders: for so long, from now.
   void cut_zone(std::size_t zone, double for_s, bool hold);
   void state_outage(double for_s);
   void state_slow(double for_s);
@@ -160,14 +160,14 @@
   // That share of direct commands gets no answer and is carried out once, 2 to 16 s late, if token and
   // session still match.
   void late_commands(double share, double for_s);
-  enum class Ail : std::uint8_t {
+  enum class MachineFault : std::uint8_t {
     hung,         // does nothing, and goes on afterwards
     deaf,         // its reports arrive; answers to them and orders are lost
     mute,         // reaches no controller; orders arrive
     unreachable,  // neither, but it works
   };
   // So many machines that are up, first those with tasks of that job; returns how many.
-  std::size_t ail(Ail what, std::size_t n, double for_s, const std::string& ref = {});
+  std::size_t fail_machines(MachineFault what, std::size_t n, double for_s, const std::string& ref = {});
   // Users call off so many jobs that run and have long to go, within a fifth of a second; up to eight of
   // their machines hang for so long.
   void cancel_now(std::size_t n, double hang_s);
@@ -224,8 +224,8 @@
   std::size_t jobs_waiting() const;  // accepted arrays that nothing has been begun of
   double over_within(const std::string& job_class, double s, double from, double to) const;
   std::optional<std::size_t> leader() const;  // the node that may give orders now
-  const Verdict& verdict() const {
-    return verdict_;
+  const RunReport& run_report() const {
+    return run_report_;
   }
   // What the leader counted; nothing if nobody leads.
   std::optional<daemon::Stats> leader_stats() const;
@@ -244,10 +244,10 @@
   std::optional<std::pair<int, Value>> commands(const std::string& host, const Value& body);
 
  private:
-  struct Host;
+  struct WorkerMachine;
   struct TaskOn;
   struct UserJob;
-  struct Ctl;
+  struct Controller;
   struct Link;
   struct Stored {
     Value value;
@@ -297,7 +297,7 @@
   // controllers
   void boot(std::size_t i);
   void poke(std::size_t i);
-  double node_time(const Ctl& c) const;
+  double node_time(const Controller& c) const;
   void act(std::size_t i);
   void carry_out(std::size_t i, ports::Call call);
   void deliver(std::size_t i, daemon::Incoming in, OnAnswer then);
@@ -311,26 +311,27 @@
   void end_watch(const std::shared_ptr<Watch>& w);
 
   // cloud
-  Host& add_host(std::size_t type, std::size_t zone, bool spot, double boot);
-  void remove_host(Host& h);
+  WorkerMachine& add_host(std::size_t type, std::size_t zone, bool spot, double boot);
+  void remove_host(WorkerMachine& h);
   void snapshot_list();
   void keep_listing();
 
   // workers
-  void worker_up(Host& h);
-  void check_lease(Host& h);
-  void beat(Host& h);
-  void report_soon(Host& h, double delay);
-  Value report_value(Host& h);
-  int execute(Host& h, const Value& body, bool direct);
-  void order(Host& h, const Value& o);
+  void worker_up(WorkerMachine& h);
+  void check_lease(WorkerMachine& h);
+  void beat(WorkerMachine& h);
+  void report_soon(WorkerMachine& h, double delay);
+  Value report_value(WorkerMachine& h);
+  int execute(WorkerMachine& h, const Value& body, bool direct);
+  void order(WorkerMachine& h, const Value& o);
   void gather(UserJob& job, std::uint64_t attempt, double run);
   UserJob* described(const std::string& ref);  // wherever it was submitted
   void check_other_cells(const TaskOn& task, const UserJob& job);
   void miss_mates(UserJob& job, std::uint64_t attempt);
-  void each_mate(const UserJob& job, std::uint64_t attempt, const std::function<void(Host&, TaskOn&)>& f);
-  void image_ready(Host& h, std::uint64_t attempt, const std::string& name);
-  void finish(Host& h, std::uint64_t attempt, const std::string& name, const std::string& cause);
+  void each_mate(const UserJob& job, std::uint64_t attempt,
+                 const std::function<void(WorkerMachine&, TaskOn&)>& f);
+  void image_ready(WorkerMachine& h, std::uint64_t attempt, const std::string& name);
+  void finish(WorkerMachine& h, std::uint64_t attempt, const std::string& name, const std::string& cause);
 
   // users
   void submit_some();
@@ -350,22 +351,22 @@
   void check_answered(UserJob& job);
   void check_waiting();
   bool room_beside(const UserJob& job) const;
-  void troubled(double for_s);  // a trouble that lasts for so long begins now
-  double calm_at() const;       // from when no trouble is left
+  void fault_lasts(double for_s);  // a fault that lasts for so long begins now
+  double calm_at() const;          // from when no fault is left
 
-  // troubles
-  void trouble();
-  void meeting();
+  // faults
+  void random_fault();
+  void combined_fault();
   void cut(const std::string& a, const std::string& b, double for_s, bool hold);
 
   // rules
   void broke(const std::string& rule, const std::string& how);
-  void check_start(Host& h, TaskOn& task, UserJob& job);
+  void check_start(WorkerMachine& h, TaskOn& task, UserJob& job);
   void check_cancelled();
   // No task that is on a machine may be free to start for the leader.
   void check_free_to_start();
   // A report that showed these tasks as done was answered by a leader.
-  void done_heard(Host& h, const Value& report, const ports::Answer& answer);
+  void done_heard(WorkerMachine& h, const Value& report, const ports::Answer& answer);
   void check_after_done(const TaskOn& task, const UserJob& job);
   void check_rooms();
   void doom(UserJob& job, double since);
@@ -382,7 +383,7 @@
   std::multimap<double, std::function<void()>> events_;
   settings::Settings settings_;
   std::vector<wire::MachineType> catalog_;
-  std::vector<std::unique_ptr<Ctl>> ctls_;
+  std::vector<std::unique_ptr<Controller>> controllers_;
   std::map<std::pair<std::string, std::string>, Link> links_;
 
   std::map<std::string, Stored> store_;
@@ -405,7 +406,7 @@
   bool lowered_ = false;
   double chains_from_ = 0;  // a version that does not know them must not meet any
 
-  std::map<std::string, std::unique_ptr<Host>> hosts_;
+  std::map<std::string, std::unique_ptr<WorkerMachine>> machines_;
   std::map<std::string, Value> hires_;
   std::vector<std::pair<double, Value>> lists_;
   std::size_t hosts_made_ = 0;
@@ -420,8 +421,8 @@
   double late_command_share_ = 0, late_commands_until_ = -1;
   std::vector<daemon::Incoming> kept_reports_;
   double cancel_at_end_share_ = 0, cancel_at_end_until_ = -1, odd_until_ = -1, looks_until_ = -1;
-  double quick_boots_until_ = -1, slow_links_until_ = -1, troubled_until_ = 0;
-  Verdict verdict_;
+  double quick_boots_until_ = -1, slow_links_until_ = -1, faults_until_ = 0;
+  RunReport run_report_;
 };
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/state_service.cpp
+++ b/src/emulator/state_service.cpp
@@ -3,35 +3,35 @@
 
 #include <algorithm>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-void World::state_refuses(std::size_t node, double for_s) {
-  troubled(for_s);
+void SimulatedCluster::state_refuses(std::size_t node, double for_s) {
+  fault_lasts(for_s);
   state_refuses_[node] = t_ + for_s;
 }
 
-void World::late_writes(double share, double for_s, bool at_once) {
-  troubled(for_s);
+void SimulatedCluster::late_writes(double share, double for_s, bool at_once) {
+  fault_lasts(for_s);
   late_write_share_ = share;
   late_writes_until_ = t_ + for_s;
   late_at_once_ = at_once;
 }
 
-std::optional<std::size_t> World::key_holder() const {
+std::optional<std::size_t> SimulatedCluster::key_holder() const {
   const auto key = store_.find(lead::kKey);
   const auto name = key == store_.end() ? std::nullopt : wire::text(key->second.value, "node");
   return name ? std::optional(static_cast<std::size_t>(name->back() - '0')) : std::nullopt;
 }
 
-std::size_t World::keys(const std::string& prefix) const {
+std::size_t SimulatedCluster::keys(const std::string& prefix) const {
   return static_cast<std::size_t>(std::count_if(
       store_.begin(), store_.end(), [&prefix](const auto& e) { return e.first.starts_with(prefix); }));
 }
 
-void World::state_outage(double for_s) {
-  troubled(for_s);
+void SimulatedCluster::state_outage(double for_s) {
+  fault_lasts(for_s);
   state_down_until_ = std::max(state_down_until_, t_ + for_s);
   at(state_down_until_, [this] {
     if (t_ < state_down_until_)
@@ -42,16 +42,16 @@
   });
 }
 
-void World::state_slow(double for_s) {
-  troubled(for_s);
+void SimulatedCluster::state_slow(double for_s) {
+  fault_lasts(for_s);
   state_slow_until_ = t_ + for_s;
 }
 
-void World::bump(const std::string& key, Value value, bool erased) {
+void SimulatedCluster::bump(const std::string& key, Value value, bool erased) {
   changes_.push_back({revision_, key, std::move(value), erased});
 }
 
-void World::expire_leases() {
+void SimulatedCluster::expire_leases() {
   if (t_ < state_down_until_)
     return;
   for (auto it = leases_.begin(); it != leases_.end();) {
@@ -75,7 +75,7 @@
   }
 }
 
-void World::serve_watches() {
+void SimulatedCluster::serve_watches() {
   if (t_ < state_down_until_)
     return;
   std::vector<std::pair<std::shared_ptr<Watch>, Value>> ready;
@@ -101,7 +101,7 @@
 
 // Its time is over: it is answered, with nothing if nothing has changed. While its node is refused, or the
 // service is down, it waits; an answer without what has changed meanwhile would be a wrong one (seed 100101).
-void World::end_watch(const std::shared_ptr<Watch>& w) {
+void SimulatedCluster::end_watch(const std::shared_ptr<Watch>& w) {
   if (!w->open)
     return;
   if (t_ < state_down_until_ || t_ < state_refuses_[w->node])
@@ -114,13 +114,13 @@
   w->reply(200, {{"ledgerRev", revision_}, {"events", Value::array()}});
 }
 
-void World::carry_out_late(std::size_t node, const Value& body) {
+void SimulatedCluster::carry_out_late(std::size_t node, const Value& body) {
   carried_out_late_ = true;
   state(node, "POST", "/txn", body, [](int, const Value&) {});
   carried_out_late_ = false;
 }
 
-bool World::over_limits(const Value& body, const settings::Settings& s, double share) const {
+bool SimulatedCluster::over_limits(const Value& body, const settings::Settings& s, double share) const {
   const auto ops = static_cast<std::size_t>(share < 1 ? std::max(3.0, s.txn_ops * share) : s.txn_ops);
   return body["apply"].size() > ops || body["if"].size() > 4 * ops || body.dump().size() > 65536 ||
          std::any_of(body["apply"].begin(), body["apply"].end(), [&](const Value& op) {
@@ -130,8 +130,8 @@
          });
 }
 
-void World::state(std::size_t node, const std::string& method, const std::string& path, const Value& body,
-                  Reply reply) {
+void SimulatedCluster::state(std::size_t node, const std::string& method, const std::string& path,
+                             const Value& body, Reply reply) {
   expire_leases();
   if (t_ < state_down_until_ || t_ < state_refuses_[node])
     return reply(503, Value::object());
@@ -202,7 +202,8 @@
   }
   // A node that knows of lower limits to come keeps to them from its first second; what it sent before may be
   // carried out late.
-  if (path == "/txn" && !carried_out_late_ && over_limits(body, ctls_[node]->former ? former_ : settings_, 1))
+  if (path == "/txn" && !carried_out_late_ &&
+      over_limits(body, controllers_[node]->former ? former_ : settings_, 1))
     broke("protocol", "a transaction over the limits: " + body.dump().substr(0, 300));
   if (path == "/txn" && plan_.late_writes > 0 && odds(plan_.late_writes)) {
     later(between(2, 12), [this, node, body] { carry_out_late(node, body); });
@@ -210,9 +211,9 @@
   }
   if (path == "/txn" && !carried_out_late_ && t_ < late_writes_until_ && odds(late_write_share_)) {
     const bool at_once = late_at_once_;
-    (at_once ? verdict_.lost_answers : verdict_.late_writes) += body["apply"].empty() ? 0 : 1;
+    (at_once ? run_report_.lost_answers : run_report_.late_writes) += body["apply"].empty() ? 0 : 1;
     if (!at_once) {
-      troubled(12);
+      fault_lasts(12);
       later(between(2, 12), [this, node, body] { carry_out_late(node, body); });
       return;
     }
@@ -221,7 +222,7 @@
   }
   if (path == "/txn") {
     if (over_limits(body, granted, plan_.undeclared)) {
-      ++verdict_.over_limits;
+      ++run_report_.over_limits;
       return reply(400, {{"error", "limits"}});
     }
     const auto changes = static_cast<double>(body["apply"].size());
@@ -231,7 +232,8 @@
       asked_in_span_ -= write_asks_.front().second;
       write_asks_.pop_front();
     }
-    verdict_.most_writes = std::max(verdict_.most_writes, asked_in_span_ / granted.state_write_rps / kSpan);
+    run_report_.most_writes =
+        std::max(run_report_.most_writes, asked_in_span_ / granted.state_write_rps / kSpan);
     if (changes > 0 && write_level_ < changes)
       return reply(429, Value::object());
     write_level_ -= changes;
@@ -256,7 +258,7 @@
       if (op.contains("put")) {
         const auto key = op["put"].get<std::string>();
         if (jobs::is_sheet(key))
-          verdict_.on_sheets += op["data"].size();
+          run_report_.on_sheets += op["data"].size();
         store_[key] = {op["data"], revision_, op.contains("permit") ? op["permit"].get<std::uint64_t>() : 0};
         bump(key, op["data"], false);
       } else if (store_.erase(op["delete"].get<std::string>())) {
@@ -270,9 +272,9 @@
   reply(400, Value::object());
 }
 
-std::size_t World::sheets() const {
+std::size_t SimulatedCluster::sheets() const {
   return static_cast<std::size_t>(
       std::count_if(store_.begin(), store_.end(), [](const auto& e) { return jobs::is_sheet(e.first); }));
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/users.cpp
+++ b/src/emulator/users.cpp
@@ -2,12 +2,12 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 // Some of the jobs that were accepted, whatever has become of them, and mostly late ones.
-void World::name_needs(UserJob& job) {
+void SimulatedCluster::name_needs(UserJob& job) {
   std::vector<UserJob*> known;
   for (auto& [ref, other] : jobs_) {
     if (other->accepted && other->spec.shape != wire::Shape::service && other.get() != &job)
@@ -24,11 +24,11 @@
     need->needed_by.push_back(&job);
     job.spec.waits_on.push_back(need->spec.ref);
   }
-  ++verdict_.chained;
+  ++run_report_.chained;
 }
 
 // Names a job that nobody ever submitted, or itself.
-void World::submit_impossible() {
+void SimulatedCluster::submit_impossible() {
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-8" + std::to_string(pick(100000));
   s.waits_on = {odds(0.3) ? s.ref : "req-7" + std::to_string(pick(100000))};
@@ -47,7 +47,7 @@
   });
 }
 
-void World::user(const wire::JobSpec& spec, double run_s, double cancel_at) {
+void SimulatedCluster::user(const wire::JobSpec& spec, double run_s, double cancel_at) {
   auto job = std::make_unique<UserJob>();
   job->spec = spec;
   job->run_s = run_s;
@@ -69,12 +69,12 @@
   });
 }
 
-void World::watch_closely(const std::string& ref, int users) {
+void SimulatedCluster::watch_closely(const std::string& ref, int users) {
   for (int n = 0; n < users; ++n)
     later(between(0, 4), [this, &job = *jobs_.at(ref)] { poll(job); });
 }
 
-void World::submit_one() {
+void SimulatedCluster::submit_one() {
   auto job = std::make_unique<UserJob>();
   char ref[24];
   std::snprintf(ref, sizeof ref, "req-%06zu", ++jobs_made_ + 100000 * plan_.cell);
@@ -127,7 +127,7 @@
   }
 }
 
-void World::submit_some() {
+void SimulatedCluster::submit_some() {
   if (t_ > plan_.duration_s)
     return;
   submit_one();
@@ -152,11 +152,11 @@
   }
 }
 
-void World::submit(UserJob& job, double since) {
+void SimulatedCluster::submit(UserJob& job, double since) {
   submit_at(job, since, pick(plan_.nodes));
 }
 
-void World::submit_at(UserJob& job, double since, std::size_t i) {
+void SimulatedCluster::submit_at(UserJob& job, double since, std::size_t i) {
   daemon::Incoming in;
   in.method = "POST";
   in.path = wire::kJobsPath;
@@ -167,7 +167,7 @@
     deliver(i, in, [this, &job, settled, was_over, since](const ports::Answer& a) {
       if (*settled)
         return;
-      verdict_.put_off += a.status == 429;
+      run_report_.put_off += a.status == 429;
       if (plan_.admission && !job.accepted && (a.status == 429 || a.status == 503)) {
         *settled = true;
         const double back = std::max(1, a.retry_after_s.value_or(1));
@@ -178,7 +178,7 @@
       if (a.status == 200 || a.status == 201) {
         *settled = true;
         if (!std::exchange(job.accepted, true)) {
-          ++verdict_.accepted;
+          ++run_report_.accepted;
           job.accepted_at = t_;
           for (const UserJob* need : job.needs) {
             if (need->doomed_at >= 0)
@@ -189,7 +189,7 @@
             look_closely(job);
         }
         const bool over = job.told_done || job.told_cancelled >= 0;
-        // An answer that a poll's overtook on its way is no step back (seed 5 without troubles).
+        // An answer that a poll's overtook on its way is no step back (seed 5 without faults).
         if (a.status == 200 && over == was_over)
           heard(job, 200, a.body, "submission");
         if (odds(0.2))
@@ -207,7 +207,7 @@
   });
 }
 
-void World::heard(UserJob& job, int status, const Value& body, const char* how) {
+void SimulatedCluster::heard(UserJob& job, int status, const Value& body, const char* how) {
   if (status == 404 && job.accepted)
     return broke("forgotten", job.spec.ref + " by " + how);
   if (status != 200)
@@ -221,7 +221,7 @@
     if (job.told_cancelled >= 0)
       broke("went_back", job.spec.ref + " from cancelled to done");
     if (!job.told_done)
-      ++verdict_.finished;
+      ++run_report_.finished;
     if (!std::exchange(job.told_done, true) && t_ < looks_until_)
       look_closely(job);
   } else if (*phase == wire::Phase::cancelled) {
@@ -229,13 +229,13 @@
       broke("went_back", job.spec.ref + " is called cancelled");
     if (job.told_cancelled < 0) {
       job.told_cancelled = t_;
-      ++verdict_.told_gone;
+      ++run_report_.told_gone;
       if (plan_.sabotage == "start_after_told")
         start_anywhere(job);
       if (t_ < looks_until_)
         look_closely(job);
-      ++verdict_.cancelled;
-      verdict_.orphans += !job.want_abort;
+      ++run_report_.cancelled;
+      run_report_.orphans += !job.want_abort;
     }
     doom(job, t_);
   } else if (job.told_done || job.told_cancelled >= 0) {
@@ -245,14 +245,14 @@
   }
 }
 
-void World::poll(UserJob& job) {
+void SimulatedCluster::poll(UserJob& job) {
   check_answered(job);
   ask(job, pick(plan_.nodes), "poll");
   const bool over = job.told_done || job.told_cancelled >= 0;
   later(over ? between(10, 40) : between(2, 5), [this, &job] { poll(job); });
 }
 
-void World::ask(UserJob& job, std::size_t i, const char* how) {
+void SimulatedCluster::ask(UserJob& job, std::size_t i, const char* how) {
   daemon::Incoming in;
   in.method = "GET";
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref;
@@ -275,7 +275,7 @@
   });
 }
 
-void World::abort(UserJob& job) {
+void SimulatedCluster::abort(UserJob& job) {
   if (!job.accepted) {
     later(1, [this, &job] { abort(job); });
     return;
@@ -287,7 +287,7 @@
   });
 }
 
-void World::abort_at(UserJob& job, std::size_t i) {
+void SimulatedCluster::abort_at(UserJob& job, std::size_t i) {
   daemon::Incoming in;
   in.method = "POST";
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref + wire::kAbortSuffix;
@@ -295,7 +295,7 @@
     deliver(i, in, [this, &job](const ports::Answer& a) {
       if (a.status == 404)
         return broke("forgotten", job.spec.ref + " by abort");
-      verdict_.aborts_put_off += a.status != 200;
+      run_report_.aborts_put_off += a.status != 200;
       if (a.status != 200)
         return;
       job.aborted = true;
@@ -304,4 +304,4 @@
   });
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/src/emulator/workers.cpp
+++ b/src/emulator/workers.cpp
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-#include "emulator/parts.hpp"
+#include "emulator/components.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
-void World::worker_up(Host& h) {
+void SimulatedCluster::worker_up(WorkerMachine& h) {
   if (h.gone)
     return;
   h.up = true;
@@ -16,19 +16,19 @@
   report_soon(h, between(0, 0.5));
 }
 
-void World::check_lease(Host& h) {
+void SimulatedCluster::check_lease(WorkerMachine& h) {
   if ((t_ - h.lease_from) * h.rate <= kLease)
     return;
   spdlog::debug("{:.3f} {}: its lease is over, next session", t_, h.name);
   if (!h.dead && t_ >= h.hung_until)
-    verdict_.lost_by_lease += static_cast<std::size_t>(
+    run_report_.lost_by_lease += static_cast<std::size_t>(
         std::count_if(h.tasks.begin(), h.tasks.end(), [](const TaskOn& x) { return x.phase != "exited"; }));
   h.tasks.clear();
   ++h.session;
   h.lease_from = t_;
 }
 
-Value World::report_value(Host& h) {
+Value SimulatedCluster::report_value(WorkerMachine& h) {
   Value tasks = Value::array();
   for (const TaskOn& x : h.tasks) {
     if (plan_.sabotage == "task_hidden" && x.phase == "running" && x.name == "req-10/0")
@@ -49,25 +49,25 @@
           {"shards", tasks}};
 }
 
-void World::report_soon(Host& h, double delay) {
+void SimulatedCluster::report_soon(WorkerMachine& h, double delay) {
   const double when = std::max(t_ + delay, h.last_beat + 0.5);
   if (h.reporting || (h.next_beat > t_ && h.next_beat <= when))
     return;
   h.next_beat = when;
   at(when, [this, n = h.name, when] {
-    Host& x = *hosts_.at(n);
+    WorkerMachine& x = *machines_.at(n);
     if (x.gone || x.dead || x.reporting || x.next_beat != when)
       return;
     if (t_ < x.hung_until) {
       x.next_beat = 0;
-      return at(x.hung_until + 1e-6, [this, n] { report_soon(*hosts_.at(n), 0); });
+      return at(x.hung_until + 1e-6, [this, n] { report_soon(*machines_.at(n), 0); });
     }
     check_lease(x);
     beat(x);
   });
 }
 
-void World::beat(Host& h) {
+void SimulatedCluster::beat(WorkerMachine& h) {
   h.reporting = true;
   h.last_beat = t_;
   const std::uint64_t serial = ++h.beat_serial, session = h.session;
@@ -79,7 +79,7 @@
   Value report = report_value(h);
   in.body = wire::encode_cbor(report);
   auto next = [this, me, serial](double delay, bool other) {
-    Host& x = *hosts_.at(me);
+    WorkerMachine& x = *machines_.at(me);
     if (x.gone || x.dead || x.beat_serial != serial || !x.reporting)
       return;
     x.reporting = false;
@@ -89,7 +89,7 @@
   };
   auto got = [this, me, next, session, sent, serial](const ports::Answer& a) {
     auto handle = [this, me, next, session, sent, serial, a] {
-      Host& x = *hosts_.at(me);
+      WorkerMachine& x = *machines_.at(me);
       if (x.gone || x.dead || x.beat_serial != serial || !x.reporting)
         return;
       check_lease(x);
@@ -104,7 +104,7 @@
         return next(1, true);
       const std::uint64_t token = wire::count(a.body, "mandate").value_or(0);
       if (token >= x.token && session == x.session) {
-        verdict_.kept_in_custody += leader() != x.node;
+        run_report_.kept_in_custody += leader() != x.node;
         x.token = token;
         x.lease_from = sent;
         for (const Value& o : a.body["orders"])
@@ -112,23 +112,23 @@
       }
       next(kReport * between(0.75, 1.25), false);
     };
-    if (t_ < hosts_.at(me)->deaf_until)
-      return void(++verdict_.unheard);
-    if (t_ < hosts_.at(me)->hung_until)
-      return at(hosts_.at(me)->hung_until + 1e-6, handle);
+    if (t_ < machines_.at(me)->deaf_until)
+      return void(++run_report_.unheard);
+    if (t_ < machines_.at(me)->hung_until)
+      return at(machines_.at(me)->hung_until + 1e-6, handle);
     handle();
   };
   if (t_ < h.mute_until) {
-    ++verdict_.unheard;
+    ++run_report_.unheard;
     return later(0.5, [next] { next(0.5, true); });  // no connection
   }
   if (t_ < late_reports_until_ && odds(late_report_share_)) {
     if (copies_arrive_ != CopyArrives::later) {
       kept_reports_.push_back(in);
     } else {
-      troubled(2.5 * kLease);
+      fault_lasts(2.5 * kLease);
       later(odds(0.5) ? between(2, 10) : between(2, 2.5 * kLease), [this, in] {
-        ++verdict_.late_reports;
+        ++run_report_.late_reports;
         for (std::size_t i = 0; i < plan_.nodes; ++i)
           deliver(i, in, [](const ports::Answer&) {});
       });
@@ -136,20 +136,20 @@
   }
   send(me, to, [this, in, got, me, to, i = h.node, report = std::move(report)] {
     deliver(i, in, [this, got, me, to, i, report](const ports::Answer& a) {
-      const bool by_leader = a.status == 200 && ctls_[i]->node && ctls_[i]->node->entitled();
+      const bool by_leader = a.status == 200 && controllers_[i]->node && controllers_[i]->node->entitled();
       if (by_leader)
-        done_heard(*hosts_.at(me), report, a);
+        done_heard(*machines_.at(me), report, a);
       send(to, me, [got, a] { got(a); });
     });
   });
   later(4, [next] { next(1, true); });
 }
 
-std::optional<std::pair<int, Value>> World::commands(const std::string& host, const Value& body) {
-  auto it = hosts_.find(host);
-  if (it == hosts_.end())
+std::optional<std::pair<int, Value>> SimulatedCluster::commands(const std::string& host, const Value& body) {
+  auto it = machines_.find(host);
+  if (it == machines_.end())
     return std::nullopt;
-  Host& h = *it->second;
+  WorkerMachine& h = *it->second;
   if (h.gone || h.dead || !h.up || t_ < h.hung_until)
     return std::nullopt;
   check_lease(h);
@@ -157,7 +157,7 @@
   return std::pair(status, status == 400 ? Value::object() : report_value(h));
 }
 
-int World::execute(Host& h, const Value& body, bool) {
+int SimulatedCluster::execute(WorkerMachine& h, const Value& body, bool) {
   const auto token = wire::count(body, "mandate"), session = wire::count(body, "tenure");
   if (!token || !session)
     return 400;
@@ -172,7 +172,7 @@
   return 200;
 }
 
-void World::order(Host& h, const Value& o) {
+void SimulatedCluster::order(WorkerMachine& h, const Value& o) {
   const auto verb = o["verb"].get<std::string>(), name = o["shard"].get<std::string>();
   const auto attempt = o["try"].get<std::uint64_t>();
   spdlog::debug("{:.3f} {} ({}): {} {} try {}", t_, h.name, h.session, verb, name, attempt);
@@ -218,21 +218,21 @@
   }
   if (cpus > catalog_[h.type].cpus + 1e-9 || memory > catalog_[h.type].memory_gb + 1e-9)
     return refuse("no_room");
-  verdict_.started_in_cut += cut_off(h.zone) && t_ > zone_cuts_[h.zone].from + kSeenWithin;
+  run_report_.started_in_cut += cut_off(h.zone) && t_ > zone_cuts_[h.zone].from + kSeenWithin;
   x.phase = "pulling";
   h.tasks.push_back(x);
   const double fetch =
       h.images.contains(x.job->spec.image) ? 0.001 : x.job->spec.image_gb * between(0.7, 1.3);
-  later(fetch, [this, n = h.name, attempt, name] { image_ready(*hosts_.at(n), attempt, name); });
+  later(fetch, [this, n = h.name, attempt, name] { image_ready(*machines_.at(n), attempt, name); });
   report_soon(h, 0);
 }
 
-void World::image_ready(Host& h, std::uint64_t attempt, const std::string& name) {
+void SimulatedCluster::image_ready(WorkerMachine& h, std::uint64_t attempt, const std::string& name) {
   if (h.gone || h.dead)
     return;
   if (t_ < h.hung_until) {
     return at(h.hung_until + 1e-6,
-              [this, n = h.name, attempt, name] { image_ready(*hosts_.at(n), attempt, name); });
+              [this, n = h.name, attempt, name] { image_ready(*machines_.at(n), attempt, name); });
   }
   check_lease(h);
   for (TaskOn& x : h.tasks) {
@@ -240,28 +240,28 @@
       continue;
     x.phase = "running";
     h.images.insert(x.job->spec.image);
-    verdict_.services_late +=
+    run_report_.services_late +=
         x.job->spec.shape == wire::Shape::service && t_ - x.job->came > 2 && !x.job->begun.contains(x.index);
     check_start(h, x, *x.job);
     double run = x.job->run_s * between(0.9, 1.1) * h.slow;
     if (h.sick || x.job->bad) {
       later(between(0.1, 1),
-            [this, n = h.name, attempt, name] { finish(*hosts_.at(n), attempt, name, "error"); });
+            [this, n = h.name, attempt, name] { finish(*machines_.at(n), attempt, name, "error"); });
     } else if (x.job->done.contains(x.index)) {
       finish(h, attempt, name, "done");
     } else if (x.job->spec.shape == wire::Shape::gang) {
       x.phase = "gathering";
       later(kGangWait, [this, n = h.name, attempt, name] {
-        const Host& there = *hosts_.at(n);
+        const WorkerMachine& there = *machines_.at(n);
         for (const TaskOn& y : there.tasks) {
           if (y.name != name || y.attempt != attempt || y.phase != "gathering")
             continue;
-          return finish(*hosts_.at(n), attempt, name, "incomplete");
+          return finish(*machines_.at(n), attempt, name, "incomplete");
         }
       });
       gather(*x.job, attempt, run);
     } else if (x.job->spec.shape == wire::Shape::array) {
-      later(run, [this, n = h.name, attempt, name] { finish(*hosts_.at(n), attempt, name, "done"); });
+      later(run, [this, n = h.name, attempt, name] { finish(*machines_.at(n), attempt, name, "done"); });
     }
     report_soon(h, 0);
     return;
@@ -269,9 +269,9 @@
 }
 
 // A gang runs once all its tasks that are left stand ready with the same attempt.
-void World::gather(UserJob& job, std::uint64_t attempt, double run) {
-  std::vector<std::pair<Host*, TaskOn*>> ready;
-  each_mate(job, attempt, [&ready](Host& h, TaskOn& x) {
+void SimulatedCluster::gather(UserJob& job, std::uint64_t attempt, double run) {
+  std::vector<std::pair<WorkerMachine*, TaskOn*>> ready;
+  each_mate(job, attempt, [&ready](WorkerMachine& h, TaskOn& x) {
     if (x.phase == "gathering")
       ready.emplace_back(&h, &x);
   });
@@ -280,16 +280,16 @@
   for (auto& [h, x] : ready) {
     x->phase = "running";
     later(run,
-          [this, n = h->name, attempt, name = x->name] { finish(*hosts_.at(n), attempt, name, "done"); });
+          [this, n = h->name, attempt, name = x->name] { finish(*machines_.at(n), attempt, name, "done"); });
     report_soon(*h, 0);
   }
   later(kGangPeer, [this, &job, attempt] { miss_mates(job, attempt); });
 }
 
 // Tasks of a gang that lack one of the others give up.
-void World::miss_mates(UserJob& job, std::uint64_t attempt) {
-  std::vector<std::pair<Host*, std::string>> left;
-  each_mate(job, attempt, [&left](Host& h, TaskOn& x) {
+void SimulatedCluster::miss_mates(UserJob& job, std::uint64_t attempt) {
+  std::vector<std::pair<WorkerMachine*, std::string>> left;
+  each_mate(job, attempt, [&left](WorkerMachine& h, TaskOn& x) {
     if (x.phase == "running")
       left.emplace_back(&h, x.name);
   });
@@ -302,9 +302,9 @@
   later(kGangPeer, [this, &job, attempt] { miss_mates(job, attempt); });
 }
 
-void World::each_mate(const UserJob& job, std::uint64_t attempt,
-                      const std::function<void(Host&, TaskOn&)>& f) {
-  for (auto& [name, h] : hosts_) {
+void SimulatedCluster::each_mate(const UserJob& job, std::uint64_t attempt,
+                                 const std::function<void(WorkerMachine&, TaskOn&)>& f) {
+  for (auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
     for (TaskOn& x : h->tasks) {
@@ -314,12 +314,13 @@
   }
 }
 
-void World::finish(Host& h, std::uint64_t attempt, const std::string& name, const std::string& cause) {
+void SimulatedCluster::finish(WorkerMachine& h, std::uint64_t attempt, const std::string& name,
+                              const std::string& cause) {
   if (h.gone || h.dead)
     return;
   if (t_ < h.hung_until) {
     return at(h.hung_until + 1e-6,
-              [this, n = h.name, attempt, name, cause] { finish(*hosts_.at(n), attempt, name, cause); });
+              [this, n = h.name, attempt, name, cause] { finish(*machines_.at(n), attempt, name, cause); });
   }
   check_lease(h);
   for (TaskOn& x : h.tasks) {
@@ -332,7 +333,7 @@
       x.job->over_at = t_;
     if (t_ < cancel_at_end_until_ && cause == "done" && x.job->over() && x.job->accepted &&
         !x.job->want_abort && odds(cancel_at_end_share_)) {
-      ++verdict_.at_the_end;
+      ++run_report_.at_the_end;
       later(between(0, 0.05), [this, job = x.job] {
         job->want_abort = true;
         abort(*job);
@@ -347,4 +348,4 @@
   }
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/cells_lab.cpp
+++ b/tests/cells_lab.cpp
@@ -9,9 +9,9 @@
 #include <iomanip>
 #include <iostream>
 
-#include "emulator/cells_world.hpp"
+#include "emulator/simulated_cells.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 struct Lab {
@@ -115,8 +115,8 @@
     for (std::size_t c = 1; c < all.size(); ++c)
       r.others = std::min(r.others, all[c].over_within("batch", kInTime, kFrom, kTo + 60));
     for (std::size_t c = 0; c < all.size(); ++c) {
-      r.guests += all[c].verdict().guests_started;
-      r.writes = std::max(r.writes, all[c].verdict().most_writes);
+      r.guests += all[c].run_report().guests_started;
+      r.writes = std::max(r.writes, all[c].run_report().most_writes);
     }
     r.broken = all.broken().size();
     for (const auto& b : all.broken())
@@ -154,10 +154,10 @@
 };
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
 
 int main(int argc, char** argv) {
-  using namespace wingtrail::world;
+  using namespace wingtrail::emulator;
   Lab lab;
   CLI::App app("What several cells do for each other, in virtual time");
   app.add_option("--machines", lab.machines, "of each cell");
--- a/tests/cells_world_test.cpp
+++ b/tests/cells_world_test.cpp
@@ -1,10 +1,9 @@
 // Several cells with real controllers each: what spills over, what a hand-over survives, and what the
 // neighbour's own work loses.
-#include "emulator/cells_world.hpp"
-
+#include "emulator/simulated_cells.hpp"
 #include "rides.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 Plan cell(std::uint64_t seed, int machines) {
@@ -58,7 +57,7 @@
   Surge s;
   s.in_time = cells[0].over_within("batch", 25, 40, 85);
   for (std::size_t c = 0; c < cells.size(); ++c)
-    s.guests += cells[c].verdict().guests_started;
+    s.guests += cells[c].run_report().guests_started;
   if (cells.size() > 1)
     s.others_in_time = cells[1].over_within("batch", 25, 40, 100);
   whole(cells);
@@ -94,7 +93,7 @@
   EXPECT_GE(spilled.others_in_time, quiet.others_in_time - 0.03);
 }
 
-// The hand-over of some jobs, cut at every moment of it by each of these troubles.
+// The hand-over of some jobs, cut at every moment of it by each of these faults.
 enum class Trouble {
   home_leader,
   taker_leader,
@@ -124,7 +123,7 @@
     for (int n = 2; n < 14; ++n)
       cells[0].user(work(0, n, 3, 10), 10, n % 4 == 0 ? 24 + n * 0.3 : -1);
     cells.step(18.4 + 0.25 * k);
-    World &home = cells[0], &taker = cells[1];
+    SimulatedCluster &home = cells[0], &taker = cells[1];
     switch (trouble) {
       case Trouble::home_leader:
         home.crash(home.leader().value_or(0));
@@ -153,7 +152,7 @@
         cells.down(1, 25);
     }
     cells.step(400);
-    guests += cells[1].verdict().guests_started;
+    guests += cells[1].run_report().guests_started;
     whole(cells);
     if (HasFailure())
       return;
@@ -177,13 +176,13 @@
   for (int n = 2; n < 6; ++n)
     cells[0].user(work(0, n, 3, 150), 150, 40);
   cells.step(35);
-  EXPECT_GT(cells[1].verdict().guests_started, 0U);
+  EXPECT_GT(cells[1].run_report().guests_started, 0U);
   cells.cut(0, 1, 30, false);
   cells.step(60);
-  const std::size_t before = cells[0].verdict().cancelled;
-  EXPECT_GT(cells[0].verdict().aborts_put_off, 0U);
+  const std::size_t before = cells[0].run_report().cancelled;
+  EXPECT_GT(cells[0].run_report().aborts_put_off, 0U);
   cells.step(75);
-  EXPECT_EQ(cells[0].verdict().cancelled, 4U);
+  EXPECT_EQ(cells[0].run_report().cancelled, 4U);
   EXPECT_LT(before, 4U) << "nobody can know yet that they have ended";
   cells.step(400);
   whole(cells);
@@ -204,7 +203,7 @@
     cells[0].restart_with([](settings::Settings& s) { s.cells.drain = true; }, i);
   cells.step(80);
   EXPECT_EQ(cells[0].jobs_waiting(), 0U);
-  EXPECT_GT(cells[1].verdict().guests_started, 100U);
+  EXPECT_GT(cells[1].run_report().guests_started, 100U);
   cells.step(120);
   EXPECT_EQ(cells[0].jobs_over(), 60U);
   whole(cells);
@@ -222,12 +221,12 @@
   for (int n = 2; n < 10; ++n)
     cells[0].user(work(0, n, 3, 40), 40);
   cells.step(70);
-  const auto held = cells[1].verdict().guests_started;
+  const auto held = cells[1].run_report().guests_started;
   EXPECT_GT(held, 5U);
   cells.down(1, 60);
   cells.step(135);
   cells.step(400);
-  EXPECT_EQ(cells[1].verdict().started_again, 0U);
+  EXPECT_EQ(cells[1].run_report().started_again, 0U);
   whole(cells);
 }
 
@@ -245,4 +244,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -25,11 +25,11 @@
 #include <iostream>
 #include <memory>
 
-#include "emulator/world.hpp"
+#include "emulator/simulated_cluster.hpp"
 #include "net/http.hpp"
 #include "net/loop.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 constexpr std::size_t kNodes = 3;
@@ -95,24 +95,25 @@
       plan.arrival_s = cell == 0 ? 1.5 : 10;
       plan.most_machines = cell == 0 ? 6 : 16;
     }
-    world_ = std::make_unique<World>(
-        plan, World::Outside{[this](std::size_t i, daemon::Incoming in, World::OnAnswer then) {
-                               carry(i, std::move(in), std::move(then));
-                             },
-                             [this](const std::string& host) { return worker(host); },
-                             [this](std::size_t i) { boot(i); },
-                             [this](std::size_t i) {
-                               crash(i);
-                             }});
+    world_ = std::make_unique<SimulatedCluster>(
+        plan,
+        SimulatedCluster::Outside{
+            [this](std::size_t i, daemon::Incoming in, SimulatedCluster::OnAnswer then) {
+              carry(i, std::move(in), std::move(then));
+            },
+            [this](const std::string& host) { return worker(host); }, [this](std::size_t i) { boot(i); },
+            [this](std::size_t i) {
+              crash(i);
+            }});
     if (options.cells > 1) {
       reach->cells.push_back(world_.get());
       world_->join(reach);
     }
     for (std::size_t i = 0; i < kNodes; ++i) {
-      serve(nodes_[i].state, [this, i](net::Request r, World::Reply reply) {
+      serve(nodes_[i].state, [this, i](net::Request r, SimulatedCluster::Reply reply) {
         world_->state(i, r.method, r.target, body(r), std::move(reply));
       });
-      serve(nodes_[i].cloud, [this](net::Request r, World::Reply reply) {
+      serve(nodes_[i].cloud, [this](net::Request r, SimulatedCluster::Reply reply) {
         world_->cloud(r.method, r.target, body(r), std::move(reply));
       });
       write_settings(i);
@@ -178,7 +179,7 @@
     if (options_.tell)
       tell();
   }
-  // docs/meetings.md: the leader refused alone, jobs called off, then the service down for all.
+  // docs/combined-faults.md: the leader refused alone, jobs called off, then the service down for all.
   void play_gap() {
     constexpr double kFrom = 50, kRefused = 14, kCancels = 6, kDown = 9, kDownFor = 45;
     world_->at_once_after(kFrom, [this] {
@@ -189,8 +190,8 @@
     for (int n = 0; n < 4; ++n)
       world_->at_once_after(kFrom + kCancels + 0.5 * n, [this] { world_->cancel_now(4, 0); });
     world_->at_once_after(kFrom + kDown, [this] {
-      say(std::to_string(world_->verdict().called_off) + " running jobs called off so far, " +
-          std::to_string(world_->verdict().told_gone) +
+      say(std::to_string(world_->run_report().called_off) + " running jobs called off so far, " +
+          std::to_string(world_->run_report().told_gone) +
           " cancellations confirmed; now the state service is down for all");
       world_->state_outage(kDownFor);
     });
@@ -201,9 +202,9 @@
     return start_ + std::min(world_->next(), options_.seconds);
   }
   bool over() {
-    return now() >= options_.seconds || !world_->verdict().broken.empty();
+    return now() >= options_.seconds || !world_->run_report().broken.empty();
   }
-  const Verdict& close() {
+  const RunReport& close() {
     return world_->close();
   }
 
@@ -213,7 +214,7 @@
     std::uint16_t relay = 0;  // where the controllers of other cells find it
     pid_t pid = -1;
   };
-  using Service = std::function<void(net::Request, World::Reply)>;
+  using Service = std::function<void(net::Request, SimulatedCluster::Reply)>;
 
   double now() {
     return loop_.refresh() - start_;
@@ -226,7 +227,7 @@
   void tell() {
     constexpr double kEvery = 5;
     world_->at_once_after(kEvery, [this] {
-      const Verdict& v = world_->verdict();
+      const RunReport& v = world_->run_report();
       say(std::to_string(v.accepted) + " jobs accepted, " + std::to_string(v.started) + " tasks started, " +
           std::to_string(v.finished) + " jobs done, " + std::to_string(v.cancelled) + " cancelled; " +
           (v.broken.empty() ? "no rule broken" : "A RULE WAS BROKEN"));
@@ -279,7 +280,7 @@
 
   std::string worker(const std::string& host) {
     const std::uint16_t port = free_port();
-    serve(port, [this, host](net::Request r, const World::Reply& reply) {
+    serve(port, [this, host](net::Request r, const SimulatedCluster::Reply& reply) {
       // One that hangs does not answer: the caller's own deadline ends its wait.
       if (auto a = world_->commands(host, body(r)))
         reply(a->first, std::move(a->second));
@@ -287,7 +288,7 @@
     return address(port);
   }
 
-  net::Routine carry(std::size_t i, daemon::Incoming in, World::OnAnswer then) {
+  net::Routine carry(std::size_t i, daemon::Incoming in, SimulatedCluster::OnAnswer then) {
     net::Request request{in.method, in.path, in.body};
     const net::Outcome o = co_await client_.call(kHere, nodes_[i].client, std::move(request),
                                                  "application/cbor", loop_.now() + kUserWaits, ports::kNever);
@@ -373,16 +374,16 @@
   bool refuses_ = false;  // what other cells say
   std::filesystem::path folder_;
   std::array<Process, kNodes> nodes_;
-  std::unique_ptr<World> world_;
+  std::unique_ptr<SimulatedCluster> world_;
   std::vector<std::unique_ptr<net::Server>> servers_;
   net::Seconds start_ = 0;
 };
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
 
 int main(int argc, char** argv) {
-  wingtrail::world::Options options;
+  wingtrail::emulator::Options options;
   CLI::App app("Three controllers against stand-ins for everything around them");
   app.add_option("--program", options.program, "the controller to start")
       ->required()
@@ -405,10 +406,10 @@
   using namespace wingtrail;
   net::Loop loop;
   net::Scope scope(loop);
-  auto reach = std::make_shared<world::Reach>();
-  std::vector<std::unique_ptr<world::Cluster>> cells;
+  auto reach = std::make_shared<emulator::Reach>();
+  std::vector<std::unique_ptr<emulator::Cluster>> cells;
   for (std::size_t c = 0; c < options.cells; ++c)
-    cells.push_back(std::make_unique<world::Cluster>(options, loop, scope, c, reach));
+    cells.push_back(std::make_unique<emulator::Cluster>(options, loop, scope, c, reach));
   for (auto& c : cells)
     c->meet(cells);
   for (auto& c : cells)
@@ -424,9 +425,9 @@
   });
   loop.run();
   scope.cancel();
-  world::Verdict v;
+  emulator::RunReport v;
   for (auto& c : cells) {
-    const world::Verdict& own = c->close();
+    const emulator::RunReport& own = c->close();
     for (const auto& b : own.broken)
       std::cout << b << "\n";
     v.broken.insert(v.broken.end(), own.broken.begin(), own.broken.end());
--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -1,12 +1,12 @@
 // What tests of combined faults share: a day in the simulated cluster with jobs whose faults the test orders.
 // A test brings its combination about on purpose, with several seeds and the second fault's moment swept, and
 // asserts that it did happen before it asserts the rules, which the simulated cluster checks after every
-// step. MEETINGS_WIDE=N plays N times as many seeds.
+// step. COMBINED_FAULTS_WIDE=N plays N times as many seeds.
 #pragma once
 
 #include "rides.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 // As deployed, but for the sizes.
 inline Plan deployed(std::uint64_t seed, int machines = 10) {
@@ -71,13 +71,13 @@
       at(from + n * apart, [this, n, first] { world.cancel(ref(first + n)); });
   }
   std::size_t elections() const {
-    return world.verdict().elections;
+    return world.run_report().elections;
   }
 
   // All becomes quiet; then nothing is left undone, untold or unanswered.
-  const Verdict& finish(double calm_s = 420) {
+  const RunReport& finish(double calm_s = 420) {
     world.step(world.now() + calm_s);
-    const Verdict& v = world.close();
+    const RunReport& v = world.close();
     for (const auto& b : v.broken)
       ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U);
@@ -86,14 +86,14 @@
     return v;
   }
 
-  World world;
+  SimulatedCluster world;
 
  private:
   int made_ = 0;
 };
 
 inline int wide() {
-  const char* n = std::getenv("MEETINGS_WIDE");
+  const char* n = std::getenv("COMBINED_FAULTS_WIDE");
   return n ? std::max(1, std::atoi(n)) : 1;
 }
 
@@ -137,4 +137,4 @@
   return confirmed;
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/meetings_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,10 +1,10 @@
-// Meetings of two troubles: docs/meetings.md has a row for each.
+// Combinations of two faults: docs/combined-faults.md has a row for each.
 #include "combined_faults.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
-TEST(Meetings, TheGapSwept) {
+TEST(CombinedFaults, TheGapSwept) {
   std::size_t confirmed = 0;
   for (double a = -1; a <= 7; a += wide() > 1 ? 0.5 : 2) {
     for (double b = 1; b <= 13; b += wide() > 1 ? 1 : 3) {
@@ -20,7 +20,7 @@
   EXPECT_GT(confirmed, 100U) << "cancellations were confirmed in the gap";
 }
 
-TEST(Meetings, TheGapBesideOtherTroubles) {
+TEST(CombinedFaults, TheGapBesideOtherTroubles) {
   const std::vector<std::pair<std::string, std::function<void(Day&)>>> beside = {
       {"all controllers end amid it",
        [](Day& d) {
@@ -31,19 +31,20 @@
        }},
       {"machines hang",
        [](Day& d) {
-         d.at(62.1, [&d] { d.world.ail(World::Ail::hung, 3, 30, "req-10"); });
+         d.at(62.1, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::hung, 3, 30, "req-10"); });
        }},
       {"machines out of reach",
        [](Day& d) {
-         d.at(61, [&d] { d.world.ail(World::Ail::unreachable, 3, 50, "req-11"); });
+         d.at(61,
+              [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 50, "req-11"); });
        }},
       {"deaf machines",
        [](Day& d) {
-         d.at(61, [&d] { d.world.ail(World::Ail::deaf, 3, 40, "req-10"); });
+         d.at(61, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::deaf, 3, 40, "req-10"); });
        }},
       {"mute machines",
        [](Day& d) {
-         d.at(61, [&d] { d.world.ail(World::Ail::mute, 3, 40, "req-10"); });
+         d.at(61, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::mute, 3, 40, "req-10"); });
        }},
       {"answers lost",
        [](Day& d) {
@@ -55,7 +56,7 @@
        }},
       {"old reports",
        [](Day& d) {
-         d.at(50, [&d] { d.world.late_reports(0.5, 12, World::CopyArrives::after_election); });
+         d.at(50, [&d] { d.world.late_reports(0.5, 12, SimulatedCluster::CopyArrives::after_election); });
        }},
       {"the old leader stands still",
        [](Day& d) {
@@ -74,7 +75,7 @@
   EXPECT_GT(confirmed, 30U);
 }
 
-TEST(Meetings, TheGapUnderOtherSettings) {
+TEST(CombinedFaults, TheGapUnderOtherSettings) {
   std::size_t confirmed = 0;
   for (const double leases : {0.0, 2.0, 5.0}) {
     for (const bool consent : {false, true}) {
@@ -96,7 +97,7 @@
 
 // 1. Asked at all nodes again and again within milliseconds, the submission repeated, right after something
 // was told; some cancel at once.
-TEST(Meetings, AskedAtAllNodesWithinMilliseconds) {
+TEST(CombinedFaults, AskedAtAllNodesWithinMilliseconds) {
   meet(4, 3000, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.world.close_looks(90);
@@ -112,7 +113,7 @@
 }
 
 // 2. Carried out, only the answer lost, while others read what was written.
-TEST(Meetings, OnlyTheAnswerIsLost) {
+TEST(CombinedFaults, OnlyTheAnswerIsLost) {
   meet(6, 100, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.world.close_looks(80);
@@ -128,7 +129,7 @@
 
 // 3. Every team at its limit; cancelled jobs' machines are cut off or hang; the leader changes. Room is used
 // again as soon as that is proved.
-TEST(Meetings, TeamsAtTheirLimitsCancelWhatIsOutOfReach) {
+TEST(CombinedFaults, TeamsAtTheirLimitsCancelWhatIsOutOfReach) {
   meet(8, 8, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 14);
     plan.limits = true;
@@ -139,8 +140,9 @@
       day.world.user(s, 50);
     }
     day.world.step(55);
-    const auto what = seed % 2 == 0 ? World::Ail::unreachable : World::Ail::hung;
-    day.world.ail(what, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
+    const auto what =
+        seed % 2 == 0 ? SimulatedCluster::MachineFault::unreachable : SimulatedCluster::MachineFault::hung;
+    day.world.fail_machines(what, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
     day.cancel(10, 6, 55.1, 0.2);
     day.at(55 + 0.7 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.world.step(60);
@@ -151,7 +153,7 @@
 }
 
 // 4. Cancellations in the seconds in which one controller's work changes hands.
-TEST(Meetings, CancelledWhileTheWorkChangesHands) {
+TEST(CombinedFaults, CancelledWhileTheWorkChangesHands) {
   meet(12, 12, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.long_arrays(9, 70);
@@ -174,7 +176,7 @@
 }
 
 // 5. Machines up within two seconds get work at once while writes lag, and the leader ends.
-TEST(Meetings, MachinesUpAtOnceWhileWritesLag) {
+TEST(CombinedFaults, MachinesUpAtOnceWhileWritesLag) {
   meet(8, 40, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 4);
     plan.most_machines = 24;
@@ -192,7 +194,7 @@
     day.cancel(10, 3, 50, 0.3);
     day.world.step(80);
     const std::size_t rented = day.world.machines_in(0) + day.world.machines_in(1) - before;
-    const Verdict& v = day.finish();
+    const RunReport& v = day.finish();
     EXPECT_GT(v.late_writes + v.lost_answers, 0U);
     return rented;
   });
@@ -200,26 +202,30 @@
 
 // 6. Old reports at every node as a new leader begins, once it has acted, after newer ones, from an earlier
 // session or attempt.
-TEST(Meetings, OldReportsSettleNothing) {
+TEST(CombinedFaults, OldReportsSettleNothing) {
   meet(8, 400, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 8);
     plan.limits = seed % 2 == 0;
     Day day(plan);
     day.long_arrays(6, 25);
     day.stream(150, 0.6, 0.3);
-    day.world.late_reports(0.4, 60,
-                           seed % 3 != 0 ? World::CopyArrives::after_election : World::CopyArrives::later);
-    day.at(52, [&] { day.world.ail(World::Ail::unreachable, 3, 26); });  // their sessions end
+    day.world.late_reports(
+        0.4, 60,
+        seed % 3 != 0 ? SimulatedCluster::CopyArrives::after_election : SimulatedCluster::CopyArrives::later);
+    day.at(52, [&] {
+      day.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
+    });  // their sessions end
     day.at(60 + 0.3 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(85, [&] {
       day.world.late_reports(0.4, 50,
-                             seed % 3 == 0 ? World::CopyArrives::after_election : World::CopyArrives::later);
+                             seed % 3 == 0 ? SimulatedCluster::CopyArrives::after_election
+                                           : SimulatedCluster::CopyArrives::later);
       day.crash_leader();
     });
     day.at(110, [&] { day.crash_leader(); });
     day.cancel(10, 3, 60.5, 1.5);
     day.world.step(160);
-    const Verdict& v = day.finish();
+    const RunReport& v = day.finish();
     EXPECT_GT(v.kept_reports, 0U);
     return v.late_reports + v.kept_reports;
   });
@@ -227,7 +233,7 @@
 
 // 7. One-task jobs four a second for minutes, a quarter of them cancelled: within the budget of the smallest
 // site, and nothing of them stays behind but their final states.
-TEST(Meetings, OneTaskJobsFourASecond) {
+TEST(CombinedFaults, OneTaskJobsFourASecond) {
   meet(2, 800, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 12);
     plan.write_rps = 21;
@@ -237,7 +243,7 @@
       day.at(100, [&] { day.crash_leader(); });
     day.world.step(170);
     day.world.cancel(Day::ref(1)), day.world.cancel(Day::ref(2));
-    const Verdict& v = day.finish(120);
+    const RunReport& v = day.finish(120);
     EXPECT_LT(v.most_writes, 1.0);
     EXPECT_EQ(day.world.keys("j/"), 0U) << "live records, marks or sheets were left behind";
     EXPECT_GT(v.cancelled, 80U);
@@ -246,12 +252,13 @@
 }
 
 // 8. A command or its answer is held up for seconds, and the machine then goes on.
-TEST(Meetings, CommandsHeldUpAtMachinesThatGoOn) {
+TEST(CombinedFaults, CommandsHeldUpAtMachinesThatGoOn) {
   meet(10, 10, [](std::uint64_t seed) {
     Day day(deployed(seed, 6));
     for (double t = 45; t < 95; t += 3.1) {
       day.at(t, [&day, seed, t] {
-        day.world.ail(World::Ail::hung, 2, 0.5 + std::fmod(t * static_cast<double>(seed), 7.0));
+        day.world.fail_machines(SimulatedCluster::MachineFault::hung, 2,
+                                0.5 + std::fmod(t * static_cast<double>(seed), 7.0));
       });
     }
     day.long_arrays(6, 15);
@@ -265,7 +272,7 @@
 }
 
 // 9. Transactions without an answer are carried out after newer ones of the same controller.
-TEST(Meetings, TransactionsCarriedOutLate) {
+TEST(CombinedFaults, TransactionsCarriedOutLate) {
   meet(8, 100, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 5);
     plan.most_machines = 14;
@@ -284,15 +291,17 @@
 }
 
 // 10. A leader ends while machines with long tasks can't be reached, or don't hear the new one.
-TEST(Meetings, ALeaderEndsWhileMachinesAreOutOfReach) {
+TEST(CombinedFaults, ALeaderEndsWhileMachinesAreOutOfReach) {
   meet(9, 9, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 8);
     plan.limits = seed % 2 == 0;
     Day day(plan);
     day.long_arrays(6, 80);
     day.world.step(58);
-    constexpr World::Ail kinds[] = {World::Ail::unreachable, World::Ail::deaf, World::Ail::mute};
-    day.world.ail(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
+    constexpr SimulatedCluster::MachineFault kinds[] = {SimulatedCluster::MachineFault::unreachable,
+                                                        SimulatedCluster::MachineFault::deaf,
+                                                        SimulatedCluster::MachineFault::mute};
+    day.world.fail_machines(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
     day.at(58.5 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 3, 60, 1.7);
     day.stream(90, 1, 0.3);
@@ -305,7 +314,7 @@
 
 // 11. Leaders change ten times in two minutes, also inside an outage; all end and one returns; all are away
 // for longer than a lease; a zone with workers and a controller is cut off for longer than a lease.
-TEST(Meetings, LeadersChangeTenTimes) {
+TEST(CombinedFaults, LeadersChangeTenTimes) {
   meet(4, 28, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.long_arrays(8, 40);
@@ -322,7 +331,7 @@
   });
 }
 
-TEST(Meetings, AllControllersEndAndReturn) {
+TEST(CombinedFaults, AllControllersEndAndReturn) {
   meet(6, 12, [](std::uint64_t seed) {
     Plan plan = deployed(seed);
     const bool long_away = seed % 3 == 0;
@@ -347,7 +356,7 @@
   });
 }
 
-TEST(Meetings, AZoneWithAControllerIsCutOffForLongerThanALease) {
+TEST(CombinedFaults, AZoneWithAControllerIsCutOffForLongerThanALease) {
   meet(6, 6, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.long_arrays(8, 60);
@@ -358,7 +367,7 @@
     if (seed % 3 == 0)
       day.at(70, [&] { day.crash_leader(); });
     day.world.step(150);
-    const std::size_t n = day.world.verdict().kept_in_custody;
+    const std::size_t n = day.world.run_report().kept_in_custody;
     day.finish();
     return std::min<std::size_t>(n, 1);
   });
@@ -366,7 +375,7 @@
 
 // 12. A leader is cut off from the state service and the other controllers while workers and users still
 // reach it; jobs are cancelled through the new one.
-TEST(Meetings, ALeaderCutOffFromStateAndPeers) {
+TEST(CombinedFaults, ALeaderCutOffFromStateAndPeers) {
   meet(8, 8, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.world.close_looks(60);
@@ -386,7 +395,7 @@
 
 // 13. Jobs of two or three tasks end far apart across a change of leader; a cancellation, question or
 // repeated submission meets the end of a last task.
-TEST(Meetings, EndsFarApartAndCancelledAtTheEnd) {
+TEST(CombinedFaults, EndsFarApartAndCancelledAtTheEnd) {
   meet(6, 60, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
     day.world.slow_machines(4, 5);  // of two tasks one takes five times as long
@@ -399,7 +408,7 @@
         day.at(t, [&] { day.crash_leader(); });
     }
     day.world.step(140);
-    const Verdict& v = day.finish();
+    const RunReport& v = day.finish();
     EXPECT_GT(v.odd_answers, 50U);
     return v.at_the_end;
   });
@@ -407,7 +416,7 @@
 
 // 14. Jobs bound to one zone, arrays too, lose machines; a team at its limit when the leader changes and some
 // machines can't be asked, and a cancellation in that spell.
-TEST(Meetings, BoundToAZoneThatLosesMachines) {
+TEST(CombinedFaults, BoundToAZoneThatLosesMachines) {
   meet(6, 6, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 12);
     plan.limits = true;
@@ -424,7 +433,7 @@
     }
     day.world.step(56);
     day.world.kill_in_zone(0, 2);
-    day.world.ail(World::Ail::unreachable, 2, 18);
+    day.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 2, 18);
     day.at(56 + 0.8 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.cancel(10, 3, 57, 1.3);
     day.stream(90, 1, 0.3);
@@ -437,7 +446,7 @@
 
 // 15. The service answers slowly, or refuses the leader alone and then everybody for longer than cancel_s,
 // while users cancel and ask.
-TEST(Meetings, ASlowServiceWhileUsersCancelAndAsk) {
+TEST(CombinedFaults, ASlowServiceWhileUsersCancelAndAsk) {
   meet(4, 1000, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.world.close_looks(140);
@@ -461,7 +470,7 @@
 // A job that needs a cancelled one: its leader knows, but what it writes gets no answer for longer than
 // cancel_s. A follower whose question the leader puts off once answered from a fresh read that it was queued
 // (seed 1001007).
-TEST(Meetings, AnOrphanWhoseEndCanNotBeRecorded) {
+TEST(CombinedFaults, AnOrphanWhoseEndCanNotBeRecorded) {
   meet(8, 3, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 6);
     plan.chains = true;
@@ -487,7 +496,7 @@
     day.world.step(back + 1.4);
     const bool open = day.world.cancelled_at(Day::ref(13)) < 0;
     day.world.step(back + 10);
-    const Verdict& v = day.finish();
+    const RunReport& v = day.finish();
     EXPECT_EQ(v.orphans, 3U);
     return static_cast<std::size_t>(open);
   });
@@ -495,7 +504,7 @@
 
 // A new leader asks by several transactions at once which jobs on sheets are over, and some get no answer. It
 // once renewed its lease without ever having read its jobs: the last to ask again found nothing to ask.
-TEST(Meetings, ANewLeaderReadsItsJobsThoughAnswersAreLost) {
+TEST(CombinedFaults, ANewLeaderReadsItsJobsThoughAnswersAreLost) {
   meet(6, 12, [](std::uint64_t seed) {
     Plan plan = deployed(seed, 12);
     Day day(plan);
@@ -512,15 +521,15 @@
       day.at(52 + 12 * k, [&] { day.crash_leader(); });
     day.world.step(95);
     const std::size_t n = day.elections();
-    const Verdict& v = day.finish(500);
+    const RunReport& v = day.finish(500);
     EXPECT_EQ(v.lost_by_lease, 0U);
     EXPECT_GT(v.on_sheets, 100U);
     return n;
   });
 }
 
-// Each check of the meetings fails for a fault that is planted for it.
-TEST(Meetings, TheChecksCanFail) {
+// Each check of the combined faults fails for a fault that is planted for it.
+TEST(CombinedFaults, TheChecksCanFail) {
   const auto broken = [](const std::string& sabotage) {
     Plan plan = deployed(3, 6);
     plan.sabotage = sabotage;
@@ -531,9 +540,9 @@
     day.cancel(11, 1, 61);
     day.world.step(330);
     std::string rules;
-    for (const auto& b : day.world.verdict().broken)
+    for (const auto& b : day.world.run_report().broken)
       rules += b.substr(0, b.find(' ')) + " ";
-    if (day.world.verdict().longest_beside_room > 90)
+    if (day.world.run_report().longest_beside_room > 90)
       rules += "beside_room";
     return rules;
   };
@@ -549,7 +558,7 @@
 
 // Large arrays behind a stream of small ones, of equal and of higher priority, that is more than there is
 // room for; links are slow for a while and the leader ends. With the order of aims alone they never began.
-TEST(Meetings, LargeArraysBeginBesideMoreWorkThanRoom) {
+TEST(CombinedFaults, LargeArraysBeginBesideMoreWorkThanRoom) {
   const auto begun = [](std::uint64_t seed, double within) {
     Plan plan = deployed(seed, 6);
     plan.begin_within_s = within;
@@ -578,7 +587,7 @@
     std::size_t n = 0;
     for (int ref = 10; ref < 14; ++ref)
       n += day.world.began_at(Day::ref(ref)) >= 0;
-    for (const auto& b : day.world.verdict().broken)
+    for (const auto& b : day.world.run_report().broken)
       ADD_FAILURE() << b;
     return n;
   };
@@ -589,4 +598,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/custody_test.cpp
+++ b/tests/custody_test.cpp
@@ -28,7 +28,7 @@
     for (std::size_t i = 0; i < 3; ++i)
       later(between(0, 1), [this, i] { greet(i); });
     later(0.1, [this] { beat(); });
-    later(5, [this] { trouble(); });
+    later(5, [this] { random_fault(); });
     while (!events_.empty() && events_.begin()->first < until && wrong_ == 0) {
       auto e = events_.extract(events_.begin());
       t_ = e.key();
@@ -162,8 +162,8 @@
       });
     });
   }
-  void trouble() {
-    later(between(2, 30), [this] { trouble(); });
+  void random_fault() {
+    later(between(2, 30), [this] { random_fault(); });
     const std::size_t i = rng_(3);
     switch (rng_(6)) {
       case 0:
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -2,7 +2,7 @@
 // ask of the state service, and that who does not flood is admitted as on a calm day.
 #include "rides.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 enum class Trouble {
@@ -29,7 +29,7 @@
   double write_rps = 15;
 };
 
-void strike(World& world, Trouble trouble) {
+void strike(SimulatedCluster& world, Trouble trouble) {
   const std::size_t leader = world.leader().value_or(0), other = (leader + 1) % world.nodes();
   switch (trouble) {
     case Trouble::leader_ends:
@@ -74,7 +74,7 @@
   plan.one_fixed = flood.trouble == Trouble::older;
   plan.back_from = flood.trouble == Trouble::node_dead ? 0.9 : 0.05;
   plan.back_to = flood.trouble == Trouble::node_dead ? 0.99 : 0.2;
-  World world(plan);
+  SimulatedCluster world(plan);
   world.begin();
   world.step(10);
   constexpr double kFrom = 20, kTo = 40;
@@ -113,11 +113,11 @@
   // a budget as small as this is more; the span is five seconds.
   if (flood.trouble != Trouble::older) {
     const double whole = 5.0 * static_cast<double>(flood.nodes) / flood.write_rps;
-    EXPECT_LE(world.verdict().most_writes, 0.9 + (0.9 + whole) / 5);
+    EXPECT_LE(world.run_report().most_writes, 0.9 + (0.9 + whole) / 5);
   }
   world.step(400);
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.verdict().broken)
+  for (const auto& b : world.run_report().broken)
     ADD_FAILURE() << b;
 }
 
@@ -172,7 +172,7 @@
     Plan plan = scripted(seed, 40);  // so many that nothing has to give way
     plan.admission = true;
     plan.back_from = 0.05, plan.back_to = 0.3;
-    World world(plan);
+    SimulatedCluster world(plan);
     world.begin();
     world.step(10);
     for (int n = 1; n <= 40; ++n) {
@@ -182,7 +182,7 @@
       world.user(s, 5, n % 8 == 0 ? 60 : -1);
     }
     world.step(14);
-    EXPECT_GT(world.verdict().on_sheets, 20U) << seed;
+    EXPECT_GT(world.run_report().on_sheets, 20U) << seed;
     world.crash(world.leader().value_or(0));
     world.step(25);
     EXPECT_GT(world.sheets(), 0U) << "services live on";
@@ -200,8 +200,8 @@
     world.crash(world.leader().value_or(0));
     world.step(200);
     EXPECT_EQ(world.close().unfinished, 0U);
-    EXPECT_EQ(world.verdict().started_again, 0U) << "what runs is found again";
-    for (const auto& b : world.verdict().broken)
+    EXPECT_EQ(world.run_report().started_again, 0U) << "what runs is found again";
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
@@ -214,7 +214,7 @@
     plan.admission = true;
     plan.agreed = true;  // else a lease may run out between so many leaders
     plan.back_from = 0.05, plan.back_to = 0.3;
-    World world(plan);
+    SimulatedCluster world(plan);
     world.begin();
     world.step(40);
     for (int n = 1; n <= 60; ++n) {
@@ -227,10 +227,10 @@
       world.crash(world.leader().value_or(0));
     }
     world.step(200);
-    EXPECT_GT(world.verdict().on_sheets, 20U);
+    EXPECT_GT(world.run_report().on_sheets, 20U);
     EXPECT_EQ(world.close().unfinished, 0U);
-    EXPECT_EQ(world.verdict().started_again, 0U);
-    for (const auto& b : world.verdict().broken)
+    EXPECT_EQ(world.run_report().started_again, 0U);
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
@@ -242,7 +242,7 @@
     hush();
     Plan plan = scripted(seed, 6);
     plan.chains = true;
-    World world(plan);
+    SimulatedCluster world(plan);
     world.begin();
     world.step(5);
     wire::JobSpec first = job_of(1, 2, "red");
@@ -257,8 +257,8 @@
     world.step(21);
     world.state_outage(45);
     world.step(200);
-    EXPECT_GT(world.verdict().orphans, 0U);
-    for (const auto& b : world.verdict().broken)
+    EXPECT_GT(world.run_report().orphans, 0U);
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
@@ -271,7 +271,7 @@
     hush();
     Plan plan = scripted(seed, 16);
     plan.admission = seed % 2 == 0;
-    World world(plan);
+    SimulatedCluster world(plan);
     world.begin();
     world.step(10);
     for (int n = 1; n <= 30; ++n) {
@@ -286,11 +286,11 @@
       world.cut_node(i, false, true, 50, false);
     world.state_slow(60);
     world.step(80);
-    EXPECT_GT(world.verdict().cancelled, 10U);
-    for (const auto& b : world.verdict().broken)
+    EXPECT_GT(world.run_report().cancelled, 10U);
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -3,7 +3,7 @@
 // nobody.
 #include "combined_faults.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 // A direct command is held up while its machine is well; its leader ends, and the next one's commands come
@@ -46,15 +46,16 @@
 TEST(LateMessages, CommandsHeldUpToMachinesThatFailAndGoOn) {
   meet(12, 100, [](std::uint64_t seed) {
     Day day(deployed(seed, 7));
-    constexpr World::Ail kinds[] = {World::Ail::hung, World::Ail::deaf, World::Ail::mute,
-                                    World::Ail::unreachable};
+    constexpr SimulatedCluster::MachineFault kinds[] = {
+        SimulatedCluster::MachineFault::hung, SimulatedCluster::MachineFault::deaf,
+        SimulatedCluster::MachineFault::mute, SimulatedCluster::MachineFault::unreachable};
     day.long_arrays(8, 25);
     day.stream(120, 0.4, 0.5, 2, 4);
     day.world.late_commands(0.4, 80);
     for (double t = 50; t < 110; t += 9) {
       day.at(t, [&day, seed, t, &kinds] {
         const auto kind = static_cast<std::size_t>(t) + seed;
-        day.world.ail(kinds[kind % 4], 2, 3 + std::fmod(t * static_cast<double>(seed), 20.0));
+        day.world.fail_machines(kinds[kind % 4], 2, 3 + std::fmod(t * static_cast<double>(seed), 20.0));
       });
     }
     day.cancel(10, 5, 53, 4.3);
@@ -70,14 +71,19 @@
 TEST(LateMessages, OldReportsReachANewLeaderBeforeAnyWorker) {
   meet(12, 1000, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
-    day.world.late_reports(0.7, 120, World::CopyArrives::at_election);
+    day.world.late_reports(0.7, 120, SimulatedCluster::CopyArrives::at_election);
     day.long_arrays(8, 70, 4);
     day.stream(150, 1, 0.3, 2, 8);
-    day.at(48, [&] { day.world.ail(World::Ail::hung, 3, 23 + static_cast<double>(seed % 5)); });
+    day.at(48, [&] {
+      day.world.fail_machines(SimulatedCluster::MachineFault::hung, 3, 23 + static_cast<double>(seed % 5));
+    });
     day.at(70, [&] { day.world.late_commands(0.5, 80); });
     for (double t = 78 + 0.4 * static_cast<double>(seed); t < 150; t += 16) {
-      day.at(t - 1,
-             [&day, seed] { day.world.ail(seed % 2 == 0 ? World::Ail::hung : World::Ail::deaf, 2, 6); });
+      day.at(t - 1, [&day, seed] {
+        day.world.fail_machines(
+            seed % 2 == 0 ? SimulatedCluster::MachineFault::hung : SimulatedCluster::MachineFault::deaf, 2,
+            6);
+      });
       day.at(t, [&] { day.crash_leader(); });
     }
     day.cancel(10, 3, 95, 7);
@@ -95,7 +101,7 @@
     day.long_arrays(8, 50);
     day.stream(110, 0.7, 0.4, 2, 5);
     day.world.step(55);
-    day.world.ail(World::Ail::mute, 4, seed % 2 == 0 ? 14 : 40, "req-10");
+    day.world.fail_machines(SimulatedCluster::MachineFault::mute, 4, seed % 2 == 0 ? 14 : 40, "req-10");
     day.at(56 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 4, 57, 2);
     day.world.step(120);
@@ -174,4 +180,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -4,7 +4,7 @@
 
 #include "rides.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 constexpr double kLease = 20;  // of the simulated workers
@@ -18,7 +18,7 @@
   return plan;
 }
 
-void crash_all(World& w) {
+void crash_all(SimulatedCluster& w) {
   for (std::size_t i = 0; i < 3; ++i)
     w.crash(i);
 }
@@ -32,7 +32,7 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + ", after " + std::to_string(at));
       lost_nothing(ride_through(
           agreed(seed, 12),
-          [at](World& w) {
+          [at](SimulatedCluster& w) {
             w.state_outage(70);
             w.at_once_after(at, [&w] { crash_all(w); });
             w.at_once_after(at + 2, [&w] { crash_all(w); });
@@ -48,7 +48,7 @@
     SCOPED_TRACE(seed);
     lost_nothing(ride_through(
         agreed(seed, 12),
-        [](World& w) {
+        [](SimulatedCluster& w) {
           w.state_outage(60);
           for (int i = 0; i < 12; ++i)
             w.at_once_after(1 + i, [&w] { crash_all(w); });
@@ -70,7 +70,7 @@
     plan.back_to = 0.06;
     const Ride r = ride_through(
         plan,
-        [](World& w) {
+        [](SimulatedCluster& w) {
           w.state_outage(65);
           // Not in step with the second after which workers try again.
           for (int i = 0; i < 60; ++i)
@@ -90,7 +90,7 @@
   plan.agreed = false;
   const Ride r = ride_through(
       plan,
-      [](World& w) {
+      [](SimulatedCluster& w) {
         w.state_outage(70);
         w.at_once_after(4, [&w] { crash_all(w); });
       },
@@ -108,7 +108,7 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + (leaders ? ", leader's" : ""));
       lost_nothing(ride_through(
           agreed(seed, 12, 4),
-          [leaders](World& w) {
+          [leaders](SimulatedCluster& w) {
             for (const double at : {1.0, 6.0, 8.0, 14.0})
               w.at_once_after(at, [&w] { crash_all(w); });
             w.at_once_after(24, [&w, leaders] {
@@ -126,7 +126,7 @@
 TEST(AllNew, AProcessThatFindsItsEarlierLifeLeadingEndsItsOffice) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     hush();
-    World world(agreed(seed, 12));
+    SimulatedCluster world(agreed(seed, 12));
     world.begin();
     world.step(30);
     for (double t = 30; t < 60; t += 5) {
@@ -137,7 +137,7 @@
       EXPECT_TRUE(world.leader()) << "seed " << seed << " at " << t;
       world.step(t + 5);
     }
-    for (const auto& b : world.verdict().broken)
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
@@ -151,7 +151,7 @@
       SCOPED_TRACE("again after " + std::to_string(after) + (in_turn ? ", in turn" : ""));
       const Ride r = ride_through(
           agreed(2, 24),
-          [after, in_turn](World& w) {
+          [after, in_turn](SimulatedCluster& w) {
             crash_all(w);
             for (std::size_t i = 0; i < 3; ++i)
               w.at_once_after(after * (in_turn ? static_cast<double>(i + 1) : 1.0), [&w, i] { w.crash(i); });
@@ -170,7 +170,7 @@
 // that.
 TEST(AllNew, AnOutageOfAnyLengthWithTheLeaderAliveLosesNothing) {
   lost_nothing(ride_through(
-      agreed(6, 12), [](World& w) { w.state_outage(110); }, 130));
+      agreed(6, 12), [](SimulatedCluster& w) { w.state_outage(110); }, 130));
 }
 
 // A cut that is longer than a lease and shorter than custody costs nothing, however long custody is.
@@ -180,7 +180,9 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + (leaders ? ", leader's" : ""));
       lost_nothing(ride_through(
           agreed(seed, 12, 5),
-          [leaders](World& w) { w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 95, true); },
+          [leaders](SimulatedCluster& w) {
+            w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 95, true);
+          },
           110));
     }
   }
@@ -206,7 +208,7 @@
   Plan plan = agreed(seed, static_cast<int>(loss.machines), 2);
   plan.zones = loss.zones;
   plan.most_machines = loss.machines * 2;
-  World world(plan);
+  SimulatedCluster world(plan);
   world.begin();
   world.step(5);
   constexpr int kServices = 12;  // two thirds of what there is
@@ -242,7 +244,7 @@
     world.user(s, 15);
   }
   world.step(50 + loss.cut_s - 0.1);
-  const Verdict& v = world.verdict();
+  const RunReport& v = world.run_report();
   EXPECT_EQ(v.returned_in_cut, 0U);
   EXPECT_EQ(v.started_in_cut, 0U);
   EXPECT_EQ(v.rented_in_cut, 0U);
@@ -264,7 +266,7 @@
     EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), loss.machines / 3) << "service " << n;
   }
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.verdict().broken)
+  for (const auto& b : world.run_report().broken)
     ADD_FAILURE() << b;
 }
 
@@ -315,7 +317,7 @@
   for (const double period : {1.0, 5.0, 20.0, 60.0}) {
     SCOPED_TRACE(period);
     hush();
-    World world(agreed(7, 12, 2));
+    SimulatedCluster world(agreed(7, 12, 2));
     world.begin();
     world.step(5);
     wire::JobSpec s = job_of(1, 6, "red");
@@ -328,10 +330,10 @@
       world.cut_zone(1, period, true);
       world.step(t + 2 * period);
     }
-    EXPECT_EQ(world.verdict().returned_in_cut, 0U);
+    EXPECT_EQ(world.run_report().returned_in_cut, 0U);
     world.step(world.next() + 120);
     EXPECT_EQ(world.replicas_up("req-1"), 6U);
-    for (const auto& b : world.verdict().broken)
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
@@ -341,7 +343,7 @@
   hush();
   Plan plan = agreed(11, 1800, 3);
   plan.zones = 3;
-  World world(plan);
+  SimulatedCluster world(plan);
   world.begin();
   world.step(5);
   for (int n = 1; n <= 30; ++n) {
@@ -358,7 +360,7 @@
     world.user(s, 30);
   }
   world.step(50);
-  const std::size_t before = world.verdict().started;
+  const std::size_t before = world.run_report().started;
   EXPECT_GT(before, 1800U);
   crash_all(world);
   world.step(55);
@@ -366,16 +368,16 @@
   world.step(70);
   world.crash(0);
   world.step(180);
-  EXPECT_EQ(world.verdict().lost_by_lease, 0U);
-  EXPECT_EQ(world.verdict().returned_in_cut, 0U);
+  EXPECT_EQ(world.run_report().lost_by_lease, 0U);
+  EXPECT_EQ(world.run_report().returned_in_cut, 0U);
   std::size_t up = 0;
   for (int n = 1; n <= 30; ++n)
     up += world.replicas_up("req-" + std::to_string(n));
   EXPECT_EQ(up, 1800U);
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.verdict().broken)
+  for (const auto& b : world.run_report().broken)
     ADD_FAILURE() << b;
 }
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -32,7 +32,7 @@
     return
   fi
   # What breaks no rule may still lose work that should have gone on.
-  if ! "$work/build/world_tests" --gtest_filter='World.AZone*:World.AnOutage*:Spread.*:AllNew.*:LostZone.*:Flood*:Cells.*:Each/HandOver*:Meetings.*:LateMessages.*' >"$work/rides.log" 2>&1; then
+  if ! "$work/build/world_tests" --gtest_filter='SimulatedCluster.AZone*:SimulatedCluster.AnOutage*:Spread.*:AllNew.*:LostZone.*:Flood*:Cells.*:Each/HandOver*:CombinedFaults.*:LateMessages.*' >"$work/rides.log" 2>&1; then
     echo "$1: caught by the rides through cuts and outages, or the tests of load spread, floods and cells"
     caught=$((caught + 1))
     cp "$work/pristine/$2" "$file"
@@ -150,19 +150,19 @@
 mutant "cells: away ends at once with a cancellation" daemon/admission.cpp 's/if \(job\.away\)\s+return false;/if (job.away) return true;/'
 mutant "cells: a guest that has begun is recalled" daemon/cells.cpp 's/if \(!cancels && begun && !job->aborting\)/if (false)/'
 mutant "cells: an older page may stand for a newer one" cells/stays.cpp 's/sheet->second\.version = f\.named\.empty\(\) \? 0 : revision;//'
-mutant "meetings: a page of the roster knows no version" jobs/ledger.cpp 's/txn\.require\(page_key\(kRoster, n\), page\.version\)\.put/txn.put/'
-mutant "meetings: a page of progress knows no version" jobs/ledger.cpp 's/txn\.require\(page_key\(kProgress, n\), page\.version\)\.put/txn.put/'
-mutant "meetings: a page changed unheard is not looked up" jobs/ledger.cpp 's/\+\+looked_up_, look_up\(k(Roster|Progress), n\);/++looked_up_;/g'
-mutant "meetings: a follower trusts a fresh read though the leader put it off" daemon/admission.cpp 's/\(cautious \|\| out_/(out_/'
-mutant "meetings: a need that is not known yet is no reason to wait" daemon/admission.cpp 's/return job\.orphan \|\| chains_\.undecided\(job\);/return job.orphan;/'
-mutant "meetings: a read of an earlier leadership counts" daemon/sheets.cpp 's/if \(live\["term"\]\.get<std::uint64_t>\(\) != term_\)\s+return;//'
-mutant "meetings: a creation of an earlier leadership counts" daemon/admission.cpp 's/ && term == term_\)\s+job_seen/) job_seen/'
-mutant "meetings: tasks that cannot be adopted are not looked for" daemon/admission.cpp 's/if \(agents_\.holds_unplaced\(job\.spec\.ref\)\)\s+return false;//'
-mutant "meetings: without custody a cancellation is told at once" daemon/admission.cpp 's/if \(job\.placed > 0\)\s+return false;/if (settings_.tunables.custody_leases <= 0) return true;\n  if (job.placed > 0) return false;/'
-mutant "meetings: marks of jobs that are over stay" daemon/admission.cpp 's/return ledger_\.sweep\(key\);/return;/'
-mutant "meetings: only the first part is read again" daemon/leading.cpp 's/if \(range->more && !range->items\.empty\(\)\)\s+return read_more\(all\);//'
-mutant "meetings: the last to ask again which are over is told by nobody" daemon/sheets.cpp 's/if \(o->open == 0 && !std::exchange\(o->told, true\)\) o->then\(o->over\);\n    return;/return;/; s/               ask_some_over\(o\);\n             \}\);/               ask_some_over(o);\n               if (o->open == 0 \&\& o->refs.empty() \&\& !std::exchange(o->told, true)) o->then(o->over);\n             });/'
-mutant "meetings: large arrays wait for as long as more comes" sched/reservations.cpp 's/return settings_\.tunables\.begin_within_s > 0 &&/return false \&\&/'
+mutant "combined faults: a page of the roster knows no version" jobs/ledger.cpp 's/txn\.require\(page_key\(kRoster, n\), page\.version\)\.put/txn.put/'
+mutant "combined faults: a page of progress knows no version" jobs/ledger.cpp 's/txn\.require\(page_key\(kProgress, n\), page\.version\)\.put/txn.put/'
+mutant "combined faults: a page changed unheard is not looked up" jobs/ledger.cpp 's/\+\+looked_up_, look_up\(k(Roster|Progress), n\);/++looked_up_;/g'
+mutant "combined faults: a follower trusts a fresh read though the leader put it off" daemon/admission.cpp 's/\(cautious \|\| out_/(out_/'
+mutant "combined faults: a need that is not known yet is no reason to wait" daemon/admission.cpp 's/return job\.orphan \|\| chains_\.undecided\(job\);/return job.orphan;/'
+mutant "combined faults: a read of an earlier leadership counts" daemon/sheets.cpp 's/if \(live\["term"\]\.get<std::uint64_t>\(\) != term_\)\s+return;//'
+mutant "combined faults: a creation of an earlier leadership counts" daemon/admission.cpp 's/ && term == term_\)\s+job_seen/) job_seen/'
+mutant "combined faults: tasks that cannot be adopted are not looked for" daemon/admission.cpp 's/if \(agents_\.holds_unplaced\(job\.spec\.ref\)\)\s+return false;//'
+mutant "combined faults: without custody a cancellation is told at once" daemon/admission.cpp 's/if \(job\.placed > 0\)\s+return false;/if (settings_.tunables.custody_leases <= 0) return true;\n  if (job.placed > 0) return false;/'
+mutant "combined faults: marks of jobs that are over stay" daemon/admission.cpp 's/return ledger_\.sweep\(key\);/return;/'
+mutant "combined faults: only the first part is read again" daemon/leading.cpp 's/if \(range->more && !range->items\.empty\(\)\)\s+return read_more\(all\);//'
+mutant "combined faults: the last to ask again which are over is told by nobody" daemon/sheets.cpp 's/if \(o->open == 0 && !std::exchange\(o->told, true\)\) o->then\(o->over\);\n    return;/return;/; s/               ask_some_over\(o\);\n             \}\);/               ask_some_over(o);\n               if (o->open == 0 \&\& o->refs.empty() \&\& !std::exchange(o->told, true)) o->then(o->over);\n             });/'
+mutant "combined faults: large arrays wait for as long as more comes" sched/reservations.cpp 's/return settings_\.tunables\.begin_within_s > 0 &&/return false \&\&/'
 mutant "copies: a place that comes free is not looked for elsewhere" agents/agents.cpp 's/  registry_\.unplace\(job, task, m\.zone\);\n  claim\(job, task\);/  registry_.unplace(job, task, m.zone);/'
 mutant "copies: the result of one is forgotten" agents/agents.cpp 's/if \(t\.cause == wire::Cause::done\) \{/if (t.cause == wire::Cause::done \&\& job) {/'
 mutant "copies: one is stopped for an old report" agents/agents.cpp 's/ && !\(known && place_in_doubt\(job->tasks\[t\.index\]\)\)\)/)/'
--- a/tests/rides.hpp
+++ b/tests/rides.hpp
@@ -7,9 +7,9 @@
 
 #include <cstdlib>
 
-#include "emulator/world.hpp"
+#include "emulator/simulated_cluster.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 
 // LOG_LEVEL=debug tells a test's day in detail.
 inline void hush() {
@@ -30,7 +30,7 @@
   return s;
 }
 
-// Without troubles of its own and of a fixed size: what happens is what the test orders.
+// Without faults of its own and of a fixed size: what happens is what the test orders.
 inline Plan scripted(std::uint64_t seed, int machines) {
   Plan plan;
   plan.seed = seed;
@@ -39,22 +39,23 @@
   plan.machines = machines;
   plan.most_machines = static_cast<std::size_t>(machines);
   plan.script = true;
-  plan.idle_return_s = 1e4;  // replicas move only because of the trouble
+  plan.idle_return_s = 1e4;  // replicas move only because of the fault
   return plan;
 }
 
 struct Ride {
-  Verdict verdict;
+  RunReport verdict;
   std::size_t before = 0,
-              again = 0;  // tasks started before the trouble; those started once more because of it
+              again = 0;  // tasks started before the fault; those started once more because of it
   bool over = false;
 };
 
-// Services and one long array over all zones; then the trouble; then time for everything to be over.
-inline Ride ride_through(const Plan& plan, const std::function<void(World&)>& trouble, double lasts) {
+// Services and one long array over all zones; then the fault; then time for everything to be over.
+inline Ride ride_through(const Plan& plan, const std::function<void(SimulatedCluster&)>& trouble,
+                         double lasts) {
   hush();
   const auto machines = static_cast<std::uint32_t>(plan.machines);
-  World world(plan);
+  SimulatedCluster world(plan);
   world.begin();
   world.step(5);
   for (int n = 1; n <= 3; ++n) {
@@ -70,19 +71,19 @@
   world.user(array, 70);
   world.step(50);
   Ride r;
-  r.before = world.verdict().started;
-  const std::size_t moved = world.verdict().started_again;
+  r.before = world.run_report().started;
+  const std::size_t moved = world.run_report().started_again;
   trouble(world);
   world.step(50 + lasts);
-  r.again = world.verdict().started_again - moved;
+  r.again = world.run_report().started_again - moved;
   world.step(250);
   r.over = world.over("req-9");
-  r.verdict = world.verdict();
+  r.verdict = world.run_report();
   return r;
 }
 
-inline Ride ride_through(std::uint64_t seed, int machines, const std::function<void(World&)>& trouble,
-                         double lasts) {
+inline Ride ride_through(std::uint64_t seed, int machines,
+                         const std::function<void(SimulatedCluster&)>& trouble, double lasts) {
   return ride_through(scripted(seed, machines), trouble, lasts);
 }
 
@@ -97,4 +98,4 @@
   EXPECT_TRUE(r.over);
 }
 
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -3,7 +3,7 @@
 
 #include "rides.hpp"
 
-namespace wingtrail::world {
+namespace wingtrail::emulator {
 namespace {
 
 class Seeds : public ::testing::TestWithParam<int> {
@@ -16,7 +16,7 @@
 // To repeat one: world_hunt SEED 1
 TEST_P(Seeds, RulesHoldUnderTroubles) {
   const Plan plan = plan_of(static_cast<std::uint64_t>(GetParam()));
-  const Verdict v = World(plan).run();
+  const RunReport v = SimulatedCluster(plan).run();
   for (const auto& b : v.broken)
     ADD_FAILURE() << b;
   EXPECT_GT(v.started, 20U);
@@ -24,19 +24,19 @@
   EXPECT_GT(v.finished, 5U);
   EXPECT_GT(v.elections, 0U);
   EXPECT_EQ(v.chained > 5U, plan.chains);
-  // When the troubles are over, what was accepted gets done.
+  // When the faults are over, what was accepted gets done.
   EXPECT_EQ(v.unfinished, 0U) << "of " << v.accepted << " jobs, seed " << plan.seed;
 }
-INSTANTIATE_TEST_SUITE_P(World, Seeds, ::testing::Range(1, 25));
+INSTANTIATE_TEST_SUITE_P(SimulatedCluster, Seeds, ::testing::Range(1, 25));
 
 // Seed 4: with one machine up, whose first report went to a peer, the leader once took itself for cut off.
-TEST(World, QuietDaysGetEverythingDoneUnderOneLeader) {
+TEST(SimulatedCluster, QuietDaysGetEverythingDoneUnderOneLeader) {
   spdlog::set_level(spdlog::level::off);
   for (const std::uint64_t seed : {4U, 8U, 18U, 28U}) {
     Plan plan;
     plan.seed = seed;
     plan.fault_every_s = 0;
-    const Verdict v = World(plan).run();
+    const RunReport v = SimulatedCluster(plan).run();
     EXPECT_TRUE(v.broken.empty()) << seed;
     EXPECT_EQ(v.unfinished, 0U) << seed;
     EXPECT_EQ(v.elections, 1U) << seed;
@@ -47,15 +47,15 @@
   }
 }
 
-// Without other troubles, an upgrade costs as many elections as leaders were ended for it, and the smaller
+// Without other faults, an upgrade costs as many elections as leaders were ended for it, and the smaller
 // limits are kept to by whoever knows of them (the world calls anything beyond them a broken rule).
-TEST(World, AnUpgradeIsQuiet) {
+TEST(SimulatedCluster, AnUpgradeIsQuiet) {
   spdlog::set_level(spdlog::level::off);
   std::size_t orphans = 0;
   for (const std::uint64_t seed : {9U, 15U, 21U}) {
     Plan plan = plan_of(seed);
     plan.fault_every_s = 0;
-    const Verdict v = World(plan).run();
+    const RunReport v = SimulatedCluster(plan).run();
     for (const auto& b : v.broken)
       ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U) << seed;
@@ -67,7 +67,7 @@
 }
 
 // Limits that nobody announced: what the state service refuses goes in smaller parts, and nothing stops.
-TEST(World, LimitsBelowThoseOfTheSettingsAreFoundOut) {
+TEST(SimulatedCluster, LimitsBelowThoseOfTheSettingsAreFoundOut) {
   spdlog::set_level(spdlog::level::off);
   std::size_t over = 0;
   for (const std::uint64_t seed : {3U, 9U, 21U}) {
@@ -75,7 +75,7 @@
     plan.undeclared = 0.4;
     plan.machines = 12;
     plan.fault_every_s = 40;
-    const Verdict v = World(plan).run();
+    const RunReport v = SimulatedCluster(plan).run();
     for (const auto& b : v.broken)
       ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U) << seed;
@@ -87,7 +87,7 @@
 // A zone cut off for longer than a lease, on the leader's side or not: no machine is returned, nothing is
 // lost and nothing started twice. Returning its machines as silent ended all that ran there (zone day of
 // cub-meterlink-fleet, simulated: 231 machines within 6 s).
-TEST(World, AZoneThatIsCutOffLosesNothing) {
+TEST(SimulatedCluster, AZoneThatIsCutOffLosesNothing) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     for (const bool hold : {false, true}) {
       for (const bool leaders : {false, true}) {
@@ -95,24 +95,27 @@
                      (leaders ? ", leader's" : ""));
         lost_nothing(ride_through(
             seed, 12,
-            [&](World& w) { w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 45, hold); }, 60));
+            [&](SimulatedCluster& w) {
+              w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 45, hold);
+            },
+            60));
       }
     }
   }
 }
 
-TEST(World, AThousandMachinesRideThroughACut) {
+TEST(SimulatedCluster, AThousandMachinesRideThroughACut) {
   lost_nothing(ride_through(
-      5, 1000, [](World& w) { w.cut_zone(1, 40, true); }, 50));
+      5, 1000, [](SimulatedCluster& w) { w.cut_zone(1, 40, true); }, 50));
 }
 
 // The state service is down for longer than a lease, and all controllers crash at its end.
-TEST(World, AnOutageThenACrashOfAllLosesNothing) {
+TEST(SimulatedCluster, AnOutageThenACrashOfAllLosesNothing) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     SCOPED_TRACE(seed);
     lost_nothing(ride_through(
         seed, 12,
-        [](World& w) {
+        [](SimulatedCluster& w) {
           w.state_outage(35);
           w.at_once_after(34, [&w] {
             for (std::size_t i = 0; i < 3; ++i)
@@ -124,7 +127,7 @@
 }
 
 // A team's guarantee is taken back at the cost of others' work only for what cannot wait for tasks to end.
-TEST(World, OnlyWhatIsPressedTakesAGuaranteeBack) {
+TEST(SimulatedCluster, OnlyWhatIsPressedTakesAGuaranteeBack) {
   spdlog::set_level(spdlog::level::off);
   const auto reclaimed = [](double due) {
     Plan plan;
@@ -133,7 +136,7 @@
     plan.machines = 4;
     plan.most_machines = 4;
     plan.script = true;
-    World world(plan);
+    SimulatedCluster world(plan);
     world.begin();
     world.step(10);
     wire::JobSpec red = job_of(1, 100, "red");  // far beyond its guarantee, on all machines
@@ -146,7 +149,7 @@
     world.user(blue, 10);
     world.step(400);
     EXPECT_TRUE(world.over("req-2"));
-    EXPECT_TRUE(world.verdict().broken.empty());
+    EXPECT_TRUE(world.run_report().broken.empty());
     const auto stats = world.leader_stats();
     return stats ? stats->reclaimed : 999;
   };
@@ -156,14 +159,14 @@
 
 // Services spread evenly over both zones once could move to neither, and one machine waiting to be emptied of
 // them kept all the others: the fleet stayed as large as it had ever been.
-TEST(World, AFleetThatIsTooLargeShrinksToWhatItsServicesNeed) {
+TEST(SimulatedCluster, AFleetThatIsTooLargeShrinksToWhatItsServicesNeed) {
   spdlog::set_level(spdlog::level::off);
   Plan plan;
   plan.fault_every_s = 0;
   plan.limits = false;
   plan.machines = 24;
   plan.script = true;
-  World world(plan);
+  SimulatedCluster world(plan);
   world.begin();
   world.step(5);
   wire::JobSpec s = job_of(0, 4, "red");
@@ -177,19 +180,19 @@
   world.step(400);
   const auto stats = world.leader_stats();
   ASSERT_TRUE(stats);
-  EXPECT_TRUE(world.verdict().broken.empty());
+  EXPECT_TRUE(world.run_report().broken.empty());
   EXPECT_EQ(stats->live_jobs, 9U);
   EXPECT_LE(stats->machines, 9U);
 }
 
 // Jobs that fail everywhere once took a longer job's machine every minute, in the name of their team's
 // guarantee.
-TEST(World, AFaultyJobStopsNobodysWork) {
+TEST(SimulatedCluster, AFaultyJobStopsNobodysWork) {
   spdlog::set_level(spdlog::level::off);
   Plan plan;
   plan.seed = 68;
   plan.limits = false;
-  const Verdict v = World(plan).run();
+  const RunReport v = SimulatedCluster(plan).run();
   EXPECT_TRUE(v.broken.empty());
   EXPECT_EQ(v.unfinished, 0U);
 }
@@ -210,12 +213,12 @@
 
 // Controllers crash, the state service fails, machines hang and die, at a size where everything comes by the
 // hundred: a thousand machines to settle, report and record.
-TEST(World, RulesHoldAtAThousandMachines) {
+TEST(SimulatedCluster, RulesHoldAtAThousandMachines) {
   spdlog::set_level(spdlog::level::off);
   for (const std::uint64_t seed : {1U, 2U}) {
     Plan plan = large(seed, 1000);
     plan.fault_every_s = 8;
-    const Verdict v = World(plan).run();
+    const RunReport v = SimulatedCluster(plan).run();
     for (const auto& b : v.broken)
       ADD_FAILURE() << b;
     EXPECT_GT(v.started, 300U);
@@ -225,13 +228,13 @@
 
 // Counts instead of times: what is looked at for a start, and what is written for a job, must not grow with
 // the fleet.
-TEST(World, AnEventCostsWhatItTouchesHoweverManyMachinesThereAre) {
+TEST(SimulatedCluster, AnEventCostsWhatItTouchesHoweverManyMachinesThereAre) {
   spdlog::set_level(spdlog::level::off);
   struct Cost {
     double examined, jobs, writes_per_job;
   };
   const auto cost = [](int machines) {
-    World world(large(3, machines));
+    SimulatedCluster world(large(3, machines));
     world.begin();
     // The machines have joined by then; each has to be recorded once, of course.
     world.step(50);
@@ -282,7 +285,7 @@
 TEST(Spread, ServicesStartWithoutAFetchOnAFullFleet) {
   spdlog::set_level(spdlog::level::off);
   const auto late = [](std::uint64_t seed, bool on) {
-    World world(spread_out(seed, 60, on));
+    SimulatedCluster world(spread_out(seed, 60, on));
     world.begin();
     world.step(10);
     int n = 0;
@@ -295,13 +298,13 @@
       world.user(s, 40);
     }
     world.step(60);
-    const std::size_t before = world.verdict().services_late;
+    const std::size_t before = world.run_report().services_late;
     for (int i = 0; i < 24; ++i)
       world.user(live(++n, 2, i % 10), 0);
     world.step(70);
-    for (const auto& b : world.verdict().broken)
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
-    return world.verdict().services_late - before;
+    return world.run_report().services_late - before;
   };
   std::size_t with = 0, without = 0;
   for (const std::uint64_t seed : {1U, 2U, 3U})
@@ -316,7 +319,7 @@
   spdlog::set_level(spdlog::level::off);
   std::uint64_t moved = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    World world(spread_out(seed, 48));
+    SimulatedCluster world(spread_out(seed, 48));
     world.begin();
     world.step(10);
     int n = 0;
@@ -347,7 +350,7 @@
     wave(240);
     world.step(900);
     EXPECT_EQ(world.close().unfinished, 0U) << seed;
-    for (const auto& b : world.verdict().broken)
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
   EXPECT_GT(moved, 20U);
@@ -358,7 +361,7 @@
 TEST(Spread, ASwarmingTeamStarvesNobody) {
   spdlog::set_level(spdlog::level::off);
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    World world(spread_out(seed, 100));
+    SimulatedCluster world(spread_out(seed, 100));
     world.begin();
     world.step(10);
     int n = 0;
@@ -389,20 +392,20 @@
     EXPECT_GT(stats->loads.size(), 1U);
     world.step(1500);
     EXPECT_EQ(world.served("red", 300), 1.0) << seed;
-    for (const auto& b : world.verdict().broken)
+    for (const auto& b : world.run_report().broken)
       ADD_FAILURE() << b;
   }
 }
 
 // A job past every time by which it could be of use takes a slow machine, if there is no other (seed 800994,
 // and seed 2037 of several cells: one stood still beside an empty machine).
-TEST(World, ASlowMachineTakesWhatIsLateAnyway) {
+TEST(SimulatedCluster, ASlowMachineTakesWhatIsLateAnyway) {
   hush();
-  const Verdict v = World(plan_of(800994)).run();
+  const RunReport v = SimulatedCluster(plan_of(800994)).run();
   EXPECT_EQ(v.unfinished, 0U);
   for (const auto& b : v.broken)
     ADD_FAILURE() << b;
 }
 
 }  // namespace
-}  // namespace wingtrail::world
+}  // namespace wingtrail::emulator
