--- a/src/agents/agents.hpp
+++ b/src/agents/agents.hpp
@@ -71,9 +71,12 @@
     return silent_;
   }
 
-  // A report that came in; the answer's body, or nothing if it must not be accepted.
-  // `orders`: whether the answer may hold any.
-  std::optional<wire::Value> report(const wire::Report& report, bool orders = true);
+  /// Whether the answer to a report may hold orders. A leader past its authority answers without any.
+  enum class OrdersInAnswer : std::uint8_t { allowed, withheld };
+  /// Takes in a report. Returns the answer's body, or nothing if the report must not be answered: the
+  /// leadership is over, the machine is gone, or the report is of a session that is.
+  std::optional<wire::Value> report(const wire::Report& report,
+                                    OrdersInAnswer orders_in_answer = OrdersInAnswer::allowed);
   bool start(Machine& m, jobs::Job& job, std::uint32_t task);
   void stop(Machine& m, Slot& slot, double grace_s);
   // Keeps room for a task that moves here (sign 1), or gives it up (-1).
@@ -159,7 +162,16 @@
     Ix machine;
     std::uint32_t task;
   };
-  void apply(Machine& m, const wire::Report& r, bool beat);
+  /// A report that the worker sent by itself, or the one in its answer to a direct command. Only the former
+  /// shows that it has acted on the answer to the report before, or never will.
+  enum class ReportSource : std::uint8_t { worker, command_answer };
+  void apply(Machine& m, const wire::Report& r, ReportSource source);
+  void note_contact(Machine& m, const wire::Report& r, ReportSource source);
+  bool take_tasks(Machine& m, const wire::Report& r, ReportSource source);
+  static std::optional<std::size_t> find_slot(const Machine& m, const wire::TaskReport& t, std::size_t known,
+                                              std::size_t hint);
+  void note_idleness(Machine& m);
+  bool tell_ended(Machine& m);
   void adopt(Machine& m, const wire::TaskReport& t);
   void update(Machine& m, Slot& s, const wire::TaskReport& t);
   void release(Machine& m, Slot& s);  // it no longer occupies anything
@@ -186,6 +198,12 @@
   Doubt& doubt(const Machine& m);
   Seconds lease_end(Seconds from) const;  // of a lease that starts then at the latest
   void check(Machine& m);
+  void check_lease(Machine& m);
+  void ask_in_cut_zone(Machine& m);
+  void repeat_orders(Machine& m);
+  bool may_probe(const Machine& m) const;
+  void judge_silence(Machine& m);
+  void ask_if_late(Machine& m);
   void raise_alarm();
   void sweep();
   void look_again(Machine& m, Seconds at);
@@ -201,6 +219,10 @@
                          const ports::Reply& reply);
   void enlist(Machine& m);
 
+  static constexpr Seconds kResend = 1.0;      // until what had no answer is sent again
+  static constexpr Seconds kAlarmLasts = 3.0;  // see raise_alarm()
+  static constexpr double kLateReport = 1.3;   // of the report interval; reports are up to a quarter late
+
   ports::Outbox& out_;
   const settings::Settings& settings_;
   jobs::Registry& registry_;
--- a/src/agents/orders.cpp
+++ b/src/agents/orders.cpp
@@ -4,26 +4,20 @@
 #include <algorithm>
 
 #include "agents/agents.hpp"
+#include "agents/resources.hpp"
 #include "custody/custody.hpp"
 
 namespace wingtrail::agents {
 namespace {
 constexpr Seconds kCommandTimeout = 2.0;
 constexpr Seconds kTokenTimeout = 1.0;  // nothing is in doubt if it is given up
-constexpr Seconds kResend = 1.0;
-constexpr Seconds kOverdue = 0.75;  // a resent packet comes sooner, mostly
+constexpr Seconds kOverdue = 0.75;      // a resent packet comes sooner, mostly
 // PROTOCOL: a worker gives an answer to its report up after 4 s; the rest covers both clocks' drift and
 // steps.
 constexpr Seconds kWorkerWaits = 4.5;
 constexpr std::size_t kOrdersPerCall = 200;  // far below the 64 KiB of a body
 // Calls to workers under way at once, as a share of the sockets: each holds one until it is answered.
 constexpr double kCallShare = 0.08;
-
-void add(wire::Resources& to, const wire::Resources& n, double sign) {
-  to.cpus += sign * n.cpus;
-  to.gpus += sign * n.gpus;
-  to.memory_gb += sign * n.memory_gb;
-}
 }  // namespace
 
 bool Agents::start(Machine& m, jobs::Job& job, std::uint32_t task) {
@@ -258,7 +252,7 @@
         return events_.superseded();
       const std::uint64_t term = term_;
       if (is_newer(m, *r))
-        apply(m, *r, false);
+        apply(m, *r, ReportSource::command_answer);
       if (term != term_)
         return;
       if (reply.status == 200)
--- a/src/daemon/custody.cpp
+++ b/src/daemon/custody.cpp
@@ -73,7 +73,7 @@
   if (election_.leading()) {
     if (!loaded_)
       return std::nullopt;
-    auto answer = agents_.report(*r, false);
+    auto answer = agents_.report(*r, agents::Agents::OrdersInAnswer::withheld);
     if (answer)
       custodian_.answered(out_.now());
     return answer;
