--- a/src/emulator/controllers.cpp
+++ b/src/emulator/controllers.cpp
@@ -228,22 +228,8 @@
           const int status = execute(h, call.body, true);
           back(status, status == 400 ? Value::object() : report_value(h));
         };
-        if (t_ < late_commands_until_ && odds(late_command_share_)) {
-          ++run_report_.late_commands;
-          return later(between(2, 16), [this, name, body = call.body] {
-            WorkerMachine& h = *machines_.at(name);
-            if (h.gone || h.dead || !h.up)
-              return;
-            const auto carried_out = [this, name, body] {
-              WorkerMachine& there = *machines_.at(name);
-              if (there.gone || there.dead)
-                return;
-              check_lease(there);
-              execute(there, body, true);
-            };
-            t_ < h.hung_until ? at(h.hung_until + 1e-6, carried_out) : carried_out();
-          });
-        }
+        if (hold_up(*host, call.body))
+          return;
         if (t_ < host->hung_until)
           return at(host->hung_until + 1e-6, arrive);
         return arrive();
--- a/src/emulator/simulated_cluster.hpp
+++ b/src/emulator/simulated_cluster.hpp
@@ -322,6 +322,7 @@
   void beat(WorkerMachine& h);
   void report_soon(WorkerMachine& h, double delay);
   Value report_value(WorkerMachine& h);
+  bool hold_up(const WorkerMachine& machine, const Value& body);
   int execute(WorkerMachine& h, const Value& body, bool direct);
   void order(WorkerMachine& h, const Value& o);
   void gather(UserJob& job, std::uint64_t attempt, double run);
--- a/src/emulator/workers.cpp
+++ b/src/emulator/workers.cpp
@@ -145,6 +145,27 @@
   later(4, [next] { next(1, true); });
 }
 
+// Whether this direct command is one that is held up: it gets no answer, and is carried out once, late.
+bool SimulatedCluster::hold_up(const WorkerMachine& machine, const Value& body) {
+  if (t_ >= late_commands_until_ || !odds(late_command_share_))
+    return false;
+  ++run_report_.late_commands;
+  later(between(2, 16), [this, name = machine.name, body] {
+    const WorkerMachine& held = *machines_.at(name);
+    if (held.gone || held.dead || !held.up)
+      return;
+    const auto carry_out_now = [this, name, body] {
+      WorkerMachine& there = *machines_.at(name);
+      if (there.gone || there.dead)
+        return;
+      check_lease(there);
+      execute(there, body, true);
+    };
+    t_ < held.hung_until ? at(held.hung_until + 1e-6, carry_out_now) : carry_out_now();
+  });
+  return true;
+}
+
 std::optional<std::pair<int, Value>> SimulatedCluster::commands(const std::string& host, const Value& body) {
   auto it = machines_.find(host);
   if (it == machines_.end())
@@ -152,6 +173,8 @@
   WorkerMachine& h = *it->second;
   if (h.gone || h.dead || !h.up || t_ < h.hung_until)
     return std::nullopt;
+  if (hold_up(h, body))
+    return std::nullopt;
   check_lease(h);
   const int status = execute(h, body, true);
   return std::pair(status, status == 400 ? Value::object() : report_value(h));
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -42,7 +42,7 @@
   std::string tunables;
   std::uint64_t seed = 1;
   double troubles = 0;
-  bool end_one = false, tell = false, gap = false;
+  bool end_one = false, tell = false, gap = false, late_messages = false;
   std::size_t cells = 1;
 };
 
@@ -164,6 +164,8 @@
     }
     if (options_.gap)
       play_gap();
+    if (options_.late_messages)
+      play_late_messages();
     if (options_.cells > 1) {
       world_->at_once_after(options_.seconds * 0.25, [this] { refuses_ = true; });
       world_->at_once_after(options_.seconds * 0.35, [this] { refuses_ = false; });
@@ -179,6 +181,14 @@
     if (options_.tell)
       tell();
   }
+  // Direct commands are held up, and copies of reports arrive again at every controller.
+  void play_late_messages() {
+    constexpr double kCommands = 0.3, kReports = 0.4;
+    const double lasts = options_.seconds * 0.6;
+    world_->late_commands(kCommands, lasts);
+    world_->late_reports(kReports, lasts, SimulatedCluster::CopyArrives::later);
+  }
+
   // docs/combined-faults.md: the leader refused alone, jobs called off, then the service down for all.
   void play_gap() {
     constexpr double kFrom = 50, kRefused = 14, kCancels = 6, kDown = 9, kDownFor = 45;
@@ -230,7 +240,8 @@
       const RunReport& v = world_->run_report();
       say(std::to_string(v.accepted) + " jobs accepted, " + std::to_string(v.started) + " tasks started, " +
           std::to_string(v.finished) + " jobs done, " + std::to_string(v.cancelled) + " cancelled; " +
-          (v.broken.empty() ? "no rule broken" : "A RULE WAS BROKEN"));
+          std::to_string(v.late_commands) + " commands and " + std::to_string(v.late_reports) +
+          " reports came late; " + (v.broken.empty() ? "no rule broken" : "A RULE WAS BROKEN"));
       tell();
     });
   }
@@ -398,6 +409,8 @@
   app.add_flag(
       "--gap", options.gap,
       "after 50 s the state service refuses the leader alone, jobs are called off, and it is down for 45 s");
+  app.add_flag("--late-messages", options.late_messages,
+               "direct commands are held up, and copies of reports arrive again at every controller");
   app.add_option("--cells", options.cells, "so many clusters, each a cell beside the others")
       ->check(CLI::Range(1, 5));
   app.add_flag("--tell", options.tell, "say what is going on");
