--- a/src/custody/custody.cpp
+++ b/src/custody/custody.cpp
@@ -26,7 +26,9 @@
   if (span_s_ <= 0)
     return -1;
   // A node without peers: its own earlier process is over, so nobody leads unless it does.
-  return consents_.empty() ? ports::kNever : *std::min_element(consents_.begin(), consents_.end());
+  if (consents_.empty())
+    return ports::kNever;
+  return *std::min_element(consents_.begin(), consents_.end());
 }
 
 void Custodian::heard(std::uint64_t token) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -189,7 +189,7 @@
   net::Slot<ports::Answer> slot;
   open_.emplace(in.id, &slot);
   const std::uint64_t id = in.id;
-  node_.request(loop_.now(), std::move(in));
+  node_.request(loop_.now(), in);
   act();
   auto answer = co_await slot.wait(scope_, loop_.now() + kAnswerWithin);
   open_.erase(id);
--- a/src/emulator/cloud.cpp
+++ b/src/emulator/cloud.cpp
@@ -65,7 +65,7 @@
 }
 
 void SimulatedCluster::cloud(const std::string& method, const std::string& path, const Value& body,
-                             Reply reply) {
+                             const Reply& reply) {
   if (t_ < cloud_down_until_)
     return reply(503, {{"error", "trouble"}});
   if (path == "/catalog") {
--- a/src/emulator/controllers.cpp
+++ b/src/emulator/controllers.cpp
@@ -58,7 +58,7 @@
   for (auto actions = c.node->drain(); !actions.empty(); actions = c.node->drain()) {
     for (auto& action : actions) {
       if (auto* call = std::get_if<ports::Call>(&action)) {
-        carry_out(i, std::move(*call));
+        carry_out(i, *call);
       } else {
         auto& answer = std::get<ports::Answer>(action);
         auto node = c.open.extract(answer.request);
@@ -109,7 +109,7 @@
   });
 }
 
-void SimulatedCluster::carry_out(std::size_t i, ports::Call call) {
+void SimulatedCluster::carry_out(std::size_t i, const ports::Call& call) {
   Controller& c = *controllers_[i];
   if (plan_.sabotage != "no_authority_check" && node_time(c) >= call.not_after) {
     later(0, [this, i, life = c.life, id = call.id] {
@@ -123,7 +123,7 @@
     return;
   }
   auto answered = std::make_shared<bool>(false);
-  auto finish = [this, i, life = c.life, id = call.id, answered](ports::Reply r) {
+  auto finish = [this, i, life = c.life, id = call.id, answered](const ports::Reply& r) {
     if (*answered)
       return;
     *answered = true;
@@ -268,7 +268,7 @@
   }
   in.id = ++c.requests;
   c.open[in.id] = std::move(then);
-  c.node->request(node_time(c), std::move(in));
+  c.node->request(node_time(c), in);
   act(i);
 }
 
--- a/src/emulator/simulated_cluster.hpp
+++ b/src/emulator/simulated_cluster.hpp
@@ -239,7 +239,7 @@
   bool former(std::size_t node) const;
   void state(std::size_t node, const std::string& method, const std::string& path, const Value& body,
              Reply reply);
-  void cloud(const std::string& method, const std::string& path, const Value& body, Reply reply);
+  void cloud(const std::string& method, const std::string& path, const Value& body, const Reply& reply);
   // What a worker answers to /commands; nothing if it does not answer.
   std::optional<std::pair<int, Value>> commands(const std::string& host, const Value& body);
 
@@ -299,7 +299,7 @@
   void poke(std::size_t i);
   double node_time(const Controller& c) const;
   void act(std::size_t i);
-  void carry_out(std::size_t i, ports::Call call);
+  void carry_out(std::size_t i, const ports::Call& call);
   void deliver(std::size_t i, daemon::Incoming in, OnAnswer then);
 
   // state service
--- a/src/jobs/progress.cpp
+++ b/src/jobs/progress.cpp
@@ -13,6 +13,9 @@
     return '\\' - kFirst;
   return c >= kFirst && c < kFirst + 64 ? c - kFirst : -1;
 }
+void set_bit(char& bits, std::uint32_t bit) {
+  bits = static_cast<char>(static_cast<unsigned char>(bits) | 1U << bit);
+}
 constexpr std::size_t kEntryBytes = 40;  // around a job's reference and bits
 }  // namespace
 
@@ -29,7 +32,7 @@
   std::string bits((to - from + 5) / 6, '\0');
   for (std::uint32_t i = from; i < to; ++i) {
     if (job.tasks[i].state == TaskState::done)
-      bits[(i - from) / 6] |= static_cast<char>(1U << ((i - from) % 6));
+      set_bit(bits[(i - from) / 6], (i - from) % 6);
   }
   for (char& c : bits)
     c = pack(static_cast<unsigned char>(c));
