--- a/src/agents/reports.cpp
+++ b/src/agents/reports.cpp
@@ -186,19 +186,19 @@
   s.ordered_at = out_.now();
   s.name = wire::task_name(t.ref, t.index);
   s.adopted = true;
-  s.counted = t.phase != wire::TaskPhase::exited;
-  jobs::Job* job = registry_.find(t.ref);
-  const bool known = job && job->open() && t.index < job->tasks.size();
-  const bool pending = known && job->tasks[t.index].state == jobs::TaskState::pending;
-  if (!s.counted && t.cause != wire::Cause::done) {
+  const bool exited = t.phase == wire::TaskPhase::exited;
+  if (exited && t.cause != wire::Cause::done) {
+    s.counted = false;
     s.phase = Slot::Phase::exited;
     s.forget = true;
     m.slots.push_back(std::move(s));
     return;
   }
-  // Every one begins as a copy beside what is placed. One that has exited ends as such in update(), so that
-  // its result counts wherever the task seems to be.
-  s.counted = true;
+  jobs::Job* job = registry_.find(t.ref);
+  const bool known = job && job->open() && t.index < job->tasks.size();
+  const bool pending = known && job->tasks[t.index].state == jobs::TaskState::pending;
+  // Every other one begins as a copy beside what is placed. One that has exited ends as such in update(), so
+  // that its result counts wherever the task seems to be.
   m.slots.push_back(std::move(s));
   Slot& slot = m.slots.back();
   add_copy(m, slot);
@@ -206,7 +206,7 @@
     claim(*job, t.index);
     if (job->aborting)
       stop(m, slot, 0);  // found only now, of a job whose cancellation is under way
-  } else if (t.phase != wire::TaskPhase::exited && !(known && place_in_doubt(job->tasks[t.index]))) {
+  } else if (!exited && !(known && place_in_doubt(job->tasks[t.index]))) {
     // Done already, or (which the rules forbid, and so must not be made worse) on another machine.
     if (!job || !job->open())
       spdlog::info("{} holds {} of a job that is over: stopping it", m.host, slot.name);
--- a/src/agents/slots.cpp
+++ b/src/agents/slots.cpp
@@ -10,16 +10,23 @@
 #include "agents/resources.hpp"
 
 namespace wingtrail::agents {
+namespace {
+
+std::string job_of(const Slot& s) {
+  return s.name.substr(0, s.name.rfind('/'));
+}
+
+}  // namespace
 
 void Agents::add_copy(Machine& m, const Slot& s) {
   ++m.unknown;
-  copies_[s.name.substr(0, s.name.rfind('/'))].push_back({m.ix, s.task});
+  copies_[job_of(s)].push_back({m.ix, s.task});
   account(m);
 }
 
 void Agents::remove_copy(Machine& m, const Slot& s) {
   --m.unknown;
-  const auto it = copies_.find(s.name.substr(0, s.name.rfind('/')));
+  const auto it = copies_.find(job_of(s));
   const auto copy = std::find_if(it->second.begin(), it->second.end(),
                                  [&](const Copy& c) { return c.machine == m.ix && c.task == s.task; });
   it->second.erase(copy);
@@ -152,18 +159,13 @@
 void Agents::drop_slot(Machine& m, std::size_t i) {
   Slot& s = m.slots[i];
   jobs::Job* job = registry_.at(s.job);
-  if (s.counted) {
-    release(m, s);
-    // It must not be found again where it has just ended.
-    const std::uint32_t task = s.task;
-    m.slots.erase(m.slots.begin() + static_cast<std::ptrdiff_t>(i));
-    if (job)
-      unplace(*job, task, m);
-    if (job)
-      registry_.drop_if_over(*job);
-    return;
-  }
+  const std::uint32_t task = s.task;
+  const bool had_place = job && s.counted;
+  release(m, s);
+  // Before its place goes to a copy: it must not be found again where it has just ended.
   m.slots.erase(m.slots.begin() + static_cast<std::ptrdiff_t>(i));
+  if (had_place)
+    unplace(*job, task, m);
   if (job)
     registry_.drop_if_over(*job);
 }
