--- a/src/admission/index.hpp
+++ b/src/admission/batch_index.hpp
@@ -17,15 +17,15 @@
 
 using ports::Seconds;
 
-class Index {
+class BatchIndex {
  public:
-  void begin() {
+  void reset() {
     *this = {};
   }  // nothing is known any more; it is read anew
-  void sheet(const std::string& key, const wire::Value& value);
-  void gone(const std::string& key, Seconds now);
+  void add_batch(const std::string& key, const wire::Value& value);
+  void remove_batch(const std::string& key, Seconds now);
   // All changes up to that revision have been told.
-  void reached(std::uint64_t revision, Seconds now);
+  void advance_to(std::uint64_t revision, Seconds now);
   bool complete() const {
     return revision_.has_value();
   }
@@ -33,27 +33,27 @@
     return revision_.value_or(0);
   }
   bool empty() const {
-    return sheets_.empty() && gone_.empty();
+    return batches_.empty() && removed_.empty();
   }
 
   // The key of a sheet that holds the job; nothing: there is none, as of `revision`.
   std::optional<std::string> find(const std::string& ref) const;
   // Whether a sheet with it has gone not long ago. Its final state is there to be read, but an answer that
   // was under way meanwhile need not show it.
-  bool lately(const std::string& ref) const {
-    return gone_.contains(ref);
+  bool recently_removed(const std::string& ref) const {
+    return removed_.contains(ref);
   }
-  std::size_t sheets() const {
-    return sheets_.size();
+  std::size_t batch_count() const {
+    return batches_.size();
   }
 
  private:
-  static constexpr Seconds kRemembered = 60;
+  static constexpr Seconds kRemovedJobMemory = 60;
   std::optional<std::uint64_t> revision_;
-  std::unordered_map<std::string, std::vector<std::string>> sheets_;
+  std::unordered_map<std::string, std::vector<std::string>> batches_;
   std::unordered_multimap<std::string, std::string> by_ref_;
-  std::unordered_map<std::string, Seconds> gone_;
-  std::deque<std::pair<Seconds, std::string>> gone_order_;
+  std::unordered_map<std::string, Seconds> removed_;
+  std::deque<std::pair<Seconds, std::string>> removal_order_;
 };
 
 }  // namespace wingtrail::admission
--- a/src/admission/turns.cpp
+++ b/src/admission/fair_queue.cpp
@@ -1,60 +1,60 @@
-#include "admission/turns.hpp"
+#include "admission/fair_queue.hpp"
 
 #include <algorithm>
 
 namespace wingtrail::admission {
 
-Turns::Turns(std::vector<double> weights) : weights_(std::move(weights)) {
+FairQueue::FairQueue(std::vector<double> weights) : weights_(std::move(weights)) {
   double least = 0;
   for (const double w : weights_) {
     if (w > 0)
       least = least > 0 ? std::min(least, w) : w;
   }
   if (least > 0)
-    least_ = least;
+    min_weight_ = least;
 }
 
-double Turns::weight(Ix team) const {
-  return team < weights_.size() && weights_[team] > 0 ? weights_[team] : least_;
+double FairQueue::weight(TeamIndex team) const {
+  return team < weights_.size() && weights_[team] > 0 ? weights_[team] : min_weight_;
 }
 
-void Turns::add(Ix team, Ix job_class, Id id, Seconds since) {
-  Team& t = teams_[team];
-  Line& line = t.classes[job_class];
+void FairQueue::push(TeamIndex team, ClassIndex job_class, Id id, Seconds since) {
+  TeamQueue& t = teams_[team];
+  ClassQueue& line = t.classes[job_class];
   // Who comes after a pause begins now; what it did not use before is gone.
   if (t.size == 0)
-    t.at = std::max(t.at, clock_);
+    t.virtual_time = std::max(t.virtual_time, team_clock_);
   if (line.waiting.empty())
-    line.at = std::max(line.at, t.clock);
+    line.virtual_time = std::max(line.virtual_time, t.class_clock);
   line.waiting.emplace(since, id);
   ++t.size, ++size_;
 }
 
-std::optional<Turns::Id> Turns::take() {
-  Team* team = nullptr;
-  Ix which = 0;
+std::optional<FairQueue::Id> FairQueue::pop() {
+  TeamQueue* team = nullptr;
+  TeamIndex which;
   for (auto& [ix, t] : teams_) {
-    if (t.size > 0 && (!team || t.at < team->at))
+    if (t.size > 0 && (!team || t.virtual_time < team->virtual_time))
       team = &t, which = ix;
   }
   if (!team)
     return std::nullopt;
-  Line* line = nullptr;
+  ClassQueue* line = nullptr;
   for (auto& [c, l] : team->classes) {
-    if (!l.waiting.empty() && (!line || l.at < line->at))
+    if (!l.waiting.empty() && (!line || l.virtual_time < line->virtual_time))
       line = &l;
   }
-  clock_ = team->at;
-  team->clock = line->at;
-  team->at += 1 / weight(which);
-  line->at += 1;
+  team_clock_ = team->virtual_time;
+  team->class_clock = line->virtual_time;
+  team->virtual_time += 1 / weight(which);
+  line->virtual_time += 1;
   const Id id = line->waiting.begin()->second;
   line->waiting.erase(line->waiting.begin());
   --team->size, --size_;
   return id;
 }
 
-double Turns::ahead(Ix team, Ix job_class, Seconds since) const {
+double FairQueue::jobs_ahead(TeamIndex team, ClassIndex job_class, Seconds since) const {
   double weights = weight(team), own = 0, lines = 1;
   for (const auto& [ix, t] : teams_) {
     if (ix != team) {
--- a/src/admission/turns.hpp
+++ b/src/admission/fair_queue.hpp
@@ -8,25 +8,26 @@
 #include <optional>
 #include <vector>
 
-#include "jobs/registry.hpp"
+#include "jobs/job_registry.hpp"
 
 namespace wingtrail::admission {
 
-using jobs::Ix;
+using jobs::ClassIndex;
+using jobs::TeamIndex;
 using ports::Seconds;
 
-class Turns {
+class FairQueue {
  public:
   using Id = std::uint64_t;
   // `weights`: by team; a team that is not among them, or has none, counts as the least of them.
-  explicit Turns(std::vector<double> weights);
+  explicit FairQueue(std::vector<double> weights);
 
   // `since`: when it was first tried; in its class the oldest comes first.
-  void add(Ix team, Ix job_class, Id id, Seconds since);
-  std::optional<Id> take();
+  void push(TeamIndex team, ClassIndex job_class, Id id, Seconds since);
+  std::optional<Id> pop();
   // Those for which it is true wait no longer.
   template <typename F>
-  void drop(F too_old) {
+  void remove_if(F too_old) {
     for (auto& [t, team] : teams_) {
       for (auto& [c, line] : team.classes) {
         const std::size_t gone =
@@ -39,24 +40,24 @@
     return size_;
   }
   // How many have their turn before one of that class first tried at `since`, others' new ones included.
-  double ahead(Ix team, Ix job_class, Seconds since) const;
+  double jobs_ahead(TeamIndex team, ClassIndex job_class, Seconds since) const;
 
  private:
-  struct Line {
+  struct ClassQueue {
     std::multimap<Seconds, Id> waiting;
-    double at = 0;  // virtual time of its next turn
+    double virtual_time = 0;  // virtual time of its next turn
   };
-  struct Team {
-    std::map<Ix, Line> classes;
+  struct TeamQueue {
+    std::map<ClassIndex, ClassQueue> classes;
     std::size_t size = 0;
-    double at = 0, clock = 0;
+    double virtual_time = 0, class_clock = 0;
   };
-  double weight(Ix team) const;
+  double weight(TeamIndex team) const;
 
   std::vector<double> weights_;
-  double least_ = 1;
-  std::map<Ix, Team> teams_;
-  double clock_ = 0;
+  double min_weight_ = 1;
+  std::map<TeamIndex, TeamQueue> teams_;
+  double team_clock_ = 0;
   std::size_t size_ = 0;
 };
 
--- a/src/admission/tries.hpp
+++ b/src/admission/first_attempts.hpp
@@ -17,39 +17,39 @@
 using ports::Seconds;
 
 // The same number for a name at every node and in every build (64-bit FNV-1a, then mixed).
-std::uint64_t mark_of(std::string_view ref);
+std::uint64_t job_hash(std::string_view ref);
 
-class Tries {
+class FirstAttempts {
  public:
   // `first`: when it was first tried; times of day, in seconds since 1970, which means the same to all nodes
   // within their bound.
-  void put_off(const std::string& ref, double first, double now) {
-    note(mark_of(ref), first, now, true);
+  void record_deferral(const std::string& ref, double first, double now) {
+    record(job_hash(ref), first, now, true);
   }
-  std::optional<double> first(const std::string& ref) const;
-  void settled(const std::string& ref) {
-    known_.erase(mark_of(ref));
+  std::optional<double> first_attempt(const std::string& ref) const;
+  void forget(const std::string& ref) {
+    attempts_.erase(job_hash(ref));
   }
   // Those put off here within the last two greetings' time, for a greeting; empty if there are none.
-  std::string tell(double now) const;
-  void heard(std::string_view told, double now);
+  std::string encode_recent(double now) const;
+  void merge(std::string_view told, double now);
   std::size_t size() const {
-    return known_.size();
+    return attempts_.size();
   }
 
  private:
-  static constexpr double kKept = 90;   // users give up after 60 s
-  static constexpr double kTold = 2.2;  // seconds
-  static constexpr std::size_t kMost = 20'000, kMostTold = 1000;
-  struct Try {
+  static constexpr double kRetention = 90;      // users give up after 60 s
+  static constexpr double kSharedWindow = 2.2;  // seconds
+  static constexpr std::size_t kMaxEntries = 20'000, kMaxShared = 1000;
+  struct Attempt {
     double first = 0;
     double last = 0;
   };
-  void note(std::uint64_t mark, double first, double now, bool here);
+  void record(std::uint64_t mark, double first, double now, bool here);
 
-  std::unordered_map<std::uint64_t, Try> known_;
-  std::deque<std::pair<double, std::uint64_t>> order_;  // by when they were noted
-  std::deque<std::pair<double, std::uint64_t>> here_;   // those put off here
+  std::unordered_map<std::uint64_t, Attempt> attempts_;
+  std::deque<std::pair<double, std::uint64_t>> expiry_order_;  // by when they were noted
+  std::deque<std::pair<double, std::uint64_t>> recent_local_;  // those put off here
 };
 
 }  // namespace wingtrail::admission
--- a/src/spread/rate.hpp
+++ b/src/balancing/decaying_rate.hpp
@@ -6,34 +6,34 @@
 
 #include "ports/outbox.hpp"
 
-namespace wingtrail::spread {
+namespace wingtrail::balancing {
 
 using ports::Seconds;
 
-class Rate {
+class DecayingRate {
  public:
   // `memory`: after this time a third of what came still counts, in seconds.
-  explicit Rate(Seconds memory) : memory_(memory) {}
+  explicit DecayingRate(Seconds memory) : memory_(memory) {}
   void add(Seconds now, double amount) {
-    if (began_ < 0)
-      began_ = at_ = now;
-    sum_ = left(now) + amount;
-    at_ = std::max(at_, now);
+    if (began_at_ < 0)
+      began_at_ = updated_at_ = now;
+    sum_ = decayed_sum(now) + amount;
+    updated_at_ = std::max(updated_at_, now);
   }
   // Per second. What there was before the first came is not known, so a young rate is scaled by its age.
   double per_s(Seconds now) const {
-    if (began_ < 0)
+    if (began_at_ < 0)
       return 0;
-    const double known = memory_ * -std::expm1(-std::max(1.0, now - began_) / memory_);
-    return left(now) / known;
+    const double known = memory_ * -std::expm1(-std::max(1.0, now - began_at_) / memory_);
+    return decayed_sum(now) / known;
   }
 
  private:
-  double left(Seconds now) const {
-    return sum_ * std::exp(-std::max(0.0, now - at_) / memory_);
+  double decayed_sum(Seconds now) const {
+    return sum_ * std::exp(-std::max(0.0, now - updated_at_) / memory_);
   }
-  Seconds memory_, began_ = -1, at_ = 0;
+  Seconds memory_, began_at_ = -1, updated_at_ = 0;
   double sum_ = 0;
 };
 
-}  // namespace wingtrail::spread
+}  // namespace wingtrail::balancing
--- a/src/spread/speed.hpp
+++ b/src/balancing/speed_estimator.hpp
@@ -13,47 +13,48 @@
 #include <cstddef>
 #include <vector>
 
-#include "jobs/registry.hpp"
+#include "jobs/job_registry.hpp"
 
-namespace wingtrail::spread {
+namespace wingtrail::balancing {
 
-using jobs::Ix;
+using jobs::JobIndex;
 using ports::Seconds;
 
-class Speeds {
+class SpeedEstimator {
  public:
-  static constexpr double kFalse = 1e-6;
+  static constexpr double kFalseAlarmRate = 1e-6;
 
   void clear();
   // A task of the job has completed there: the logarithm of its run time against the job's others.
   // `unsure`: how far off that comparison may be, as a standard deviation of logarithms.
-  void ended(std::size_t machine, Ix job, double log_ratio, double unsure = 0);
+  void on_task_completed(std::size_t machine, JobIndex job, double log_ratio, double unsure = 0);
   // What runs there now, told whole once a second: `log_ratio` of the time that each task has run so far.
-  void look(std::size_t machine);
-  void runs(std::size_t machine, Ix job, double log_ratio, double unsure = 0);
+  void begin_running_update(std::size_t machine);
+  void add_running_task(std::size_t machine, JobIndex job, double log_ratio, double unsure = 0);
   // After a look: whether the machine is slow; how many times as long its tasks take (at least 1).
-  bool slow(std::size_t machine) const;
-  double factor(std::size_t machine) const;
+  bool is_slow(std::size_t machine) const;
+  double slowdown(std::size_t machine) const;
   void forget(std::size_t machine);  // it is gone
 
  private:
-  static constexpr std::size_t kSpeeds = 3;
-  using Weights = std::array<double, kSpeeds>;  // logarithms of likelihood ratios, by what is supposed
-  struct Said {                                 // by one job's tasks
-    Ix job;
-    Weights ended{}, runs{};
+  static constexpr std::size_t kHypotheses = 3;
+  using LogLikelihoods =
+      std::array<double, kHypotheses>;  // logarithms of likelihood ratios, by what is supposed
+  struct JobEvidence {                  // by one job's tasks
+    JobIndex job;
+    LogLikelihoods ended{}, running{};
   };
-  struct Of {
-    std::vector<Said> said;  // the latest jobs
+  struct MachineEvidence {
+    std::vector<JobEvidence> by_job;  // the latest jobs
     bool slow = false;
   };
-  Of& of(std::size_t machine);
-  static Said& by(Of& of, Ix job);
-  static Weights sums(const Of& of);
-  static double likelier(const Weights& w);
+  MachineEvidence& evidence_of(std::size_t machine);
+  static JobEvidence& evidence_by_job(MachineEvidence& of, JobIndex job);
+  static LogLikelihoods total_evidence(const MachineEvidence& of);
+  static double log_likelihood_ratio(const LogLikelihoods& w);
 
-  std::vector<Of> machines_;
+  std::vector<MachineEvidence> machines_;
   double deviation_ = 0.3;
 };
 
-}  // namespace wingtrail::spread
+}  // namespace wingtrail::balancing
--- a/src/cells/planner.cpp
+++ b/src/cells/offload_planner.cpp
@@ -1,4 +1,4 @@
-#include "cells/planner.hpp"
+#include "cells/offload_planner.hpp"
 
 #include <algorithm>
 
@@ -19,7 +19,8 @@
 constexpr double kGrows = 0.25;
 }  // namespace
 
-Seconds wait_here(const Here& here, const std::string& team, double ahead_core_s, double team_ahead_core_s) {
+Seconds local_wait_s(const LocalCapacity& here, const std::string& team, double ahead_core_s,
+                     double team_ahead_core_s) {
   const double cores = std::max(here.cores, 1.0);
   // More machines shorten it to their boot, but not what a team's own limit holds back.
   const Seconds room = std::min(ahead_core_s / cores, here.boot_s);
@@ -29,27 +30,28 @@
   return std::max(room, team_ahead_core_s / std::max(limit->second, 1.0));
 }
 
-Plan plan(const Here& here, const std::vector<Waiting>& waiting, std::vector<There> there, std::size_t most) {
-  Plan out;
+OffloadPlan plan_offloads(const LocalCapacity& here, const std::vector<WaitingJob>& waiting,
+                          std::vector<NeighbourCapacity> there, std::size_t most) {
+  OffloadPlan out;
   double ahead = 0;
   std::map<std::string, double> team_ahead;
-  for (std::size_t i = 0; i < waiting.size() && out.go.size() < most; ++i) {
-    const Waiting& w = waiting[i];
-    const Seconds stays = wait_here(here, w.team, ahead, team_ahead[w.team]);
+  for (std::size_t i = 0; i < waiting.size() && out.offloads.size() < most; ++i) {
+    const WaitingJob& w = waiting[i];
+    const Seconds stays = local_wait_s(here, w.team, ahead, team_ahead[w.team]);
     std::size_t best = there.size();
     Seconds soonest = ports::kNever;
     bool full = false;
-    for (std::size_t c = 0; c < there.size() && c < w.may_go.size(); ++c) {
-      if (!w.may_go[c] || !there[c].open)
+    for (std::size_t c = 0; c < there.size() && c < w.may_offload.size(); ++c) {
+      if (!w.may_offload[c] || !there[c].reachable)
         continue;
       const Seconds begins = kHandOver + there[c].age_s + there[c].wait_s + w.fetch_s;
-      if (!here.drains && begins >= stays * (1 - kUnsure))
+      if (!here.draining && begins >= stays * (1 - kUnsure))
         continue;
       const auto limit = there[c].teams.find(w.team);
-      if (limit == there[c].teams.end() || (!here.drains && limit->second < w.cores))
+      if (limit == there[c].teams.end() || (!here.draining && limit->second < w.cores))
         continue;
       // Its room need not be there at once: it begins with what there is, and goes on as other work ends.
-      if (!here.drains && w.cores > kOver * there[c].takes) {
+      if (!here.draining && w.cores > kOver * there[c].accepts_cores) {
         full = true;
         continue;
       }
@@ -59,22 +61,23 @@
     if (best == there.size()) {
       if (full)
         out.soon.push_back(i);
-      ahead += w.core_s;
-      team_ahead[w.team] += w.core_s;
+      ahead += w.core_seconds;
+      team_ahead[w.team] += w.core_seconds;
       continue;
     }
-    out.go.push_back({i, best});
-    there[best].takes -= w.cores;
+    out.offloads.push_back({i, best});
+    there[best].accepts_cores -= w.cores;
     there[best].teams[w.team] -= w.cores;
   }
-  for (const There& t : there)
-    out.spills |= t.open && kHandOver + t.age_s + t.wait_s < wait_here(here, "", ahead, 0) * (1 - kUnsure);
-  out.spills |= here.drains;
+  for (const NeighbourCapacity& t : there)
+    out.would_offload |=
+        t.reachable && kHandOver + t.age_s + t.wait_s < local_wait_s(here, "", ahead, 0) * (1 - kUnsure);
+  out.would_offload |= here.draining;
   return out;
 }
 
-double takes(const Room& r) {
-  if (r.drains || r.overloaded)
+double acceptable_guest_cores(const GuestCapacity& r) {
+  if (r.draining || r.overloaded)
     return 0;
   const double spare = r.free + kQueued * r.cores - r.own_waiting - r.guests_waiting;
   return spare > 0
--- a/src/cells/stays.cpp
+++ b/src/cells/remote_placements.cpp
@@ -1,4 +1,4 @@
-#include "cells/stays.hpp"
+#include "cells/remote_placements.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -12,41 +12,41 @@
 constexpr std::size_t kAround = 60;  // bytes of a page that are no names
 }  // namespace
 
-wire::Value Stays::Page::value() const {
+wire::Value RemotePlacements::Page::value() const {
   return {{"cell", cell}, {"refs", refs}};
 }
 
-std::string Stays::key(const Sheet& s) const {
-  return kAway + cells_[s.cell] + "/" + std::to_string(s.number);
+std::string RemotePlacements::key(const PageState& s) const {
+  return kRemotePlacementPrefix + cells_[s.cell] + "/" + std::to_string(s.number);
 }
 
-void Stays::clear() {
-  stays_.clear();
-  for (auto& d : due_)
+void RemotePlacements::clear() {
+  placements_.clear();
+  for (auto& d : questions_due_)
     d.clear();
   pages_.clear();
   pages_due_.clear();
-  flight_.clear();
-  open_.clear();
+  pending_writes_.clear();
+  open_page_by_cell_.clear();
   last_page_ = 0;
 }
 
-void Stays::mark(std::size_t page) {
+void RemotePlacements::mark_due(std::size_t page) {
   pages_due_.insert(page);
 }
 
-void Stays::stop_asking(const std::string& ref, const Stay& stay) {
-  due_[stay.cell].erase({stay.ask_at, ref});
+void RemotePlacements::stop_asking(const std::string& ref, const RemotePlacement& stay) {
+  questions_due_[stay.cell].erase({stay.ask_at, ref});
 }
 
-void Stays::ask_later(const std::string& ref, Stay& stay, Seconds at) {
+void RemotePlacements::ask_later(const std::string& ref, RemotePlacement& stay, Seconds at) {
   stop_asking(ref, stay);
   stay.ask_at = at;
-  due_[stay.cell].emplace(at, ref);
+  questions_due_[stay.cell].emplace(at, ref);
 }
 
-bool Stays::load(const std::string& key, const wire::Value& value, std::uint64_t version,
-                 const std::function<bool(const std::string&)>& live, Seconds now) {
+bool RemotePlacements::load(const std::string& key, const wire::Value& value, std::uint64_t version,
+                            const std::function<bool(const std::string&)>& live, Seconds now) {
   const auto name = wire::text(value, "cell");
   const wire::Value* refs = wire::find(value, "refs");
   const auto slash = key.rfind('/');
@@ -61,11 +61,11 @@
   auto known = std::find(cells_.begin(), cells_.end(), *name);
   if (known == cells_.end()) {
     cells_.push_back(*name);
-    due_.emplace_back();
+    questions_due_.emplace_back();
     known = cells_.end() - 1;
   }
   const std::size_t id = ++last_page_;
-  Sheet& sheet = pages_[id];
+  PageState& sheet = pages_[id];
   sheet.cell = static_cast<std::size_t>(known - cells_.begin());
   sheet.number = number;
   sheet.version = version;
@@ -77,36 +77,36 @@
       continue;
     sheet.refs.insert(ref);
     sheet.bytes += ref.size() + 3;
-    Stay& stay = stays_[ref];
+    RemotePlacement& stay = placements_[ref];
     stay = {};
     stay.cell = sheet.cell;
     stay.page = id;
     stay.state = State::offered;
     ask_later(ref, stay, now);
   }
-  settle(id);
+  on_page_settled(id);
   return true;
 }
 
 // A page that names nobody goes.
-void Stays::settle(std::size_t page) {
+void RemotePlacements::on_page_settled(std::size_t page) {
   const auto it = pages_.find(page);
   if (it == pages_.end() || !it->second.refs.empty())
     return;
   if (it->second.version > 0 || it->second.unsure)
-    return mark(page);
+    return mark_due(page);
   if (it->second.returning.empty()) {
     pages_due_.erase(page);
-    std::erase_if(open_, [page](const auto& o) { return o.second == page; });
+    std::erase_if(open_page_by_cell_, [page](const auto& o) { return o.second == page; });
     pages_.erase(it);
   }
 }
 
-void Stays::leave(const std::string& ref, std::size_t cell) {
+void RemotePlacements::offload(const std::string& ref, std::size_t cell) {
   const std::size_t size = ref.size() + 3;
-  const auto open = open_.find(cell);
+  const auto open = open_page_by_cell_.find(cell);
   std::size_t page = 0;
-  if (open != open_.end() && pages_.contains(open->second) &&
+  if (open != open_page_by_cell_.end() && pages_.contains(open->second) &&
       pages_.at(open->second).bytes + size + kAround <= page_bytes_) {
     page = open->second;
   } else {
@@ -117,28 +117,28 @@
     page = ++last_page_;
     pages_[page].cell = cell;
     pages_[page].number = number;
-    open_[cell] = page;
+    open_page_by_cell_[cell] = page;
   }
-  Sheet& sheet = pages_.at(page);
+  PageState& sheet = pages_.at(page);
   sheet.refs.insert(ref);
   sheet.bytes += size;
-  Stay& stay = stays_[ref];
+  RemotePlacement& stay = placements_[ref];
   stay = {};
   stay.cell = cell;
   stay.page = page;
-  mark(page);
+  mark_due(page);
 }
 
-void Stays::recall(const std::string& ref, bool cancel, Seconds now) {
-  const auto it = stays_.find(ref);
-  if (it == stays_.end())
+void RemotePlacements::recall(const std::string& ref, bool cancel, Seconds now) {
+  const auto it = placements_.find(ref);
+  if (it == placements_.end())
     return;
-  Stay& stay = it->second;
+  RemotePlacement& stay = it->second;
   const bool more = cancel && !stay.cancel;
   stay.cancel |= cancel;
   switch (stay.state) {
     case State::offered:
-    case State::away:
+    case State::remote:
       stay.state = State::recalling;
       return ask_later(ref, stay, now);
     case State::recalling:
@@ -150,69 +150,69 @@
   }
 }
 
-void Stays::over(const std::string& ref) {
-  const auto it = stays_.find(ref);
-  if (it == stays_.end())
+void RemotePlacements::on_job_over(const std::string& ref) {
+  const auto it = placements_.find(ref);
+  if (it == placements_.end())
     return;
   const std::size_t page = it->second.page;
   stop_asking(ref, it->second);
-  stays_.erase(it);
+  placements_.erase(it);
   const auto sheet = pages_.find(page);
   if (sheet == pages_.end())
     return;
   if (sheet->second.refs.erase(ref) > 0)
     sheet->second.bytes -= ref.size() + 3;
   std::erase(sheet->second.returning, ref);
-  settle(page);
+  on_page_settled(page);
 }
 
 // The other cell has recorded that it never runs there again. Here that counts once the page without it is
 // written.
-void Stays::bring_back(const std::string& ref, Stay& stay) {
+void RemotePlacements::return_home(const std::string& ref, RemotePlacement& stay) {
   stop_asking(ref, stay);
   stay.state = State::returning;
-  Sheet& sheet = pages_.at(stay.page);
+  PageState& sheet = pages_.at(stay.page);
   if (sheet.refs.erase(ref) > 0)
     sheet.bytes -= ref.size() + 3;
   sheet.returning.push_back(ref);
-  mark(stay.page);
+  mark_due(stay.page);
 }
 
-void Stays::give_up(std::size_t cell) {
-  for (auto& [ref, stay] : stays_) {
+void RemotePlacements::abandon_cell(std::size_t cell) {
+  for (auto& [ref, stay] : placements_) {
     if (stay.cell == cell && stay.state != State::leaving && stay.state != State::returning &&
         stay.state != State::ended)
-      bring_back(ref, stay);
+      return_home(ref, stay);
   }
 }
 
-std::vector<Stays::Page> Stays::next_write(std::size_t most) {
+std::vector<RemotePlacements::Page> RemotePlacements::next_write(std::size_t most) {
   std::vector<Page> out;
   if (writing())
     return out;
   for (auto it = pages_due_.begin(); it != pages_due_.end() && out.size() < most;) {
-    Sheet& sheet = pages_.at(*it);
+    PageState& sheet = pages_.at(*it);
     if (sheet.unsure) {
       ++it;
       continue;
     }
     Page page{key(sheet), cells_[sheet.cell], {sheet.refs.begin(), sheet.refs.end()}, sheet.version};
-    flight_.push_back({*it, page.refs, std::exchange(sheet.returning, {})});
+    pending_writes_.push_back({*it, page.refs, std::exchange(sheet.returning, {})});
     it = pages_due_.erase(it);
     out.push_back(std::move(page));
   }
   return out;
 }
 
-std::vector<std::string> Stays::written(std::uint64_t revision) {
+std::vector<std::string> RemotePlacements::on_written(std::uint64_t revision) {
   std::vector<std::string> home, unwanted;
-  for (Flight& f : std::exchange(flight_, {})) {
+  for (PendingWrite& f : std::exchange(pending_writes_, {})) {
     const auto sheet = pages_.find(f.page);
     if (sheet != pages_.end())
       sheet->second.version = f.named.empty() ? 0 : revision;
     for (const std::string& ref : f.named) {
-      const auto it = stays_.find(ref);
-      if (it == stays_.end() || it->second.state != State::leaving)
+      const auto it = placements_.find(ref);
+      if (it == placements_.end() || it->second.state != State::leaving)
         continue;
       // Cancelled while it was being written: no other cell has been told of it, so there is nothing to
       // prove.
@@ -224,54 +224,54 @@
       ask_later(ref, it->second, 0);
     }
     for (std::string& ref : f.returning) {
-      if (stays_.erase(ref) > 0)
+      if (placements_.erase(ref) > 0)
         home.push_back(std::move(ref));
     }
-    settle(f.page);
+    on_page_settled(f.page);
   }
   for (const std::string& ref : unwanted)
-    bring_back(ref, stays_.at(ref));
+    return_home(ref, placements_.at(ref));
   return home;
 }
 
-void Stays::failed(bool unsure) {
-  for (Flight& f : std::exchange(flight_, {})) {
+void RemotePlacements::on_write_failed(bool unsure) {
+  for (PendingWrite& f : std::exchange(pending_writes_, {})) {
     const auto sheet = pages_.find(f.page);
     if (sheet == pages_.end())
       continue;
     sheet->second.unsure |= unsure;
     auto& returning = sheet->second.returning;
     for (std::string& ref : f.returning) {
-      if (stays_.contains(ref))
+      if (placements_.contains(ref))
         returning.push_back(std::move(ref));
     }
-    mark(f.page);
+    mark_due(f.page);
   }
 }
 
-std::vector<std::string> Stays::refused() {
+std::vector<std::string> RemotePlacements::on_write_refused() {
   std::vector<std::string> home;
-  for (const Flight& f : flight_) {
+  for (const PendingWrite& f : pending_writes_) {
     for (const std::string& ref : f.named) {
-      const auto it = stays_.find(ref);
-      if (it == stays_.end() || it->second.state != State::leaving)
+      const auto it = placements_.find(ref);
+      if (it == placements_.end() || it->second.state != State::leaving)
         continue;
-      Sheet& sheet = pages_.at(f.page);
+      PageState& sheet = pages_.at(f.page);
       if (sheet.refs.erase(ref) > 0)
         sheet.bytes -= ref.size() + 3;
-      stays_.erase(it);
+      placements_.erase(it);
       home.push_back(ref);
     }
   }
-  failed(false);
+  on_write_failed(false);
   // Nobody joins pages of that size any more.
   page_bytes_ = std::max<std::size_t>(kAround + 30, page_bytes_ / 2);
-  for (const auto& [cell, page] : std::exchange(open_, {}))
-    settle(page);
+  for (const auto& [cell, page] : std::exchange(open_page_by_cell_, {}))
+    on_page_settled(page);
   return home;
 }
 
-std::vector<std::string> Stays::to_look_at() const {
+std::vector<std::string> RemotePlacements::pages_to_read() const {
   std::vector<std::string> out;
   for (const std::size_t id : pages_due_) {
     if (pages_.at(id).unsure)
@@ -280,69 +280,71 @@
   return out;
 }
 
-void Stays::looked(const std::string& looked_at, std::uint64_t version) {
+void RemotePlacements::on_page_read(const std::string& looked_at, std::uint64_t version) {
   for (auto& [id, sheet] : pages_) {
     if (!sheet.unsure || key(sheet) != looked_at)
       continue;
     sheet.unsure = false;
     sheet.version = version;
-    return settle(id);
+    return on_page_settled(id);
   }
 }
 
-std::vector<peer::JobWord> Stays::ask(std::size_t cell, std::size_t most, Seconds now) {
-  std::vector<peer::JobWord> out;
-  auto& due = due_[cell];
+std::vector<peer::JobMessage> RemotePlacements::next_questions(std::size_t cell, std::size_t most,
+                                                               Seconds now) {
+  std::vector<peer::JobMessage> out;
+  auto& due = questions_due_[cell];
   while (!due.empty() && due.begin()->first <= now && out.size() < most) {
     const std::string ref = due.begin()->second;
-    Stay& stay = stays_.at(ref);
-    const Word word = stay.state == State::offered     ? Word::offer
-                      : stay.state == State::recalling ? (stay.cancel ? Word::cancel : Word::recall)
-                                                       : Word::state;
+    RemotePlacement& stay = placements_.at(ref);
+    const JobVerb word = stay.state == State::offered     ? JobVerb::offer
+                         : stay.state == State::recalling ? (stay.cancel ? JobVerb::cancel : JobVerb::recall)
+                                                          : JobVerb::state;
     ask_later(ref, stay, now + (stay.cancel ? kPressing : kAskEvery));
     out.push_back({ref, static_cast<std::uint8_t>(word), {}, 0, 0});
   }
   return out;
 }
 
-Stays::Event Stays::heard(std::size_t cell, const peer::JobWord& said, Seconds now) {
-  const auto it = stays_.find(said.ref);
+RemotePlacements::Event RemotePlacements::on_reply(std::size_t cell, const peer::JobMessage& said,
+                                                   Seconds now) {
+  const auto it = placements_.find(said.ref);
   // Answers may come late: of a stay that is over, or from a cell that it left since.
-  if (it == stays_.end() || it->second.cell != cell)
+  if (it == placements_.end() || it->second.cell != cell)
     return Event::none;
-  Stay& stay = it->second;
+  RemotePlacement& stay = it->second;
   if (stay.state == State::leaving || stay.state == State::returning || stay.state == State::ended)
     return Event::none;
-  switch (said.said()) {
-    case Word::held:
-      stay.done = said.done;
-      stay.running = said.running;
+  switch (said.verb()) {
+    case JobVerb::held:
+      stay.done = said.done_tasks;
+      stay.running = said.running_tasks;
       // One that has begun there stays there, unless it is to end.
       if (stay.state == State::offered || (stay.state == State::recalling && !stay.cancel))
-        stay.state = State::away;
+        stay.state = State::remote;
       return Event::none;
-    case Word::done:
+    case JobVerb::done:
       stop_asking(said.ref, stay);
       stay.state = State::ended;
       return Event::done;
-    case Word::withdrawn:
+    case JobVerb::withdrawn:
       if (!stay.cancel) {
-        bring_back(said.ref, stay);
+        return_home(said.ref, stay);
         return Event::none;
       }
       stop_asking(said.ref, stay);
       stay.state = State::ended;
       return Event::withdrawn;
-    case Word::refused:
-    case Word::never:
+    case JobVerb::refused:
+    case JobVerb::never:
       // An offer that was sent twice may still come to be taken; only a record that it never will ends that.
       if (stay.state != State::offered)
         return Event::none;
       stay.state = State::recalling;
       ask_later(said.ref, stay, now);
       return Event::none;
-    case Word::unknown:
-      if (stay.state == State::away)
+    case JobVerb::unknown:
+      if (stay.state == State::remote)
         stay.state = State::offered;
       return Event::none;
     default:
@@ -350,22 +352,22 @@
   }
 }
 
-const Stays::Stay* Stays::find(const std::string& ref) const {
-  const auto it = stays_.find(ref);
-  return it == stays_.end() ? nullptr : &it->second;
+const RemotePlacements::RemotePlacement* RemotePlacements::find(const std::string& ref) const {
+  const auto it = placements_.find(ref);
+  return it == placements_.end() ? nullptr : &it->second;
 }
 
-std::size_t Stays::at(std::size_t cell) const {
-  return static_cast<std::size_t>(
-      std::count_if(stays_.begin(), stays_.end(), [cell](const auto& s) { return s.second.cell == cell; }));
+std::size_t RemotePlacements::count_at(std::size_t cell) const {
+  return static_cast<std::size_t>(std::count_if(placements_.begin(), placements_.end(),
+                                                [cell](const auto& s) { return s.second.cell == cell; }));
 }
 
-std::vector<std::string> Stays::idle(std::size_t cell, std::size_t most) const {
+std::vector<std::string> RemotePlacements::idle_jobs(std::size_t cell, std::size_t most) const {
   std::vector<std::string> out;
-  for (const auto& [ref, stay] : stays_) {
+  for (const auto& [ref, stay] : placements_) {
     if (out.size() >= most)
       break;
-    if (stay.cell == cell && stay.state == State::away && stay.running == 0 && stay.done == 0)
+    if (stay.cell == cell && stay.state == State::remote && stay.running == 0 && stay.done == 0)
       out.push_back(ref);
   }
   return out;
--- a/src/cells/stays.hpp
+++ b/src/cells/remote_placements.hpp
@@ -18,31 +18,31 @@
 #include <unordered_map>
 #include <vector>
 
-#include "peer/between.hpp"
+#include "peer/cell_message.hpp"
 #include "ports/outbox.hpp"
 
 namespace wingtrail::cells {
 
-using peer::Word;
+using peer::JobVerb;
 using ports::Seconds;
 
-inline constexpr const char* kAway = "j/away/";
-inline bool is_away(std::string_view key) {
-  return key.starts_with(kAway);
+inline constexpr const char* kRemotePlacementPrefix = "j/away/";
+inline bool is_remote_placement_key(std::string_view key) {
+  return key.starts_with(kRemotePlacementPrefix);
 }
 
-class Stays {
+class RemotePlacements {
  public:
   enum class State : std::uint8_t {
     leaving,    // the page that names it is being written
     offered,    // it may be held there, for all that is known
-    away,       // it is held there
+    remote,     // it is held there
     recalling,  // it is to come back, or to end there
     returning,  // it never runs there again; the page without it is being written
     ended,      // it is over there; its end is being recorded here
   };
   enum class Event : std::uint8_t { none, done, withdrawn };
-  struct Stay {
+  struct RemotePlacement {
     std::size_t cell = 0, page = 0;
     State state = State::leaving;
     bool cancel = false;  // its user wants it cancelled
@@ -51,8 +51,8 @@
   };
 
   // `cells`: names, in the order in which neighbours are numbered. `page_bytes`: that a page may have.
-  Stays(std::vector<std::string> cells, std::size_t page_bytes)
-      : cells_(std::move(cells)), page_bytes_(page_bytes), due_(cells_.size()) {}
+  RemotePlacements(std::vector<std::string> cells, std::size_t page_bytes)
+      : cells_(std::move(cells)), page_bytes_(page_bytes), questions_due_(cells_.size()) {}
 
   void clear();
   // What an earlier leadership persisted; `live`: whether the job is not over. False: the page makes no
@@ -61,13 +61,13 @@
             const std::function<bool(const std::string&)>& live, Seconds now);
 
   // Hands the job on. The caller sees to it that nothing of it has started, or will.
-  void leave(const std::string& ref, std::size_t cell);
+  void offload(const std::string& ref, std::size_t cell);
   // It is to come back, if nothing of it has started there, or, with `cancel`, to end there.
   void recall(const std::string& ref, bool cancel, Seconds now);
   // Its end is recorded here.
-  void over(const std::string& ref);
+  void on_job_over(const std::string& ref);
   // The neighbour never comes back, on its operators' word: what it held is home again.
-  void give_up(std::size_t cell);
+  void abandon_cell(std::size_t cell);
 
   // ---- what is persisted; one write is under way at a time
   struct Page {
@@ -78,59 +78,59 @@
   };
   std::vector<Page> next_write(std::size_t most);
   // As of that revision. Returns the jobs that are home again.
-  std::vector<std::string> written(std::uint64_t revision);
+  std::vector<std::string> on_written(std::uint64_t revision);
   // It was not applied or, if `unsure`, may have been or may yet be: then its pages are looked at before they
   // are written again.
-  void failed(bool unsure);
+  void on_write_failed(bool unsure);
   // It never will be: its pages are too large for the state service. Who was to go is home again.
-  std::vector<std::string> refused();
+  std::vector<std::string> on_write_refused();
   bool writing() const {
-    return !flight_.empty();
+    return !pending_writes_.empty();
   }
-  std::vector<std::string> to_look_at() const;                 // keys of pages
-  void looked(const std::string& key, std::uint64_t version);  // 0: it is not there
+  std::vector<std::string> pages_to_read() const;                    // keys of pages
+  void on_page_read(const std::string& key, std::uint64_t version);  // 0: it is not there
 
   // ---- what is said
   // What is to be asked of that cell now, and is not being asked; the answer, or that there is none, is told
   // by heard() for each.
-  std::vector<peer::JobWord> ask(std::size_t cell, std::size_t most, Seconds now);
-  Event heard(std::size_t cell, const peer::JobWord& said, Seconds now);
+  std::vector<peer::JobMessage> next_questions(std::size_t cell, std::size_t most, Seconds now);
+  Event on_reply(std::size_t cell, const peer::JobMessage& said, Seconds now);
 
-  const Stay* find(const std::string& ref) const;
+  const RemotePlacement* find(const std::string& ref) const;
   std::size_t size() const {
-    return stays_.size();
+    return placements_.size();
   }
-  std::size_t at(std::size_t cell) const;  // that are away there, or on their way
+  std::size_t count_at(std::size_t cell) const;  // that are away there, or on their way
   // Jobs that are held there with nothing running; for what is done once a second at most.
-  std::vector<std::string> idle(std::size_t cell, std::size_t most) const;
+  std::vector<std::string> idle_jobs(std::size_t cell, std::size_t most) const;
 
  private:
-  struct Sheet {
+  struct PageState {
     std::size_t cell = 0, number = 0, bytes = 0;
     std::set<std::string> refs;  // that it is to name
     std::uint64_t version = 0;   // as far as it is known
     bool unsure = false;
     std::vector<std::string> returning;  // no longer among them
   };
-  std::string key(const Sheet& s) const;
-  void ask_later(const std::string& ref, Stay& stay, Seconds at);
-  void stop_asking(const std::string& ref, const Stay& stay);
-  void settle(std::size_t page);
-  void bring_back(const std::string& ref, Stay& stay);
-  void mark(std::size_t page);
+  std::string key(const PageState& s) const;
+  void ask_later(const std::string& ref, RemotePlacement& stay, Seconds at);
+  void stop_asking(const std::string& ref, const RemotePlacement& stay);
+  void on_page_settled(std::size_t page);
+  void return_home(const std::string& ref, RemotePlacement& stay);
+  void mark_due(std::size_t page);
 
   std::vector<std::string> cells_;
   std::size_t page_bytes_;
-  std::unordered_map<std::string, Stay> stays_;
-  std::vector<std::set<std::pair<Seconds, std::string>>> due_;  // by cell
-  std::map<std::size_t, Sheet> pages_;
+  std::unordered_map<std::string, RemotePlacement> placements_;
+  std::vector<std::set<std::pair<Seconds, std::string>>> questions_due_;  // by cell
+  std::map<std::size_t, PageState> pages_;
   std::set<std::size_t> pages_due_;
-  struct Flight {
+  struct PendingWrite {
     std::size_t page;
     std::vector<std::string> named, returning;
   };
-  std::vector<Flight> flight_;
-  std::map<std::size_t, std::size_t> open_;  // by cell: the page that takes more
+  std::vector<PendingWrite> pending_writes_;
+  std::map<std::size_t, std::size_t> open_page_by_cell_;  // by cell: the page that takes more
   std::size_t last_page_ = 0;
 };
 
--- a/src/daemon/sheets.cpp
+++ b/src/controller/batches.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "daemon/node.hpp"
+#include "controller/controller.hpp"
 
-namespace wingtrail::daemon {
+namespace wingtrail::controller {
 namespace {
 constexpr Seconds kFollowEvery = 0.5;  // a flood writes many sheets a second; nobody needs each at once
 constexpr Seconds kRetry = 0.3;
@@ -17,29 +17,29 @@
 // ---------------------------------------------------------------- the budget
 
 // Whether every node admits on sheets: none is of a version, or has settings, that would not find the jobs.
-bool Node::all_admit() const {
-  return settings_.tunables.admission > 0 && std::all_of(peers_.begin(), peers_.end(), [](const PeerView& p) {
-           return p.admission.value_or(false);
-         });
+bool Controller::all_admit() const {
+  return settings_.tunables.fair_admission > 0 &&
+         std::all_of(peers_.begin(), peers_.end(),
+                     [](const PeerView& p) { return p.admission.value_or(false); });
 }
 
 // A peer that keeps to no shares uses the fixed part that it always had, and so do the others then.
-bool Node::fixed_parts() const {
+bool Controller::fixed_parts() const {
   return std::any_of(peers_.begin(), peers_.end(),
                      [](const PeerView& p) { return p.admission && !*p.admission; });
 }
 
-store::Client::Parts Node::state_parts() const {
-  const bool leads = election_.entitled();
+store::StateClient::BudgetShare Controller::state_parts() const {
+  const bool leads = election_.may_act();
   if (!fixed_parts())
-    return {requests_shared_.mine(out_.now(), leads), writes_shared_.mine(out_.now(), leads), false};
-  const double part = store::Client::fixed_part(election_.leading(), peers_.size());
+    return {request_shares_.own_share(out_.now(), leads), write_shares_.own_share(out_.now(), leads), false};
+  const double part = store::StateClient::default_share(election_.holds_leadership(), peers_.size());
   return {part, part, true};
 }
 
 // One line when submissions begin to be put off, and one when that is over.
-void Node::tell_admission() {
-  const std::uint64_t put_off = intake_.counts().put_off;
+void Controller::tell_admission() {
+  const std::uint64_t put_off = creation_queue_.counts().deferred;
   if (put_off != put_off_told_) {
     put_off_told_ = put_off;
     last_put_off_ = out_.now();
@@ -48,7 +48,7 @@
       pressed_since_ = out_.now();
       std::string most;
       std::uint64_t n = 0;
-      for (const auto& [who, count] : intake_.put_off()) {
+      for (const auto& [who, count] : creation_queue_.deferred_by_class()) {
         if (count > n)
           n = count, most = who.second + " of " + who.first;
       }
@@ -67,18 +67,18 @@
 
 // Whether there may be sheets that this node does not know of. Where no node writes any, it has to have
 // looked once, after those that took it for its own earlier life have heard of this one.
-bool Node::sheets_matter() const {
-  if (!index_.complete() || !index_.empty() || settings_.tunables.admission > 0)
+bool Controller::sheets_matter() const {
+  if (!batch_index_.complete() || !batch_index_.empty() || settings_.tunables.fair_admission > 0)
     return true;
   if (index_read_ < started_at_ + kHeardOf)
     return true;
   return std::any_of(peers_.begin(), peers_.end(), [](const PeerView& p) {
-    return p.admission.value_or(p.level.value_or(peer::kSheets) >= peer::kSheets);
+    return p.admission.value_or(p.level.value_or(peer::kLevelBatches) >= peer::kLevelBatches);
   });
 }
 
-void Node::read_sheets(const std::string& after) {
-  store_.range(jobs::kSheet, after, [this, after](const store::Reply& r) {
+void Controller::read_sheets(const std::string& after) {
+  store_.list(jobs::kBatchPrefix, after, [this, after](const store::Reply& r) {
     auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
     if (!range) {
       for (const auto& then : std::exchange(to_catch_up_, {}))
@@ -88,21 +88,21 @@
     if (after.empty())
       sheets_revision_ = range->revision, index_since_ = out_.now();
     for (const wire::Item& i : range->items)
-      index_.sheet(i.key, i.value);
+      batch_index_.add_batch(i.key, i.value);
     if (range->more && !range->items.empty())
       return read_sheets(range->items.back().key);
     // Later than the first part was read, some may have come to it or gone from it; the changes tell.
-    index_.reached(sheets_revision_, out_.now());
+    batch_index_.advance_to(sheets_revision_, out_.now());
     reading_sheets_ = false;
     catch_up_now();
     // Where no sheets are written there is nothing to follow; it is looked up when somebody asks.
-    if (settings_.tunables.admission > 0)
+    if (settings_.tunables.fair_admission > 0)
       follow_sheets();
   });
 }
 
-void Node::follow_sheets() {
-  store_.watch(jobs::kSheet, index_.revision(), [this](const store::Reply& r) {
+void Controller::follow_sheets() {
+  store_.watch(jobs::kBatchPrefix, batch_index_.revision(), [this](const store::Reply& r) {
     auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
     if (changes)
       take_changes(*changes);
@@ -113,38 +113,38 @@
 }
 
 // The service no longer tells what has changed since: all is read again.
-void Node::read_anew() {
+void Controller::read_anew() {
   if (reading_sheets_)
     return;
   reading_sheets_ = true;
-  index_.begin();
+  batch_index_.reset();
   read_sheets("");
 }
 
-void Node::take_changes(const wire::Changes& changes) {
+void Controller::take_changes(const wire::Changes& changes) {
   // Two readings may overtake each other; what an older one tells is known.
-  if (changes.revision < index_.revision())
+  if (changes.revision < batch_index_.revision())
     return;
   for (const wire::Change& c : changes.events)
-    c.deleted ? index_.gone(c.key, out_.now()) : index_.sheet(c.key, c.value);
-  index_.reached(changes.revision, out_.now());
+    c.deleted ? batch_index_.remove_batch(c.key, out_.now()) : batch_index_.add_batch(c.key, c.value);
+  batch_index_.advance_to(changes.revision, out_.now());
 }
 
 // Runs `then` when the index holds all that was there at this moment; with false if that cannot be had now.
-void Node::catch_up(std::function<void(bool)> then) {
+void Controller::catch_up(std::function<void(bool)> then) {
   to_catch_up_.push_back(std::move(then));
   if (!catching_up_)
     catch_up_now();
 }
 
-void Node::catch_up_now() {
+void Controller::catch_up_now() {
   if (to_catch_up_.empty())
     return;
-  if (!index_.complete())
+  if (!batch_index_.complete())
     return read_anew();
   catching_up_ = true;
-  store_.changes(
-      jobs::kSheet, index_.revision(),
+  store_.read_changes(
+      jobs::kBatchPrefix, batch_index_.revision(),
       [this, asked = out_.now(), waiting = std::exchange(to_catch_up_, {})](const store::Reply& r) {
         catching_up_ = false;
         auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
@@ -154,30 +154,30 @@
         }
         for (const auto& then : waiting)
           then(bool(changes));
-        if (r.status == 410 && settings_.tunables.admission <= 0)
+        if (r.status == 410 && settings_.tunables.fair_admission <= 0)
           read_anew();
         catch_up_now();  // those that came meanwhile need one that began after
       });
 }
 
 // The job has no key and no final state, as of a moment ago. It is unknown unless it is on a sheet.
-void Node::fresh_on_sheets(const std::string& ref, store::Urgency urgency, bool need_spec, Seconds asked,
-                           const OnFresh& then) {
+void Controller::fresh_on_sheets(const std::string& ref, store::RequestPriority urgency, bool need_spec,
+                                 Seconds asked, const OnFresh& then) {
   catch_up([this, ref, urgency, need_spec, asked, then, term = term_](bool good) {
     // An index read anew since has forgotten which sheets went lately.
     if (!good || index_since_ >= asked)
       return then(503, {}, nullptr);
-    const auto key = index_.find(ref);
+    const auto key = batch_index_.find(ref);
     // Its sheet went while it was looked for: it has become final, and asking again will tell.
-    if (!key && index_.lately(ref))
+    if (!key && batch_index_.recently_removed(ref))
       return then(503, {}, nullptr);
     if (!key)
       return then(404, {}, nullptr);
     if (!need_spec) {
       // It may have ended while it was looked for.
-      wire::Txn txn;
-      txn.require(jobs::kFinal + ref, 0);
-      return store_.txn(std::move(txn), urgency, ports::kNever, [then](const store::Reply& r) {
+      wire::Transaction txn;
+      txn.require(jobs::kFinalStatePrefix + ref, 0);
+      return store_.transact(std::move(txn), urgency, ports::kNever, [then](const store::Reply& r) {
         r.status == 200 ? then(200, wire::Phase::queued, nullptr) : then(503, {}, nullptr);
       });
     }
@@ -185,7 +185,7 @@
       const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
       wire::Value found;
       if (item)
-        jobs::each_record(item->value, [&](const std::string& name, const wire::Value& record) {
+        jobs::for_each_record(item->value, [&](const std::string& name, const wire::Value& record) {
           if (name == ref)
             found = record;
         });
@@ -196,41 +196,41 @@
   });
 }
 
-wire::Value Node::live_record(const wire::Value& spec, const wire::Item& item, std::uint64_t term) {
+wire::Value Controller::live_record(const wire::Value& spec, const wire::Item& item, std::uint64_t term) {
   return {{"spec", spec}, {"version", item.version}, {"key", item.key}, {"term", term}};
 }
 
 // The leader learns of a job by a read of its own. One that an earlier leadership of this node asked for
 // tells nothing: the job may have been ended, and its end told, by a leader in between.
-void Node::found_live(const wire::Value& live) {
+void Controller::found_live(const wire::Value& live) {
   if (live["term"].get<std::uint64_t>() != term_)
     return;
   const auto key = live["key"].get<std::string>();
-  job_seen(live["spec"], live["version"].get<std::uint64_t>(), jobs::is_sheet(key) ? key : "");
+  job_seen(live["spec"], live["version"].get<std::uint64_t>(), jobs::is_batch_key(key) ? key : "");
 }
 
 // ---------------------------------------------------------------- jobs that are over
 
 // A sheet outlives some of its jobs, so who begins to lead asks which have a final state. Nobody but this
 // leader can end one any more: earlier leaders' writes are conditioned on their key.
-void Node::drop_over(std::function<void()> then) {
+void Controller::drop_over(std::function<void()> then) {
   std::vector<std::string> refs;
-  registry_.each([&](const jobs::Job& job) {
-    if (ledger_.sheets().holds(job.ix))
+  registry_.for_each([&](const jobs::Job& job) {
+    if (state_writer_.batches().contains(job.index))
       refs.push_back(job.spec.ref);
   });
   ask_over(std::move(refs), [this, then = std::move(then)](const std::set<std::string>& over) {
     for (const std::string& ref : over) {
       if (const jobs::Job* job = registry_.find(ref))
-        ledger_.sheets().over(job->ix);
+        state_writer_.batches().on_job_over(job->index);
       registry_.forget(ref);
     }
-    ledger_.sweep_empty_sheets();
+    state_writer_.delete_empty_batches();
     then();
   });
 }
 
-struct Node::Over {
+struct Controller::Over {
   std::vector<std::string> refs;
   std::set<std::string> over;
   int open = 0;  // under way, or to be asked again
@@ -239,13 +239,14 @@
   std::function<void(const std::set<std::string>&)> then;
 };
 
-void Node::ask_over(std::vector<std::string> refs, std::function<void(const std::set<std::string>&)> then) {
+void Controller::ask_over(std::vector<std::string> refs,
+                          std::function<void(const std::set<std::string>&)> then) {
   auto o = std::make_shared<Over>(Over{std::move(refs), {}, 0, false, term_, std::move(then)});
   for (int n = 0; n < kAskAtOnce; ++n)
     ask_some_over(o);
 }
 
-void Node::ask_some_over(const std::shared_ptr<Over>& o) {
+void Controller::ask_some_over(const std::shared_ptr<Over>& o) {
   // Whoever finds nothing left to ask, and nobody still asking, is the last. One that comes back to ask again
   // may find that another has asked for it; once that one, having looked before, left it to nobody, and a
   // leader renewed its lease without ever having read its jobs (looks day of our own, cub-meterlink-hunt:
@@ -255,38 +256,38 @@
       o->then(o->over);
     return;
   }
-  wire::Txn txn;
+  wire::Transaction txn;
   std::vector<std::string> asked;
-  while (!o->refs.empty() && txn.conditions() < 4 * settings_.txn_ops) {
+  while (!o->refs.empty() && txn.condition_count() < 4 * settings_.max_transaction_changes) {
     asked.push_back(std::move(o->refs.back()));
     o->refs.pop_back();
-    txn.require(jobs::kFinal + asked.back(), 0);
+    txn.require(jobs::kFinalStatePrefix + asked.back(), 0);
   }
   ++o->open;
-  store_.txn(std::move(txn), store::Urgency::lease, ports::kNever,
-             [this, o, asked = std::move(asked)](const store::Reply& r) {
-               if (o->term != term_)
-                 return;
-               --o->open;
-               if (r.status == 200 || r.status == 409)
-                 read_at_ = out_.now();
-               if (r.status != 200 && r.status != 409) {
-                 o->refs.insert(o->refs.end(), asked.begin(), asked.end());
-                 ++o->open;
-                 return out_.after(kRetry, [this, o] {
-                   if (o->term != term_)
-                     return;
-                   --o->open;
-                   ask_some_over(o);
-                 });
-               }
-               constexpr std::size_t prefix = std::string_view(jobs::kFinal).size();
-               if (r.status == 409) {
-                 for (const std::string& key : wire::failed_keys(r.body))
-                   o->over.insert(key.substr(prefix));
-               }
-               ask_some_over(o);
-             });
+  store_.transact(std::move(txn), store::RequestPriority::lease, ports::kNever,
+                  [this, o, asked = std::move(asked)](const store::Reply& r) {
+                    if (o->term != term_)
+                      return;
+                    --o->open;
+                    if (r.status == 200 || r.status == 409)
+                      read_at_ = out_.now();
+                    if (r.status != 200 && r.status != 409) {
+                      o->refs.insert(o->refs.end(), asked.begin(), asked.end());
+                      ++o->open;
+                      return out_.after(kRetry, [this, o] {
+                        if (o->term != term_)
+                          return;
+                        --o->open;
+                        ask_some_over(o);
+                      });
+                    }
+                    constexpr std::size_t prefix = std::string_view(jobs::kFinalStatePrefix).size();
+                    if (r.status == 409) {
+                      for (const std::string& key : wire::failed_keys(r.body))
+                        o->over.insert(key.substr(prefix));
+                    }
+                    ask_some_over(o);
+                  });
 }
 
-}  // namespace wingtrail::daemon
+}  // namespace wingtrail::controller
--- a/src/daemon/node.hpp
+++ b/src/controller/controller.hpp
@@ -10,29 +10,29 @@
 #include <string>
 #include <unordered_map>
 
-#include "admission/index.hpp"
-#include "admission/intake.hpp"
-#include "admission/shares.hpp"
-#include "agents/agents.hpp"
-#include "cells/planner.hpp"
-#include "cells/stays.hpp"
-#include "custody/custody.hpp"
-#include "daemon/put_off.hpp"
-#include "fleet/fleet.hpp"
-#include "jobs/chains.hpp"
-#include "jobs/ledger.hpp"
-#include "jobs/registry.hpp"
-#include "lead/election.hpp"
+#include "admission/batch_index.hpp"
+#include "admission/budget_shares.hpp"
+#include "admission/creation_queue.hpp"
+#include "autoscaling/autoscaler.hpp"
+#include "cells/offload_planner.hpp"
+#include "cells/remote_placements.hpp"
+#include "controller/deferral_reason.hpp"
+#include "delegation/delegation.hpp"
+#include "jobs/dependency_graph.hpp"
+#include "jobs/job_registry.hpp"
+#include "jobs/state_writer.hpp"
+#include "leadership/leader_election.hpp"
 #include "ports/outbox.hpp"
-#include "sched/scheduler.hpp"
+#include "scheduling/scheduler.hpp"
 #include "settings/settings.hpp"
-#include "store/client.hpp"
+#include "store/state_client.hpp"
+#include "workers/worker_manager.hpp"
 
-namespace wingtrail::daemon {
+namespace wingtrail::controller {
 
 using ports::Seconds;
 
-struct Incoming {
+struct IncomingRequest {
   std::uint64_t id = 0;  // to be named in the answer
   std::string method, path;
   std::string body;  // as it came
@@ -52,9 +52,9 @@
   double state_share = 0, state_asked = 0;  // of its budget: what this node may use, what it asks for
   double agreed_age_s = 0;                  // since the leader last said what this node may use
   std::vector<std::pair<std::pair<std::string, std::string>, std::uint64_t>> put_off_by;  // team, class
-  std::array<std::uint64_t, kPutOffReasons> questions_put_off{};                          // by reason
-  jobs::Ledger::Backlogs ends{};   // to be recorded, by kind
-  std::uint64_t leader_token = 0;  // of the newest leadership known of
+  std::array<std::uint64_t, kDeferralReasons> questions_put_off{};                        // by reason
+  jobs::StateWriter::Backlogs ends{};  // to be recorded, by kind
+  std::uint64_t leader_token = 0;      // of the newest leadership known of
   std::uint64_t custody_answers = 0, grants = 0, aborts_put_off = 0, alarms = 0;
   // The picture of the load (spread/picture.hpp), in names.
   struct ClassLoad {
@@ -82,12 +82,12 @@
 // That a page of jobs which other cells hold may have.
 std::size_t page_bytes(const settings::Settings& settings);
 
-class Node {
+class Controller {
  public:
-  Node(settings::Settings settings, std::uint64_t seed);
+  Controller(settings::Settings settings, std::uint64_t seed);
 
   void start(Seconds now);
-  void request(Seconds now, const Incoming& in);  // from users and workers
+  void request(Seconds now, const IncomingRequest& in);  // from users and workers
   void peer(Seconds now, std::uint64_t id, const peer::Frame& frame);
   void reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
   void tick(Seconds now);  // when next_wake() has come
@@ -99,24 +99,24 @@
   }
   std::vector<ports::Action> drain();
 
-  bool entitled() const {
-    return election_.entitled() && loaded_;
+  bool is_active_leader() const {
+    return election_.may_act() && loaded_;
   }
-  Seconds authority_until() const {
-    return election_.authority_until();
+  Seconds leader_lease_expires_at() const {
+    return election_.lease_expires_at();
   }
   Stats stats() const;
   // For the tests that look inside.
-  const lead::Election& election() const {
+  const leadership::LeaderElection& leader_election() const {
     return election_;
   }
-  agents::Agents& agents() {
-    return agents_;
+  workers::WorkerManager& workers() {
+    return workers_;
   }
-  jobs::Registry& registry() {
+  jobs::JobRegistry& registry() {
     return registry_;
   }
-  const sched::Scheduler& scheduler() const {
+  const scheduling::Scheduler& scheduler() const {
     return scheduler_;
   }
 
@@ -141,7 +141,7 @@
   void respond(const From& from, int status, wire::Value body = nullptr, std::optional<int> retry_after = {});
   void try_later(const From& from, int status = 503, Seconds in = 1);
   // The same of a question about a job, counted by why.
-  void put_off(const From& from, const std::string& ref, PutOff why);
+  void put_off(const From& from, const std::string& ref, DeferralReason why);
 
   void submit(const From& from, const std::string& bytes);
   struct Creation;
@@ -179,7 +179,7 @@
   void know_modern();
   void read_mark(const std::function<void()>& then);
   void keep_mark();
-  void write_mark(wire::Txn txn, Seconds not_after, double span);
+  void write_mark(wire::Transaction txn, Seconds not_after, double span);
   std::optional<std::string> impossible(const wire::JobSpec& spec) const;
 
   // Answers with the job's state from memory, the leader or a fresh read; 404 only after a fresh read.
@@ -189,7 +189,7 @@
   bool all_admit() const;
   bool sheets_matter() const;
   bool fixed_parts() const;
-  store::Client::Parts state_parts() const;
+  store::StateClient::BudgetShare state_parts() const;
   void read_sheets(const std::string& after);
   void follow_sheets();
   void read_anew();
@@ -209,8 +209,8 @@
   void take_again(const std::shared_ptr<Rereading>& all);
   void tell_admission();
   using OnFresh = std::function<void(int status, std::optional<wire::Phase>, wire::Value)>;
-  void fresh(const std::string& ref, store::Urgency urgency, bool need_spec, const OnFresh& then);
-  void fresh_on_sheets(const std::string& ref, store::Urgency urgency, bool need_spec, Seconds asked,
+  void fresh(const std::string& ref, store::RequestPriority urgency, bool need_spec, const OnFresh& then);
+  void fresh_on_sheets(const std::string& ref, store::RequestPriority urgency, bool need_spec, Seconds asked,
                        const OnFresh& then);
   // `cautious`: the leader was asked and put the question off, so a job that needs others may be an orphan.
   void answer_fresh(const From& from, const std::string& ref, bool brief, bool cautious = false);
@@ -224,7 +224,7 @@
   std::optional<std::size_t> leader_peer() const;
   std::optional<std::size_t> served_peer(std::uint32_t level = 0) const;
   bool everybody_waits() const;
-  void remember(const std::string& ref, const wire::Ended& ended);
+  void remember(const std::string& ref, const wire::FinalState& ended);
 
   void greet();
   void heard(std::size_t peer, const peer::Frame& frame);
@@ -264,20 +264,20 @@
     bool busy = false;       // a question is under way
     Seconds told_at = -1e9;  // when it last was sent this cell's digest
     Seconds heard = -1e9;
-    std::optional<peer::Digest> digest;
+    std::optional<peer::CapacityDigest> digest;
     std::deque<std::pair<Seconds, double>> offered;  // when, and how many cores
     double promised = 0;  // cores that it was told of, less what it has offered since
     Seconds promised_at = -1e9;
     bool there = false;  // as last logged
   };
-  void told_by(CellView& v, const peer::Digest& digest);
+  void told_by(CellView& v, const peer::CapacityDigest& digest);
   // What is said between cells, by this one or on a neighbour's behalf.
   peer::Frame cell_frame(const std::string& cell, std::string between) const;
   bool may_hand_on() const;
   void tick_cells();
   void ask_cell(std::size_t cell);
   void cell_said(std::size_t cell, const peer::Frame& frame);
-  void heard_of_job(std::size_t cell, const peer::JobWord& said);
+  void heard_of_job(std::size_t cell, const peer::JobMessage& said);
   void watch_cell(std::size_t cell);
   void plan_spill();
   void hold_for_spill(jobs::Job& job);
@@ -285,7 +285,7 @@
   void write_away();
   void home_again(const std::vector<std::string>& refs);
   void load_away();
-  peer::Digest digest(std::size_t to);
+  peer::CapacityDigest digest(std::size_t to);
   void between(std::uint64_t id, const peer::Frame& frame);
   struct Answering;
   void answer_word(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from);
@@ -297,25 +297,26 @@
 
   settings::Settings settings_;
   ports::Outbox out_;
-  store::Client store_;
-  jobs::Registry registry_;
-  lead::Election election_;
-  const Seconds custody_span_;  // how long a custodian may go on; 0: no custody
-  custody::Custodian custodian_;
-  custody::Grants grants_;
-  admission::Shares writes_shared_, requests_shared_;
-  admission::Intake intake_;
-  admission::Index index_;
-  jobs::Chains chains_;
-  jobs::Ledger ledger_;
-  agents::Agents agents_;
-  sched::Scheduler scheduler_;
-  fleet::Fleet fleet_;
+  store::StateClient store_;
+  jobs::JobRegistry registry_;
+  leadership::LeaderElection election_;
+  const Seconds delegation_duration_;  // how long a custodian may go on; 0: no custody
+  delegation::LeaseDelegate lease_delegate_;
+  delegation::DelegationLedger delegations_;
+  admission::BudgetShares write_shares_, request_shares_;
+  admission::CreationQueue creation_queue_;
+  admission::BatchIndex batch_index_;
+  jobs::DependencyGraph dependencies_;
+  jobs::StateWriter state_writer_;
+  workers::WorkerManager workers_;
+  scheduling::Scheduler scheduler_;
+  autoscaling::Autoscaler autoscaler_;
 
   std::vector<wire::MachineType> catalog_;
   wire::Value catalog_raw_;
   std::vector<PeerView> peers_;
-  std::unordered_map<std::string, wire::Ended> finals_;  // final states never change, so they may be kept
+  std::unordered_map<std::string, wire::FinalState>
+      finals_;  // final states never change, so they may be kept
   std::deque<std::string> finals_order_;
   std::uint64_t term_ = 0;
   bool loaded_ = false;
@@ -324,7 +325,7 @@
   std::deque<std::string> to_ask_;    // needed jobs that nothing is known of
   int asking_ = 0;
   struct Abort {  // a cancellation that waits for its tasks to be gone, and who asked for it
-    jobs::Ix job;
+    jobs::JobIndex job;
     std::optional<From> from;
     Seconds until;
   };
@@ -352,17 +353,17 @@
   std::deque<std::pair<Seconds, std::string>> unknown_needs_;  // since when, the oldest first
   std::uint64_t jobs_revision_ = 0;
   struct ZoneLife {
-    zones::Life last = zones::Life::sound;  // as last told
+    zones::ZoneState last = zones::ZoneState::healthy;  // as last told
     Seconds since = 0, looked_at = 0;
-    sched::Scheduler::Loss loss;  // of a zone out of reach, while its leases last
+    scheduling::Scheduler::ZoneLossImpact loss;  // of a zone out of reach, while its leases last
   };
   std::vector<ZoneLife> zone_lives_;
-  cells::Stays stays_;
+  cells::RemotePlacements remote_placements_;
   std::vector<CellView> cell_views_;
   std::vector<wire::Item> away_pages_;  // read while loading
   std::set<std::string> fenced_;        // jobs of others that are being recorded as never to run here
-  cells::Room room_;                    // as of the last second
-  std::vector<jobs::Ix> going_;         // jobs that are not begun, since they are to go
+  cells::GuestCapacity room_;           // as of the last second
+  std::vector<jobs::JobIndex> going_;   // jobs that are not begun, since they are to go
   bool spills_ = false;                 // what comes would begin sooner elsewhere, as of the last plan
   bool room_known_ = false;             // in this leadership
   std::set<std::string> looking_at_;    // pages being read
@@ -372,4 +373,4 @@
   Stats stats_;
 };
 
-}  // namespace wingtrail::daemon
+}  // namespace wingtrail::controller
--- a/src/daemon/ends.cpp
+++ b/src/controller/final_states.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "daemon/node.hpp"
+#include "controller/controller.hpp"
 
-namespace wingtrail::daemon {
+namespace wingtrail::controller {
 namespace {
 constexpr Seconds kLate = 5;  // users expect to hear of an end within 3 s of it
 }  // namespace
@@ -13,8 +13,8 @@
 // What the others may rely on when this leader does not answer them: up to when all that follows from
 // cancellations is recorded. It stands still after a take-over until every need is known that was not live,
 // and goes no further than the oldest end that waits to be recorded, however many wait before it.
-void Node::settle_ends() {
-  while (!unknown_needs_.empty() && !chains_.asks_for(unknown_needs_.front().second))
+void Controller::settle_ends() {
+  while (!unknown_needs_.empty() && !dependencies_.awaits_unknown(unknown_needs_.front().second))
     unknown_needs_.pop_front();
   Seconds settled_at = out_.now();
   if (!unknown_needs_.empty()) {
@@ -24,20 +24,20 @@
   }
   // One that its user cancelled too may be recorded as that.
   for (const auto kind : {jobs::RecordKind::orphaned, jobs::RecordKind::cancelled})
-    settled_at = std::min(settled_at, ledger_.oldest_unrecorded(kind).value_or(settled_at));
+    settled_at = std::min(settled_at, state_writer_.oldest_unrecorded(kind).value_or(settled_at));
   ends_settled_at_ = settled_at;
 }
 
 // One line when ends begin to be recorded late, and one when that is over.
-void Node::tell_late_ends() {
+void Controller::tell_late_ends() {
   using jobs::RecordKind;
-  const jobs::Ledger::Backlogs ends = ledger_.backlogs();
-  const auto of = [&ends](RecordKind kind) -> const jobs::Ledger::Backlog& {
+  const jobs::StateWriter::Backlogs ends = state_writer_.backlogs();
+  const auto of = [&ends](RecordKind kind) -> const jobs::StateWriter::Backlog& {
     return ends[jobs::index(kind)];
   };
   Seconds oldest = 0;
   std::uint64_t recorded = 0;
-  for (const jobs::Ledger::Backlog& backlog : ends) {
+  for (const jobs::StateWriter::Backlog& backlog : ends) {
     oldest = std::max(oldest, backlog.oldest_s);
     recorded += backlog.recorded;
   }
@@ -63,4 +63,4 @@
   late = {};
 }
 
-}  // namespace wingtrail::daemon
+}  // namespace wingtrail::controller
--- /dev/null
+++ b/src/controller/leadership.cpp
@@ -0,0 +1,420 @@
+// A leadership: what is read at its beginning, what comes in during it, and its end.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "controller/controller.hpp"
+
+namespace wingtrail::controller {
+
+// ---------------------------------------------------------------- leading
+
+void Controller::elected() {
+  ++term_;
+  loaded_ = false;
+  read_at_ = out_.now();
+  intents_.clear();
+  registry_.clear();
+  dependencies_.clear();
+  to_ask_.clear();
+  unknown_needs_.clear();
+  asking_ = 0;
+  zone_lives_.clear();
+  remote_placements_.clear();
+  away_pages_.clear();
+  fenced_.clear();
+  going_.clear();
+  spills_ = false;
+  room_known_ = false;
+  scheduler_.clear();
+  state_writer_.begin_leadership();
+  delegations_.begin_leadership(out_.now());
+  write_shares_.begin_leadership(out_.now());
+  request_shares_.begin_leadership(out_.now());
+  workers_.begin_leadership();
+  workers_.set_catalog(catalog_);
+  load(jobs::kLiveJobPrefix, "", term_);
+}
+
+void Controller::lost() {
+  ++term_;
+  loaded_ = false;
+  for (const Abort& a : std::exchange(aborts_, {})) {
+    if (a.from)
+      try_later(*a.from);
+  }
+  state_writer_.end_leadership();
+  workers_.end_leadership();
+  autoscaler_.end_leadership();
+  scheduler_.clear();
+  dependencies_.clear();
+  remote_placements_.clear();
+  fenced_.clear();
+  registry_.clear();
+}
+
+void Controller::load(const char* prefix, const std::string& after, std::uint64_t term) {
+  store_.list(prefix, after, [this, prefix, after, term](const store::Reply& r) {
+    if (term != term_)
+      return;
+    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
+    read_at_ = range ? out_.now() : read_at_;
+    if (!range) {
+      return out_.after(0.2, [this, prefix, after, term] {
+        if (term == term_)
+          load(prefix, after, term);
+      });
+    }
+    // Changes after the first page's revision are seen by the watch; seeing one twice does no harm.
+    if (prefix == jobs::kLiveJobPrefix && after.empty())
+      jobs_revision_ = range->revision;
+    for (const wire::Item& item : range->items)
+      load_item(prefix, item);
+    if (range->more && !range->items.empty())
+      return load(prefix, range->items.back().key, term);
+    if (prefix == jobs::kLiveJobPrefix) {
+      return drop_over([this, term] {
+        if (term == term_)
+          load(jobs::kCompletionPrefix, "", term);
+      });
+    }
+    if (prefix == jobs::kCompletionPrefix)
+      return load(jobs::kInventoryPrefix, "", term);
+    // How long earlier leaders may have granted is read before the first lease is taken for over.
+    read_mark([this, term] {
+      if (term == term_)
+        loaded();
+    });
+  });
+}
+
+void Controller::load_item(const char* prefix, const wire::Item& item) {
+  if (prefix == jobs::kLiveJobPrefix && item.key.ends_with(jobs::kCancellationSuffix)) {
+    intents_.push_back(item.key);  // acted on when all is loaded
+  } else if (prefix == jobs::kLiveJobPrefix && cells::is_remote_placement_key(item.key)) {
+    away_pages_.push_back(item);  // the same
+  } else if (prefix == jobs::kLiveJobPrefix && jobs::is_batch_key(item.key)) {
+    jobs::for_each_record(item.value, [&](const std::string& ref, const wire::Value& record) {
+      jobs::Job* known = registry_.find(ref);
+      jobs::Job* job = known ? known : learn_job(record, item.version);
+      if (!job)
+        return;
+      if (!known)
+        job->has_own_key = false;
+      // It may be on two sheets, and have a key too: what it is as old as is the first of them.
+      job->created_revision = std::min(job->created_revision, item.version);
+      state_writer_.batches().add_live_job(item.key, job->index);
+    });
+    state_writer_.batches().on_read(item.key);
+  } else if (prefix == jobs::kLiveJobPrefix) {
+    if (jobs::Job* known = registry_.find(wire::text(item.value, "ref").value_or(""))) {
+      known->has_own_key = true;
+      known->created_revision = std::min(known->created_revision, item.version);
+    } else {
+      learn_job(item.value, item.version);
+    }
+  } else if (prefix == jobs::kCompletionPrefix) {
+    if (!state_writer_.load_completion_page(item.key, item.value, item.version))
+      spdlog::error("{}: unreadable progress", item.key);
+  } else {
+    const bool good = state_writer_.load_inventory_page(
+        item.key, item.value, item.version,
+        [this](const wire::Value& record) { return workers_.add_from_inventory(record).index; });
+    if (!good)
+      spdlog::error("{}: an unreadable page of the roster", item.key);
+  }
+}
+
+void Controller::loaded() {
+  loaded_ = true;
+  loaded_at_ = out_.now();
+  late_ends_ = {};
+  last_report_ = 0;
+  reach_since_ = out_.now();
+  spdlog::info("loaded {} jobs and {} machines as of revision {} under token {}", registry_.live_count(),
+               workers_.machines().size(), jobs_revision_, election_.fencing_token());
+  autoscaler_.begin_leadership();
+  workers_.tick();
+  load_away();
+  for (const std::string& key : std::exchange(intents_, {}))
+    intent_seen(key);
+  std::vector<jobs::Job*> all;
+  registry_.for_each([&all](jobs::Job& job) { all.push_back(&job); });
+  if (settings_.tunables.fair_admission <= 0) {
+    for (jobs::Job* job : all)
+      state_writer_.move_to_own_key(*job);
+  }
+  for (jobs::Job* job : all)
+    dependencies_.add(*job);
+  dependencies_.propagate_urgency();
+  for (jobs::Job* job : all) {
+    done_if_complete(*job);
+    scheduler_.on_job_ready(*job);
+  }
+  follow_chains();
+  follow_jobs(jobs_revision_, term_);
+  keep_catalog();
+}
+
+void Controller::follow_jobs(std::uint64_t after, std::uint64_t term) {
+  store_.watch(jobs::kLiveJobPrefix, after, [this, after, term](const store::Reply& r) {
+    if (term != term_)
+      return;
+    auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
+    if (changes) {
+      for (const wire::Change& c : changes->events) {
+        if (!c.deleted)
+          live_key_seen(c.key, c.value, c.version);
+      }
+      return follow_jobs(std::max(after, changes->revision), term);
+    }
+    if (r.status == 410) {
+      // Too far behind: everything is read again. What is known already stays as it is.
+      return out_.after(0.2, [this, term] { read_again(term); });
+    }
+    out_.after(0.3, [this, after, term] {
+      if (term == term_)
+        follow_jobs(after, term);
+    });
+  });
+}
+
+// Too many changes were missed, so all records are read again, page by page as of the first one's revision;
+// the watch goes on from there.
+struct Controller::Rereading {
+  std::uint64_t term = 0, revision = 0;
+  std::vector<wire::Item> items;
+};
+
+void Controller::read_again(std::uint64_t term) {
+  if (term == term_)
+    read_more(std::make_shared<Rereading>(Rereading{term, 0, {}}));
+}
+
+void Controller::read_more(const std::shared_ptr<Rereading>& all) {
+  const std::string after = all->items.empty() ? "" : all->items.back().key;
+  store_.list(jobs::kLiveJobPrefix, after, [this, all](const store::Reply& r) {
+    if (all->term != term_)
+      return;
+    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
+    if (!range)
+      return out_.after(0.3, [this, all] { read_again(all->term); });
+    if (all->items.empty())
+      all->revision = range->revision;
+    all->items.insert(all->items.end(), range->items.begin(), range->items.end());
+    // A deployment may have more live keys than one answer holds; those behind it would stay unknown.
+    if (range->more && !range->items.empty())
+      return read_more(all);
+    take_again(all);
+  });
+}
+
+void Controller::take_again(const std::shared_ptr<Rereading>& all) {
+  // On sheets that are new here there may be jobs that were over long ago.
+  std::vector<std::string> unknown;
+  for (const wire::Item& i : all->items) {
+    if (!jobs::is_batch_key(i.key) || state_writer_.batches().fully_read(i.key))
+      continue;
+    jobs::for_each_record(i.value, [&](const std::string& ref, const wire::Value&) {
+      if (!registry_.find(ref))
+        unknown.push_back(ref);
+    });
+  }
+  ask_over(std::move(unknown), [this, all](const std::set<std::string>& over) {
+    if (all->term != term_)
+      return;
+    const auto is_mark = [](const wire::Item& i) {
+      return i.key.ends_with(jobs::kCancellationSuffix);
+    };
+    for (const wire::Item& i : all->items) {
+      if (is_mark(i))
+        continue;  // its job may be on a sheet, and those come later
+      if (!jobs::is_batch_key(i.key)) {
+        live_key_seen(i.key, i.value, i.version);
+      } else if (!state_writer_.batches().fully_read(i.key)) {
+        sheet_seen(i.key, i.value, i.version, over);
+      }
+    }
+    for (const wire::Item& i : all->items) {
+      if (is_mark(i))
+        intent_seen(i.key);
+    }
+    follow_jobs(all->revision, all->term);
+  });
+}
+
+void Controller::live_key_seen(const std::string& key, const wire::Value& value, std::uint64_t version) {
+  if (key.ends_with(jobs::kCancellationSuffix))
+    return intent_seen(key);
+  if (cells::is_remote_placement_key(key))
+    return;  // this leader's own
+  jobs::is_batch_key(key) ? sheet_seen(key, value, version) : job_seen(value, version);
+}
+
+void Controller::sheet_seen(const std::string& key, const wire::Value& value, std::uint64_t version,
+                            const std::set<std::string>& over) {
+  jobs::for_each_record(value, [&](const std::string& ref, const wire::Value& record) {
+    if (!over.contains(ref))
+      job_seen(record, version, key);
+  });
+  state_writer_.batches().on_read(key);
+  state_writer_.delete_empty_batches();
+}
+
+void Controller::job_seen(const wire::Value& value, std::uint64_t version, const std::string& sheet) {
+  const auto ref = wire::text(value, "ref").value_or("");
+  if (finals_.contains(ref) || fenced_.contains(ref))
+    return;
+  if (jobs::Job* known = registry_.find(ref)) {
+    known->created_revision = std::min(known->created_revision, version);
+    if (known->final_state_recorded)
+      return;
+    sheet.empty() ? void(known->has_own_key = true)
+                  : state_writer_.batches().add_live_job(sheet, known->index);
+    return;
+  }
+  jobs::Job* job = learn_job(value, version);
+  if (!job)
+    return;
+  workers_.adopt_stray_instances(*job);
+  if (!sheet.empty()) {
+    job->has_own_key = false;
+    state_writer_.batches().add_live_job(sheet, job->index);
+    if (settings_.tunables.fair_admission <= 0)
+      state_writer_.move_to_own_key(*job);
+  }
+  dependencies_.add(*job);
+  dependencies_.propagate_urgency();
+  if (!job->is_held()) {
+    if (spills_ && may_go(*job))
+      hold_for_spill(*job);
+    scheduler_.record_arrival(*job);
+    scheduler_.on_job_ready(*job);
+  }
+  follow_chains();
+}
+
+jobs::Job* Controller::learn_job(const wire::Value& value, std::uint64_t version) {
+  auto spec = wire::parse_job(value);
+  if (!spec) {
+    spdlog::error("a record that is not a job: {}", spec.error());
+    return nullptr;
+  }
+  // Versions before chains kept no time: then it counts from when this leader learns of the job.
+  const auto at = wire::submitted_at(value);
+  const auto guest = wire::text(value, jobs::kOriginCellField);
+  if (guest)
+    spec->priority = wire::Priority::low;  // it gives way to all of this cell's own work
+  jobs::Job& job = registry_.add(*spec, version, at ? steady(*at) : out_.now());
+  if (guest)
+    job.origin_cell = *guest;
+  return &job;
+}
+
+Seconds Controller::steady(double time_of_day) const {
+  return out_.now() - std::max(0.0, out_.time_of_day() - time_of_day);
+}
+
+void Controller::done_if_complete(jobs::Job& job) {
+  if (!job.is_open() || job.is_service() || job.done_tasks < job.spec.tasks)
+    return;
+  state_writer_.record_final_state(job, wire::Phase::done, {});
+}
+
+void Controller::job_closed(jobs::Job& job) {
+  remember(job.spec.ref, {job.final_phase, job.spec.tasks, out_.time_of_day()});
+  ++(job.final_phase == wire::Phase::done ? stats_.completed : stats_.cancelled);
+  spdlog::info(
+      "{} ({} of {}) is {} after {:.1f} s, its last start after {:.1f} s, estimated at {:.1f} s; {} of its "
+      "{} "
+      "tasks had to start again",
+      job.spec.ref, job.spec.job_class, job.spec.team, wire::phase_name(job.final_phase),
+      out_.now() - job.eligible_since, std::max(0.0, job.last_start_at - job.eligible_since),
+      scheduler_.estimated_run_time(job), job.lost_starts, job.spec.tasks);
+  remote_placements_.on_job_over(job.spec.ref);
+  stats_.guests_ended += !job.origin_cell.empty();
+  scheduler_.on_job_over(job);
+  registry_.erase_if_over(job);
+  follow_chains();
+}
+
+// ---------------------------------------------------------------- chains
+
+void Controller::follow_chains() {
+  for (const jobs::JobIndex ix : dependencies_.take_ready()) {
+    jobs::Job* job = registry_.job_at(ix);
+    if (!job || !job->is_open())
+      continue;
+    ++stats_.chains_ready;
+    spdlog::debug("{}: all that it needs is done", job->spec.ref);
+    scheduler_.record_arrival(*job);
+    scheduler_.on_job_ready(*job);
+  }
+  for (const jobs::JobIndex ix : dependencies_.take_orphans()) {
+    jobs::Job* job = registry_.job_at(ix);
+    if (!job || !job->is_open())
+      continue;
+    ++stats_.orphaned;
+    spdlog::info("{} is cancelled with a job that it needs", job->spec.ref);
+    state_writer_.record_orphan(*job);
+    workers_.cancel_job(*job);  // nothing of it runs, unless a version without chains led in between
+  }
+  for (std::string& ref : dependencies_.take_unknown()) {
+    unknown_needs_.emplace_back(out_.now(), ref);
+    to_ask_.push_back(std::move(ref));
+  }
+  ask_about_needs();
+}
+
+void Controller::ask_about_needs() {
+  constexpr int kAtOnce =
+      8;  // a take-over may have hundreds to ask about, and others need the state service too
+  while (is_active_leader() && asking_ < kAtOnce && !to_ask_.empty()) {
+    const std::string ref = std::move(to_ask_.front());
+    to_ask_.pop_front();
+    if (dependencies_.awaits_unknown(ref))
+      ask_about(ref);
+  }
+}
+
+// Most needed jobs that are not live were over before this leadership. One that is not over either was
+// created a moment ago, and its creation has not been seen here yet. Absent is never taken for done.
+void Controller::ask_about(const std::string& ref) {
+  ++asking_;
+  store_.get(jobs::kFinalStatePrefix + ref, store::RequestPriority::user,
+             [this, ref, term = term_](const store::Reply& r) {
+               if (term != term_)
+                 return;
+               --asking_;
+               const auto item =
+                   r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
+               if (const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt) {
+                 remember(ref, *ended);
+                 return follow_chains();
+               }
+               const auto again = [this, ref, term] {
+                 out_.after(0.5, [this, ref, term] {
+                   if (term == term_ && dependencies_.awaits_unknown(ref))
+                     to_ask_.push_back(ref);
+                 });
+               };
+               if (r.status != 404)
+                 return again();
+               ++asking_;
+               fresh(ref, store::RequestPriority::user, true,
+                     [this, ref, term, again](int st, std::optional<wire::Phase>, const wire::Value& live) {
+                       if (term != term_)
+                         return;
+                       --asking_;
+                       if (st == 200 && !live.is_null())
+                         found_live(live);
+                       else if (st == 404)
+                         spdlog::error("{} is needed but was never accepted", ref);
+                       follow_chains();
+                       if (dependencies_.awaits_unknown(ref))
+                         again();
+                     });
+             });
+}
+
+}  // namespace wingtrail::controller
--- a/src/daemon/admission.cpp
+++ b/src/controller/submission.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "daemon/node.hpp"
+#include "controller/controller.hpp"
 
-namespace wingtrail::daemon {
+namespace wingtrail::controller {
 namespace {
 constexpr Seconds kCreateTimeout = 2.5;
 constexpr Seconds kGoneWithin = 0.5;         // sound workers end a job's tasks within
@@ -15,14 +15,14 @@
 
 // ---------------------------------------------------------------- submissions
 
-std::optional<std::string> Node::impossible(const wire::JobSpec& s) const {
+std::optional<std::string> Controller::impossible(const wire::JobSpec& s) const {
   const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                  [&](const settings::Team& t) { return t.name == s.team; });
   if (team == settings_.teams.end())
     return "unknown team";
   const double n = s.shape == wire::Shape::service ? s.tasks : 1;
-  if ((team->cpus_max > 0 && n * s.need.cpus > team->cpus_max + 1e-6) ||
-      (team->gpus_max > 0 && n * s.need.gpus > team->gpus_max + 1e-6)) {
+  if ((team->cpus_max > 0 && n * s.task_resources.cpus > team->cpus_max + 1e-6) ||
+      (team->gpus_max > 0 && n * s.task_resources.gpus > team->gpus_max + 1e-6)) {
     return "more than the team's limit";
   }
   for (const auto& t : catalog_) {
@@ -30,15 +30,15 @@
       continue;
     if (s.zone && std::find(t.zones.begin(), t.zones.end(), *s.zone) == t.zones.end())
       continue;
-    if (s.need.cpus <= t.cpus + 1e-6 && s.need.gpus <= t.gpus + 1e-6 &&
-        s.need.memory_gb <= t.memory_gb + 1e-6) {
+    if (s.task_resources.cpus <= t.cpus + 1e-6 && s.task_resources.gpus <= t.gpus + 1e-6 &&
+        s.task_resources.memory_gb <= t.memory_gb + 1e-6) {
       return std::nullopt;
     }
   }
   return "fits no allowed machine type";
 }
 
-void Node::submit(const From& from, const std::string& bytes) {
+void Controller::submit(const From& from, const std::string& bytes) {
   ++stats_.submitted;
   const auto body = wire::decode_cbor(bytes);
   auto spec = body ? wire::parse_job(*body) : wire::Result<wire::JobSpec>::fail("not CBOR");
@@ -48,7 +48,7 @@
   }
   if (answer_final(from, spec->ref, true))
     return;
-  if (entitled()) {
+  if (is_active_leader()) {
     if (jobs::Job* job = registry_.find(spec->ref))
       return answer_live(from, *job, true);
   }
@@ -65,21 +65,21 @@
   }
   if (wire::job_record(*spec, out_.time_of_day()).dump().size() > settings_.value_bytes())
     return refuse_unless_accepted(from, spec->ref, "too large to be kept; name fewer jobs or machine types");
-  if (!spec->waits_on.empty())
+  if (!spec->depends_on.empty())
     return check_needs(from, *spec, bytes);
   create(from, *spec);
 }
 
 // A job that was accepted stays accepted, whatever its submission would be told today.
-void Node::refuse_unless_accepted(const From& from, const std::string& ref, const std::string& why) {
-  fresh(ref, store::Urgency::user, false,
+void Controller::refuse_unless_accepted(const From& from, const std::string& ref, const std::string& why) {
+  fresh(ref, store::RequestPriority::user, false,
         [this, from, ref, why](int st, std::optional<wire::Phase>, const wire::Value&) {
           if (st == 404) {
             ++stats_.refused;
             return respond(from, 422, {{"error", why}});
           }
           if (st == 200)
-            return answer_fresh(from, ref, true, !entitled());
+            return answer_fresh(from, ref, true, !is_active_leader());
           try_later(from);
         });
 }
@@ -88,7 +88,7 @@
 
 // A job, once accepted, exists for ever: live or over. So whether those that a submission names were accepted
 // is asked before it is created, and need not be a condition of its creation.
-struct Node::Needs {
+struct Controller::Needs {
   From from;
   wire::JobSpec spec;
   std::string bytes;
@@ -96,22 +96,22 @@
 };
 
 // A version that does not know of chains would start the job at once.
-bool Node::old_leader() const {
+bool Controller::old_leader() const {
   for (std::size_t i = 0; i < peers_.size(); ++i) {
     if (settings_.peers[i].name == election_.leader())
-      return peers_[i].level.value_or(peer::kLevel) < peer::kChains;
+      return peers_[i].level.value_or(peer::kProtocolLevel) < peer::kLevelDependencies;
   }
   return false;
 }
 
-void Node::check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes) {
+void Controller::check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes) {
   if (old_leader())
     return try_later(from);
   auto n = std::make_shared<Needs>(Needs{from, spec, bytes, {}});
-  for (const std::string& ref : spec.waits_on) {
+  for (const std::string& ref : spec.depends_on) {
     if (ref == spec.ref)
       return refuse_unless_accepted(from, spec.ref, "waitsOn: the job names itself");
-    if (finals_.contains(ref) || (entitled() && registry_.find(ref)))
+    if (finals_.contains(ref) || (is_active_leader() && registry_.find(ref)))
       continue;
     n->unknown.push_back(ref);
   }
@@ -120,40 +120,41 @@
 
 // One comparison for as many as it may have conditions: of each job that was accepted, one of the two keys
 // exists and is named in the answer.
-void Node::check_some_needs(const std::shared_ptr<Needs>& n) {
+void Controller::check_some_needs(const std::shared_ptr<Needs>& n) {
   if (n->unknown.empty())
     return create(n->from, n->spec);
-  wire::Txn txn;
+  wire::Transaction txn;
   std::vector<std::string> asked;
-  while (!n->unknown.empty() && txn.conditions() + 2 <= 4 * settings_.txn_ops) {
+  while (!n->unknown.empty() && txn.condition_count() + 2 <= 4 * settings_.max_transaction_changes) {
     asked.push_back(std::move(n->unknown.back()));
     n->unknown.pop_back();
-    txn.require(jobs::kLive + asked.back(), 0).require(jobs::kFinal + asked.back(), 0);
+    txn.require(jobs::kLiveJobPrefix + asked.back(), 0).require(jobs::kFinalStatePrefix + asked.back(), 0);
   }
-  store_.txn(std::move(txn), store::Urgency::user, ports::kNever,
-             [this, n, asked = std::move(asked)](const store::Reply& r) {
-               if (r.status != 200 && r.status != 409) {
-                 // This node alone may be refused; a peer that is served can find out just as well.
-                 const auto peer = n->from.by_peer ? std::nullopt : served_peer(peer::kChains);
-                 return hand_on(
-                     n->from, peer, "POST", wire::kJobsPath, n->bytes, kCreateTimeout,
-                     [this, n, status = r.status](int) { try_later(n->from, status == 429 ? 429 : 503); });
-               }
-               const auto exist = r.status == 409 ? wire::failed_keys(r.body) : std::vector<std::string>{};
-               const auto has = [&exist](const std::string& key) {
-                 return std::find(exist.begin(), exist.end(), key) != exist.end();
-               };
-               std::vector<std::string> absent;
-               for (const std::string& ref : asked) {
-                 if (!has(jobs::kLive + ref) && !has(jobs::kFinal + ref))
-                   absent.push_back(ref);
-               }
-               needs_absent(n, std::move(absent));
-             });
+  store_.transact(
+      std::move(txn), store::RequestPriority::user, ports::kNever,
+      [this, n, asked = std::move(asked)](const store::Reply& r) {
+        if (r.status != 200 && r.status != 409) {
+          // This node alone may be refused; a peer that is served can find out just as well.
+          const auto peer = n->from.by_peer ? std::nullopt : served_peer(peer::kLevelDependencies);
+          return hand_on(
+              n->from, peer, "POST", wire::kJobsPath, n->bytes, kCreateTimeout,
+              [this, n, status = r.status](int) { try_later(n->from, status == 429 ? 429 : 503); });
+        }
+        const auto exist = r.status == 409 ? wire::failed_keys(r.body) : std::vector<std::string>{};
+        const auto has = [&exist](const std::string& key) {
+          return std::find(exist.begin(), exist.end(), key) != exist.end();
+        };
+        std::vector<std::string> absent;
+        for (const std::string& ref : asked) {
+          if (!has(jobs::kLiveJobPrefix + ref) && !has(jobs::kFinalStatePrefix + ref))
+            absent.push_back(ref);
+        }
+        needs_absent(n, std::move(absent));
+      });
 }
 
 // These have no keys. On sheets they may be all the same.
-void Node::needs_absent(const std::shared_ptr<Needs>& n, std::vector<std::string> refs) {
+void Controller::needs_absent(const std::shared_ptr<Needs>& n, std::vector<std::string> refs) {
   if (refs.empty())
     return check_some_needs(n);
   const std::string ref = std::move(refs.back());
@@ -163,7 +164,7 @@
   };
   if (!sheets_matter())
     return never();
-  fresh(ref, store::Urgency::user, false,
+  fresh(ref, store::RequestPriority::user, false,
         [this, n, refs = std::move(refs), never](int st, std::optional<wire::Phase>, const wire::Value&) {
           if (st == 404)
             return never();
@@ -175,7 +176,7 @@
 
 // A creation under way: at this node, and if that takes long or fails, at a peer beside it. The first that
 // comes to an end tells the user; a failure is told only when there is nothing left to wait for.
-struct Node::Creation {
+struct Controller::Creation {
   From from;
   wire::JobSpec spec;
   wire::Value value;
@@ -185,9 +186,9 @@
   wire::Value verdict = nullptr;  // why a peer refused it for good
 };
 
-void Node::create(const From& from, const wire::JobSpec& spec) {
+void Controller::create(const From& from, const wire::JobSpec& spec) {
   // It was admitted on a sheet, and this is a retry.
-  if (index_.find(spec.ref) || index_.lately(spec.ref))
+  if (batch_index_.find(spec.ref) || batch_index_.recently_removed(spec.ref))
     return answer_accepted(from, spec);
   auto c = std::make_shared<Creation>(Creation{from, spec, wire::job_record(spec, out_.time_of_day())});
   // A node that the state service does not answer asks a peer at once instead of finding out again at its
@@ -201,52 +202,53 @@
     lose_patience(c);
 }
 
-void Node::create_here(const std::shared_ptr<Creation>& c) {
-  using Outcome = admission::Intake::Outcome;
+void Controller::create_here(const std::shared_ptr<Creation>& c) {
+  using Outcome = admission::CreationQueue::Outcome;
   c->own_open = true;
-  intake_.offer(c->spec, c->value, [this, c, term = term_](const admission::Intake::Result& r) {
-    c->own_open = false;
-    // The watch will tell too; this saves the leader's own submissions the way there and back. What an
-    // earlier leadership of this node sent may have been created, and ended by another, before this one
-    // began.
-    if (r.outcome == Outcome::created && entitled() && term == term_)
-      job_seen(c->value, r.revision, r.sheet);
-    if (c->answered)
-      return;
-    if (r.outcome == Outcome::created) {
-      c->answered = true;
-      ++stats_.admitted;
-      return respond(c->from, 201, wire::job_state(c->spec.ref, wire::Phase::queued));
-    }
-    if (r.outcome == Outcome::exists) {
-      c->answered = true;
-      return answer_accepted(c->from, c->spec);
-    }
-    if (r.outcome == Outcome::later) {
-      c->refusal = 429;
-      c->turn_s = r.turn_s;
-    }
-    // This node alone may be refused; a peer that is served can admit the job just as well. But where all
-    // keep to shares of one budget, a peer has its own users to serve.
-    if (!c->peer_asked &&
-        !(r.outcome == Outcome::later && settings_.tunables.admission > 0 && !fixed_parts()))
-      create_at_peer(c);
-    give_up_creation(c);
-  });
+  creation_queue_.enqueue(
+      c->spec, c->value, [this, c, term = term_](const admission::CreationQueue::Result& r) {
+        c->own_open = false;
+        // The watch will tell too; this saves the leader's own submissions the way there and back. What an
+        // earlier leadership of this node sent may have been created, and ended by another, before this one
+        // began.
+        if (r.outcome == Outcome::created && is_active_leader() && term == term_)
+          job_seen(c->value, r.revision, r.batch_key);
+        if (c->answered)
+          return;
+        if (r.outcome == Outcome::created) {
+          c->answered = true;
+          ++stats_.admitted;
+          return respond(c->from, 201, wire::job_state(c->spec.ref, wire::Phase::queued));
+        }
+        if (r.outcome == Outcome::exists) {
+          c->answered = true;
+          return answer_accepted(c->from, c->spec);
+        }
+        if (r.outcome == Outcome::deferred) {
+          c->refusal = 429;
+          c->turn_s = r.retry_after_s;
+        }
+        // This node alone may be refused; a peer that is served can admit the job just as well. But where all
+        // keep to shares of one budget, a peer has its own users to serve.
+        if (!c->peer_asked &&
+            !(r.outcome == Outcome::deferred && settings_.tunables.fair_admission > 0 && !fixed_parts()))
+          create_at_peer(c);
+        give_up_creation(c);
+      });
 }
 
 // It takes longer than answers of the state service do, so another way is worth trying beside it.
-void Node::lose_patience(const std::shared_ptr<Creation>& c) {
-  out_.after(store_.patience(), [this, c] {
+void Controller::lose_patience(const std::shared_ptr<Creation>& c) {
+  out_.after(store_.hedging_delay(), [this, c] {
     if (c->answered || c->peer_asked || !c->own_open)
       return;
-    intake_.waits(c->spec.ref) ? lose_patience(c) : create_at_peer(c);
+    creation_queue_.is_waiting(c->spec.ref) ? lose_patience(c) : create_at_peer(c);
   });
 }
 
-void Node::create_at_peer(const std::shared_ptr<Creation>& c) {
+void Controller::create_at_peer(const std::shared_ptr<Creation>& c) {
   const auto peer =
-      c->from.by_peer ? std::nullopt : served_peer(c->spec.waits_on.empty() ? 0 : peer::kChains);
+      c->from.by_peer ? std::nullopt : served_peer(c->spec.depends_on.empty() ? 0 : peer::kLevelDependencies);
   if (!peer)
     return;
   c->peer_asked = c->peer_open = true;
@@ -265,7 +267,7 @@
            });
 }
 
-void Node::give_up_creation(const std::shared_ptr<Creation>& c) {
+void Controller::give_up_creation(const std::shared_ptr<Creation>& c) {
   if (c->answered || c->own_open || c->peer_open)
     return;
   c->answered = true;
@@ -276,11 +278,12 @@
 
 // ---------------------------------------------------------------- states
 
-void Node::remember(const std::string& ref, const wire::Ended& ended) {
+void Controller::remember(const std::string& ref, const wire::FinalState& ended) {
   if (!finals_.emplace(ref, ended).second)
     return;
-  if (election_.leading())
-    chains_.ended(ref, {ended.phase == wire::Phase::done, ended.at ? steady(*ended.at) : out_.now()});
+  if (election_.holds_leadership())
+    dependencies_.on_ended(
+        ref, {ended.phase == wire::Phase::done, ended.ended_at ? steady(*ended.ended_at) : out_.now()});
   finals_order_.push_back(ref);
   if (finals_order_.size() > kFinalsKept) {
     finals_.erase(finals_order_.front());
@@ -288,7 +291,7 @@
   }
 }
 
-bool Node::answer_final(const From& from, const std::string& ref, bool brief) {
+bool Controller::answer_final(const From& from, const std::string& ref, bool brief) {
   auto it = finals_.find(ref);
   if (it == finals_.end())
     return false;
@@ -302,37 +305,39 @@
 
 // Whether a job that it needs is cancelled, or nothing rules that out yet. So is it then; but its own end is
 // told only once it is recorded, and that it is queued must not be told any more.
-bool Node::may_be_orphan(const jobs::Job& job) const {
-  return job.orphan || chains_.undecided(job);
+bool Controller::may_be_orphan(const jobs::Job& job) const {
+  return job.orphaned || dependencies_.has_undecided_dependency(job);
 }
 
-void Node::put_off(const From& from, const std::string& ref, PutOff why) {
+void Controller::put_off(const From& from, const std::string& ref, DeferralReason why) {
   ++stats_.questions_put_off[static_cast<std::size_t>(why)];
   spdlog::debug("{}: question put off: {}", ref, name(why));
-  try_later(from, why == PutOff::requests_used_up ? 429 : 503);
+  try_later(from, why == DeferralReason::budget_exhausted ? 429 : 503);
 }
 
-void Node::answer_live(const From& from, jobs::Job& job, bool brief) {
+void Controller::answer_live(const From& from, jobs::Job& job, bool brief) {
   if (may_be_orphan(job))
-    return put_off(from, job.spec.ref, job.orphan ? PutOff::need_cancelled : PutOff::need_unknown);
+    return put_off(from, job.spec.ref,
+                   job.orphaned ? DeferralReason::dependency_cancelled : DeferralReason::dependency_unknown);
   // Its end may be recorded though this node has not heard so yet, and another may have read and told it:
   // what is live here is an older answer then (a slow state service on cub-meterlink-fleet: cancelled, then
   // queued).
-  if (job.end_sent)
+  if (job.final_state_sent)
     return answer_fresh(from, job.spec.ref, brief);
-  if (job.away)
+  if (job.placed_remotely)
     return respond(from, 200, brief ? wire::job_state(job.spec.ref, job.phase()) : away_progress(job));
   respond(from, 200,
           brief ? wire::job_state(job.spec.ref, job.phase())
-                : wire::job_progress(job.spec.ref, job.phase(), job.done, job.running));
+                : wire::job_progress(job.spec.ref, job.phase(), job.done_tasks, job.running_tasks));
 }
 
 // One comparison settles what most questions about unknown jobs come to; a read follows only if the job
 // exists.
-void Node::fresh(const std::string& ref, store::Urgency urgency, bool need_spec, const OnFresh& then) {
-  wire::Txn txn;
-  txn.require(jobs::kLive + ref, 0).require(jobs::kFinal + ref, 0);
-  store_.txn(
+void Controller::fresh(const std::string& ref, store::RequestPriority urgency, bool need_spec,
+                       const OnFresh& then) {
+  wire::Transaction txn;
+  txn.require(jobs::kLiveJobPrefix + ref, 0).require(jobs::kFinalStatePrefix + ref, 0);
+  store_.transact(
       std::move(txn), urgency, ports::kNever,
       [this, ref, urgency, need_spec, then, asked = out_.now(), term = term_](const store::Reply& r) {
         if (r.status == 200 && sheets_matter())
@@ -343,11 +348,12 @@
           return then(r.status == 429 ? 429 : 503, {}, nullptr);
         // The comparison says which of the two exists: at that moment the job lived, or was over.
         const auto failed = wire::failed_keys(r.body);
-        const bool over = std::find(failed.begin(), failed.end(), jobs::kFinal + ref) != failed.end();
+        const bool over =
+            std::find(failed.begin(), failed.end(), jobs::kFinalStatePrefix + ref) != failed.end();
         if (!over && !failed.empty() && !need_spec)
           return then(200, wire::Phase::queued, nullptr);
         if (!over && !failed.empty()) {
-          return store_.get(jobs::kLive + ref, urgency, [then, term](const store::Reply& l) {
+          return store_.get(jobs::kLiveJobPrefix + ref, urgency, [then, term](const store::Reply& l) {
             const auto item = l.status == 200 ? wire::parse_item(l.body) : wire::Result<wire::Item>::fail("");
             // Not there any more: it has become final since. Asking again will tell.
             if (!item)
@@ -355,9 +361,9 @@
             then(200, wire::Phase::queued, live_record(item->value, *item, term));
           });
         }
-        store_.get(jobs::kFinal + ref, urgency, [this, ref, then](const store::Reply& f) {
+        store_.get(jobs::kFinalStatePrefix + ref, urgency, [this, ref, then](const store::Reply& f) {
           const auto item = f.status == 200 ? wire::parse_item(f.body) : wire::Result<wire::Item>::fail("");
-          const auto ended = item ? wire::parse_ended(item->value) : std::nullopt;
+          const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt;
           if (!ended)
             return then(503, {}, nullptr);
           remember(ref, *ended);
@@ -368,50 +374,55 @@
 
 // A submission of a job that was accepted before. Of one that needs others only the leader knows whether it
 // lives.
-void Node::answer_accepted(const From& from, const wire::JobSpec& spec) {
-  if (entitled() || from.by_peer || spec.waits_on.empty())
+void Controller::answer_accepted(const From& from, const wire::JobSpec& spec) {
+  if (is_active_leader() || from.by_peer || spec.depends_on.empty())
     return answer_fresh(from, spec.ref, true);
   hand_on(from, leader_peer(), "GET", std::string(wire::kJobsPath) + "/" + spec.ref, "", 0.7,
           [this, from, ref = spec.ref](int status) { answer_fresh(from, ref, true, status == 503); });
 }
 
-void Node::answer_fresh(const From& from, const std::string& ref, bool brief, bool cautious) {
+void Controller::answer_fresh(const From& from, const std::string& ref, bool brief, bool cautious) {
   // Questions come again in a few seconds anyway; submissions and cancellations go before them. The leader
   // takes a job that it does not know in.
-  const auto urgency = brief ? store::Urgency::user : store::Urgency::question;
+  const auto urgency = brief ? store::RequestPriority::user : store::RequestPriority::question;
   // A job that needs a cancelled one may still have its record here, and only the leader knows. So this node
   // goes by how far the leader said that it has recorded such ends: that it could write lately is no proof,
   // since more ends may wait than it can write (called queued for longer than cancel_s while it had just
   // ended). Nor is the record one if the leader has just put the question off (seed 1001007: its answers from
   // the state service were lost).
-  const bool overdue = !entitled() && (cautious || out_.now() - ends_settled_at_ > settings_.cancel_s / 2);
-  fresh(ref, urgency, entitled() || overdue,
+  const bool overdue =
+      !is_active_leader() && (cautious || out_.now() - ends_settled_at_ > settings_.cancellation_limit_s / 2);
+  fresh(ref, urgency, is_active_leader() || overdue,
         [this, from, ref, brief, overdue, cautious](int st, std::optional<wire::Phase> phase,
                                                     const wire::Value& live) {
           if (st != 200) {
             if (st == 404)
               return respond(from, 404);
             // That the leader is not there to answer is no fault of who asks.
-            const bool alone = !entitled() && !leader_peer();
-            return put_off(from, ref, st == 429 && !alone ? PutOff::requests_used_up : PutOff::no_answer);
+            const bool alone = !is_active_leader() && !leader_peer();
+            return put_off(from, ref,
+                           st == 429 && !alone ? DeferralReason::budget_exhausted : DeferralReason::no_reply);
           }
           if (answer_final(from, ref, brief))
             return;
-          if (overdue && !live.is_null() && wire::needs_others(live["spec"]))
-            return put_off(from, ref, cautious ? PutOff::leader_put_off : PutOff::leader_unheard);
-          if (entitled() && !live.is_null())
+          if (overdue && !live.is_null() && wire::has_dependencies(live["spec"]))
+            return put_off(from, ref,
+                           cautious ? DeferralReason::leader_deferred : DeferralReason::leader_unreachable);
+          if (is_active_leader() && !live.is_null())
             found_live(live);
-          const jobs::Job* known = entitled() ? registry_.find(ref) : nullptr;
+          const jobs::Job* known = is_active_leader() ? registry_.find(ref) : nullptr;
           if (known && may_be_orphan(*known))
-            return put_off(from, ref, known->orphan ? PutOff::need_cancelled : PutOff::need_unknown);
+            return put_off(
+                from, ref,
+                known->orphaned ? DeferralReason::dependency_cancelled : DeferralReason::dependency_unknown);
           respond(from, 200, brief ? wire::job_state(ref, *phase) : wire::job_progress(ref, *phase, 0, 0));
         });
 }
 
-void Node::status(const From& from, const std::string& ref) {
+void Controller::status(const From& from, const std::string& ref) {
   if (answer_final(from, ref, false))
     return;
-  if (entitled()) {
+  if (is_active_leader()) {
     if (jobs::Job* job = registry_.find(ref))
       return answer_live(from, *job, false);
     return answer_fresh(from, ref, false);
@@ -420,7 +431,7 @@
     // Asked as the leader that it is not: who asks takes the answer for a leader's.
     if (store_.healthy())
       return answer_fresh(from, ref, false, true);
-    return put_off(from, ref, PutOff::not_leading);
+    return put_off(from, ref, DeferralReason::not_leading);
   }
   auto otherwise = [this, from, ref](int status) {
     answer_fresh(from, ref, false, status == 503);
@@ -430,11 +441,11 @@
 
 // ---------------------------------------------------------------- cancellation
 
-void Node::abort(const From& from, const std::string& ref) {
+void Controller::abort(const From& from, const std::string& ref) {
   if (answer_final(from, ref, true))
     return;
   const std::string path = std::string(wire::kJobsPath) + "/" + ref + wire::kAbortSuffix;
-  if (!entitled()) {
+  if (!is_active_leader()) {
     if (from.by_peer)
       return try_later(from);
     const auto leader = leader_peer();
@@ -448,12 +459,12 @@
   }
   auto close = [this, from](jobs::Job& job) {
     cancel(job);
-    aborts_.push_back({job.ix, from, out_.now() + kGoneWithin});
+    aborts_.push_back({job.index, from, out_.now() + kGoneWithin});
     out_.after(kGoneWithin, [] {});  // to be looked at then, whatever else happens
   };
   if (jobs::Job* job = registry_.find(ref))
     return close(*job);
-  fresh(ref, store::Urgency::user, true,
+  fresh(ref, store::RequestPriority::user, true,
         [this, from, ref, close](int st, std::optional<wire::Phase>, const wire::Value& live) {
           if (st == 404)
             return respond(from, 404);
@@ -461,9 +472,9 @@
             return try_later(from, st);
           if (answer_final(from, ref, true))
             return;
-          if (entitled() && !live.is_null())
+          if (is_active_leader() && !live.is_null())
             found_live(live);
-          jobs::Job* job = entitled() ? registry_.find(ref) : nullptr;
+          jobs::Job* job = is_active_leader() ? registry_.find(ref) : nullptr;
           if (!job)
             return try_later(from);
           close(*job);
@@ -472,8 +483,8 @@
 
 // While the leader cannot be reached by its peers, it may well read what they leave in the state service. The
 // user is told to come back: only the leader decides whether the job was done first.
-void Node::leave_intent(const From& from, const std::string& ref) {
-  fresh(ref, store::Urgency::user, true,
+void Controller::leave_intent(const From& from, const std::string& ref) {
+  fresh(ref, store::RequestPriority::user, true,
         [this, from, ref](int st, std::optional<wire::Phase>, const wire::Value& live) {
           if (st == 404)
             return respond(from, 404);
@@ -481,68 +492,70 @@
             return try_later(from, st);
           if (answer_final(from, ref, true))
             return;
-          wire::Txn txn;
+          wire::Transaction txn;
           txn.require(live["key"].get<std::string>(), live["version"].get<std::uint64_t>());
-          txn.require(jobs::kFinal + ref, 0);  // a sheet outlives some of its jobs
-          txn.put(jobs::kLive + ref + jobs::kAbortMark, true);
-          store_.txn(std::move(txn), store::Urgency::user, ports::kNever, [](const store::Reply&) {});
+          txn.require(jobs::kFinalStatePrefix + ref, 0);  // a sheet outlives some of its jobs
+          txn.put(jobs::kLiveJobPrefix + ref + jobs::kCancellationSuffix, true);
+          store_.transact(std::move(txn), store::RequestPriority::user, ports::kNever,
+                          [](const store::Reply&) {});
           try_later(from);
         });
 }
 
-void Node::intent_seen(const std::string& key) {
-  const std::size_t prefix = std::string_view(jobs::kLive).size(),
-                    mark = std::string_view(jobs::kAbortMark).size();
+void Controller::intent_seen(const std::string& key) {
+  const std::size_t prefix = std::string_view(jobs::kLiveJobPrefix).size(),
+                    mark = std::string_view(jobs::kCancellationSuffix).size();
   jobs::Job* job = registry_.find(key.substr(prefix, key.size() - prefix - mark));
   // A mark is written on condition that the job's record is there, so its creation was seen before. The job
   // is over, or its end is under way and did not take the mark with it.
-  if (!job || !job->open())
-    return ledger_.sweep(key);
-  job->intent = true;
+  if (!job || !job->is_open())
+    return state_writer_.delete_later(key);
+  job->has_cancellation_marker = true;
   cancel(*job);
 }
 
 // Nothing of it starts any more, and what runs is stopped. One entry stands for the job until its end is
 // recorded; users who ask, and ask again, wait beside it for a moment only.
-void Node::cancel(jobs::Job& job) {
-  if (job.open() && !job.aborting) {
-    job.aborting = true;
-    aborts_.push_back({job.ix, {}, ports::kNever});
+void Controller::cancel(jobs::Job& job) {
+  if (job.is_open() && !job.cancelling) {
+    job.cancelling = true;
+    aborts_.push_back({job.index, {}, ports::kNever});
   }
-  agents_.cancel(job);
+  workers_.cancel_job(job);
 }
 
 // Whether no machine has a task of the job, nor can get one any more: the one proof behind every cancellation
 // that is told. A worker out of reach may be kept alive in custody for longer than cancel_s, and a start on
 // its way may still arrive, so nothing of it rests on time. Asked alike with and without custody: there a
 // silent machine's lease is over before cancel_s, but a start could follow the answer to the user.
-bool Node::gone_for_sure(const jobs::Job& job) const {
-  if (job.away)
+bool Controller::gone_for_sure(const jobs::Job& job) const {
+  if (job.placed_remotely)
     return false;  // the cell that holds it has to say so
-  if (job.placed > 0)
+  if (job.placed_tasks > 0)
     return false;  // ordered, in doubt, or running
-  if (agents_.holds_unplaced(job.spec.ref))
+  if (workers_.has_stray_instance(job.spec.ref))
     return false;
   // Only leaders before this one could have started it elsewhere, and only if it is older.
-  return scheduler_.gates().accounted().open(job);
+  return scheduler_.filters().reconciled().admits(job);
 }
 
 // Cancellations whose tasks are gone are recorded, and told then. While a task's machine does not answer, the
 // user is told to come back; the job starts nothing meanwhile.
-void Node::follow_aborts() {
+void Controller::follow_aborts() {
   if (aborts_.empty() || !loaded_)
     return;
   std::vector<Abort> waiting;
   for (const Abort& a : std::exchange(aborts_, {})) {
-    jobs::Job* job = registry_.at(a.job);
+    jobs::Job* job = registry_.job_at(a.job);
     if (!job) {
       if (a.from)
         try_later(*a.from);
       continue;
     }
-    if (job->away)
-      stays_.recall(job->spec.ref, true, out_.now());
-    if (job->closing || job->closed || (entitled() && gone_for_sure(*job))) {
+    if (job->placed_remotely)
+      remote_placements_.recall(job->spec.ref, true, out_.now());
+    if (job->final_state_pending || job->final_state_recorded ||
+        (is_active_leader() && gone_for_sure(*job))) {
       std::function<void()> then;
       if (a.from) {
         // Who waits here holds a connection, and with them all taken no peer could ask anything.
@@ -555,11 +568,11 @@
         };
         out_.after(kRecordedWithin, then);
       }
-      if (job->closed) {
+      if (job->final_state_recorded) {
         if (then)
           then();
       } else {
-        ledger_.close(*job, wire::Phase::cancelled, std::move(then));
+        state_writer_.record_final_state(*job, wire::Phase::cancelled, std::move(then));
       }
       continue;
     }
@@ -573,4 +586,4 @@
   aborts_.insert(aborts_.end(), waiting.begin(), waiting.end());
 }
 
-}  // namespace wingtrail::daemon
+}  // namespace wingtrail::controller
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -13,6 +13,8 @@
 #include <cmath>
 
 namespace wingtrail::daemon {
+
+using ports::Seconds;
 namespace {
 
 constexpr Seconds kAnswerWithin = 8;  // longer than any chain of calls behind an answer takes
@@ -42,7 +44,7 @@
   l.spare = share(s, kSpareShare, 4);
   // Workers report every report_s and users ask about as often: one that is silent for several times that has
   // gone without a word, and its socket is needed.
-  l.idle_s = std::max(15.0, 4 * s.report_s);
+  l.idle_s = std::max(15.0, 4 * s.heartbeat_interval_s);
   return l;
 }
 net::ServerLimits peer_limits(const settings::Settings& s) {
@@ -57,7 +59,7 @@
 Daemon::Daemon(settings::Settings settings)
     : settings_(std::move(settings)),
       scope_(loop_),
-      node_(settings_, random_seed()),
+      controller_(settings_, random_seed()),
       client_(scope_, share(settings_, kCallShare, 16), kMaxAnswer),
       client_server_(scope_, settings_.client_listen.host, settings_.client_listen.port,
                      client_limits(settings_), [this](net::Request r) { return serve_client(std::move(r)); }),
@@ -72,50 +74,50 @@
   spdlog::info("{} in {}: serving users and workers on {}, peers on {}", settings_.node, settings_.zone,
                settings_.client_listen.text(), settings_.peer_listen.text());
   loop_.refresh();
-  tell_time();
-  node_.start(loop_.now());
+  update_day_offset();
+  controller_.start(loop_.now());
   loop_.before_sleep([this] {
-    act();
-    return node_.next_wake() <= loop_.now() ? loop_.now() : node_.next_wake();
+    run_controller();
+    return controller_.next_wake() <= loop_.now() ? loop_.now() : controller_.next_wake();
   });
   loop_.run();
   return std::nullopt;
 }
 
 // The time of day is set and slewed from outside, so it is looked at again and again.
-void Daemon::tell_time() {
+void Daemon::update_day_offset() {
   constexpr Seconds kEvery = 1;
-  if (loop_.now() < told_time_ + kEvery)
+  if (loop_.now() < day_offset_updated_at_ + kEvery)
     return;
-  told_time_ = loop_.refresh();
+  day_offset_updated_at_ = loop_.refresh();
   const std::chrono::duration<double> day = std::chrono::system_clock::now().time_since_epoch();
-  node_.set_day_offset(day.count() - told_time_);
+  controller_.set_day_offset(day.count() - day_offset_updated_at_);
 }
 
 // Ticks the node if it is time, and carries out what it decided.
-void Daemon::act() {
-  if (acting_)
+void Daemon::run_controller() {
+  if (running_controller_)
     return;
-  acting_ = true;
-  tell_time();
-  if (node_.next_wake() <= loop_.now())
-    node_.tick(loop_.now());
-  for (auto actions = node_.drain(); !actions.empty(); actions = node_.drain()) {
+  running_controller_ = true;
+  update_day_offset();
+  if (controller_.next_wake() <= loop_.now())
+    controller_.tick(loop_.now());
+  for (auto actions = controller_.drain(); !actions.empty(); actions = controller_.drain()) {
     for (ports::Action& action : actions) {
       if (auto* call = std::get_if<ports::Call>(&action)) {
-        carry_out(std::move(*call));
+        execute_call(std::move(*call));
       } else {
         auto& answer = std::get<ports::Answer>(action);
-        auto it = open_.find(answer.request);
-        if (it != open_.end())
+        auto it = open_requests_.find(answer.request);
+        if (it != open_requests_.end())
           it->second->set(std::move(answer));
       }
     }
   }
-  acting_ = false;
+  running_controller_ = false;
 }
 
-net::Routine Daemon::carry_out(ports::Call call) {
+net::DetachedTask Daemon::execute_call(ports::Call call) {
   net::Request request{call.method, call.path, ""};
   std::string content_type = "application/cbor";
   settings::Endpoint to;
@@ -151,8 +153,9 @@
   const std::uint64_t id = call.id;
   const bool by_peer = call.target == ports::Target::peer || call.target == ports::Target::cell,
              by_worker = call.target == ports::Target::worker;
-  net::Outcome outcome = co_await client_.call(to.host, to.port, std::move(request), std::move(content_type),
-                                               loop_.now() + call.timeout_s, call.not_after);
+  net::CallResult outcome =
+      co_await client_.call(to.host, to.port, std::move(request), std::move(content_type),
+                            loop_.now() + call.timeout_s, call.not_after);
   if (scope_.cancelled())
     co_return;
   ports::Reply reply;
@@ -160,7 +163,7 @@
   reply.delivered = outcome.delivered;
   if (outcome.status != 0 && !outcome.body.empty()) {
     if (by_worker) {
-      reply.report = std::move(outcome.body);
+      reply.heartbeat = std::move(outcome.body);
     } else if (by_peer) {
       reply.frame = peer::decode(outcome.body);
     } else if (auto body = wire::decode_cbor(outcome.body)) {
@@ -171,28 +174,28 @@
       reply.status = 0;
     }
   }
-  node_.reply(loop_.now(), id, reply);
+  controller_.reply(loop_.now(), id, reply);
 }
 
-net::Co<net::Response> Daemon::serve_client(net::Request request) {
+net::Task<net::Response> Daemon::serve_client(net::Request request) {
   net::Response response;
   if (request.target == kMetricsPath && request.method == "GET") {
     response.content_type = "text/plain; version=0.0.4";
     response.body = metrics();
     co_return response;
   }
-  Incoming in;
+  controller::IncomingRequest in;
   in.id = ++last_request_;
   in.method = std::move(request.method);
   in.path = request.target.substr(0, request.target.find('?'));
   in.body = std::move(request.body);
-  net::Slot<ports::Answer> slot;
-  open_.emplace(in.id, &slot);
+  net::OneShot<ports::Answer> slot;
+  open_requests_.emplace(in.id, &slot);
   const std::uint64_t id = in.id;
-  node_.request(loop_.now(), in);
-  act();
+  controller_.request(loop_.now(), in);
+  run_controller();
   auto answer = co_await slot.wait(scope_, loop_.now() + kAnswerWithin);
-  open_.erase(id);
+  open_requests_.erase(id);
   if (!answer) {
     response.status = 504;
     response.retry_after_s = 1;
@@ -205,11 +208,11 @@
   co_return response;
 }
 
-net::Co<net::Response> Daemon::serve_peer(net::Request request) {
+net::Task<net::Response> Daemon::serve_peer(net::Request request) {
   net::Response response;
   response.content_type = "application/msgpack";
-  if (request.target != peer::kPath || request.method != "POST") {
-    response.status = request.target != peer::kPath ? 404 : 405;
+  if (request.target != peer::kPeerPath || request.method != "POST") {
+    response.status = request.target != peer::kPeerPath ? 404 : 405;
     co_return response;
   }
   auto frame = peer::decode(request.body);
@@ -218,12 +221,12 @@
     co_return response;
   }
   const std::uint64_t id = ++last_request_;
-  net::Slot<ports::Answer> slot;
-  open_.emplace(id, &slot);
-  node_.peer(loop_.now(), id, *frame);
-  act();
+  net::OneShot<ports::Answer> slot;
+  open_requests_.emplace(id, &slot);
+  controller_.peer(loop_.now(), id, *frame);
+  run_controller();
   auto answer = co_await slot.wait(scope_, loop_.now() + kAnswerWithin);
-  open_.erase(id);
+  open_requests_.erase(id);
   if (!answer || !answer->frame) {
     response.status = 504;
     co_return response;
@@ -233,7 +236,7 @@
 }
 
 std::string Daemon::metrics() const {
-  const Stats s = node_.stats();
+  const controller::Stats s = controller_.stats();
   prometheus::Registry registry;
   auto gauge = [&](const char* name, const char* help, double value) {
     prometheus::BuildGauge().Name(name).Help(help).Register(registry).Add({}).Set(value);
@@ -313,7 +316,7 @@
       by("wingtrail_class_served_share", "jobs that got their work done, of those that should have");
   auto& in_a_zone =
       by("wingtrail_class_most_in_one_zone", "the largest share of it that the loss of one zone takes");
-  for (const Stats::ClassLoad& l : s.loads) {
+  for (const controller::Stats::ClassLoad& l : s.loads) {
     const prometheus::Labels labels{{"team", l.team}, {"class", l.job_class}};
     held.Add(labels).Set(l.held);
     waiting.Add(labels).Set(l.waiting);
@@ -334,11 +337,11 @@
     ends_waiting.Add(labels).Set(static_cast<double>(s.ends[kind].waiting));
     ends_oldest.Add(labels).Set(s.ends[kind].oldest_s);
     ends_recorded.Add(labels).Set(static_cast<double>(s.ends[kind].recorded));
-    ends_no_room.Add(labels).Set(static_cast<double>(s.ends[kind].no_room_for));
+    ends_no_room.Add(labels).Set(static_cast<double>(s.ends[kind].deferred));
   }
   auto& questions = by("wingtrail_questions_put_off", "questions answered with \"come back later\", by why");
   for (std::size_t why = 0; why < s.questions_put_off.size(); ++why) {
-    questions.Add({{"why", name(static_cast<PutOff>(why))}})
+    questions.Add({{"why", controller::name(static_cast<controller::DeferralReason>(why))}})
         .Set(static_cast<double>(s.questions_put_off[why]));
   }
   auto& put_off = by("wingtrail_put_off", "submissions that were put off since the process began");
@@ -361,7 +364,7 @@
     auto& heard = by("wingtrail_cell_heard_seconds", "since this node, leading, heard of the neighbour");
     auto& takes = by("wingtrail_cell_takes_cores", "cores of work that the neighbour last said it takes");
     auto& wait = by("wingtrail_cell_wait_seconds", "until such work would begin there");
-    for (const Stats::CellLoad& c : s.cells) {
+    for (const controller::Stats::CellLoad& c : s.cells) {
       const prometheus::Labels labels{{"cell", c.name}};
       away.Add(labels).Set(c.away);
       heard.Add(labels).Set(c.heard_s);
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "daemon/node.hpp"
+#include "controller/controller.hpp"
 #include "net/http.hpp"
 
 namespace wingtrail::daemon {
@@ -16,23 +16,23 @@
   std::optional<std::string> run();
 
  private:
-  net::Co<net::Response> serve_client(net::Request request);
-  net::Co<net::Response> serve_peer(net::Request request);
-  net::Routine carry_out(ports::Call call);
-  void act();
-  void tell_time();
+  net::Task<net::Response> serve_client(net::Request request);
+  net::Task<net::Response> serve_peer(net::Request request);
+  net::DetachedTask execute_call(ports::Call call);
+  void run_controller();
+  void update_day_offset();
   std::string metrics() const;
 
   settings::Settings settings_;
-  net::Loop loop_;
-  net::Scope scope_;
-  Node node_;
-  net::Client client_;
-  net::Server client_server_, peer_server_;
+  net::EventLoop loop_;
+  net::TaskScope scope_;
+  controller::Controller controller_;
+  net::HttpClient client_;
+  net::HttpServer client_server_, peer_server_;
   std::uint64_t last_request_ = 0;
-  std::unordered_map<std::uint64_t, net::Slot<ports::Answer>*> open_;
-  bool acting_ = false;
-  Seconds told_time_ = -1e9;
+  std::unordered_map<std::uint64_t, net::OneShot<ports::Answer>*> open_requests_;
+  bool running_controller_ = false;
+  ports::Seconds day_offset_updated_at_ = -1e9;
 };
 
 }  // namespace wingtrail::daemon
--- a/src/jobs/progress.cpp
+++ b/src/jobs/completion_codec.cpp
@@ -1,4 +1,4 @@
-#include "jobs/progress.hpp"
+#include "jobs/completion_codec.hpp"
 
 #include <algorithm>
 
@@ -19,16 +19,16 @@
 constexpr std::size_t kEntryBytes = 40;  // around a job's reference and bits
 }  // namespace
 
-ProgressCodec::ProgressCodec(double value_kb)
-    : chunk_(static_cast<std::uint32_t>(std::clamp(value_kb * 1024 * 0.5, 256.0, 4096.0)) * 6) {}
+CompletionCodec::CompletionCodec(double value_kb)
+    : tasks_per_chunk_(static_cast<std::uint32_t>(std::clamp(value_kb * 1024 * 0.5, 256.0, 4096.0)) * 6) {}
 
-std::size_t ProgressCodec::size(const Job& job, std::uint32_t chunk) const {
-  const std::uint32_t from = chunk * chunk_, to = std::min(job.spec.tasks, from + chunk_);
+std::size_t CompletionCodec::max_encoded_bytes(const Job& job, std::uint32_t chunk) const {
+  const std::uint32_t from = chunk * tasks_per_chunk_, to = std::min(job.spec.tasks, from + tasks_per_chunk_);
   return job.spec.ref.size() + (to - from + 5) / 6 + kEntryBytes;
 }
 
-wire::Value ProgressCodec::encode(const Job& job, std::uint32_t chunk) const {
-  const std::uint32_t from = chunk * chunk_, to = std::min(job.spec.tasks, from + chunk_);
+wire::Value CompletionCodec::encode(const Job& job, std::uint32_t chunk) const {
+  const std::uint32_t from = chunk * tasks_per_chunk_, to = std::min(job.spec.tasks, from + tasks_per_chunk_);
   std::string bits((to - from + 5) / 6, '\0');
   for (std::uint32_t i = from; i < to; ++i) {
     if (job.tasks[i].state == TaskState::done)
@@ -39,16 +39,16 @@
   return {{"from", from}, {"bits", bits}};
 }
 
-std::pair<std::uint32_t, std::uint32_t> ProgressCodec::covers(const wire::Value& value,
-                                                              std::uint32_t tasks) const {
+std::pair<std::uint32_t, std::uint32_t> CompletionCodec::chunk_range(const wire::Value& value,
+                                                                     std::uint32_t tasks) const {
   const std::uint64_t from = std::min<std::uint64_t>(wire::count(value, "from").value_or(0), tasks - 1);
   const std::size_t length = wire::text(value, "bits").value_or("").size();
   const std::uint64_t last = std::min<std::uint64_t>(from + std::max<std::size_t>(length, 1) * 6, tasks) - 1;
   return {chunk_of(static_cast<std::uint32_t>(from)), chunk_of(static_cast<std::uint32_t>(last))};
 }
 
-bool ProgressCodec::decode(const wire::Value& value, std::uint32_t tasks,
-                           const std::function<void(std::uint32_t)>& done) const {
+bool CompletionCodec::decode(const wire::Value& value, std::uint32_t tasks,
+                             const std::function<void(std::uint32_t)>& done) const {
   const auto from = wire::count(value, "from");
   const auto bits = wire::text(value, "bits");
   if (!from || !bits || *from + (bits->size() - !bits->empty()) * 6 > tasks)
--- a/src/jobs/sheets.hpp
+++ b/src/jobs/job_batches.hpp
@@ -14,18 +14,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "jobs/registry.hpp"
+#include "jobs/job_registry.hpp"
 
 namespace wingtrail::jobs {
 
-inline constexpr const char* kSheet = "j/sheet/";  // and who wrote it, its process, a number
-inline bool is_sheet(std::string_view key) {
-  return key.starts_with(kSheet);
+inline constexpr const char* kBatchPrefix = "j/sheet/";  // and who wrote it, its process, a number
+inline bool is_batch_key(std::string_view key) {
+  return key.starts_with(kBatchPrefix);
 }
 
 // Calls `f(ref, record)` for each record of a sheet that names a job.
 template <typename F>
-void each_record(const wire::Value& sheet, F f) {
+void for_each_record(const wire::Value& sheet, F f) {
   if (!sheet.is_array())
     return;
   for (const wire::Value& record : sheet) {
@@ -35,43 +35,43 @@
 }
 
 // Which live jobs each sheet holds, as the leader knows it; every event costs what it touches.
-class Sheets {
+class JobBatches {
  public:
   void clear() {
     *this = {};
   }
   // It has been read whole, and some of its jobs are live.
-  bool known(const std::string& key) const {
-    const auto it = sheets_.find(key);
-    return it != sheets_.end() && it->second.whole;
+  bool fully_read(const std::string& key) const {
+    const auto it = batches_.find(key);
+    return it != batches_.end() && it->second.fully_read;
   }
   // The sheet has been read; of its jobs, those are live that are held by now.
-  void read(const std::string& key) {
-    const auto it = sheets_.try_emplace(key).first;
-    it->second.whole = true;
-    settle(it);
+  void on_read(const std::string& key) {
+    const auto it = batches_.try_emplace(key).first;
+    it->second.fully_read = true;
+    erase_if_empty(it);
   }
   // It holds that live job. Of others that it holds nothing is known before it is read (seed 400310: a sheet
   // was deleted when the one job was over by which it was known).
-  void hold(const std::string& key, Ix job) {
-    if (sheets_[key].open.insert(job).second)
-      of_[job].push_back(key);
+  void add_live_job(const std::string& key, JobIndex job) {
+    if (batches_[key].live_jobs.insert(job).second)
+      batches_of_job_[job].push_back(key);
   }
-  void over(Ix job) {
-    const auto held = of_.extract(job);
+  void on_job_over(JobIndex job) {
+    const auto held = batches_of_job_.extract(job);
     if (held.empty())
       return;
     for (const std::string& key : held.mapped()) {
-      const auto it = sheets_.find(key);
-      it->second.open.erase(job);
-      settle(it);
+      const auto it = batches_.find(key);
+      it->second.live_jobs.erase(job);
+      erase_if_empty(it);
     }
   }
-  bool holds(Ix job) const {
-    return of_.contains(job);
+  bool contains(JobIndex job) const {
+    return batches_of_job_.contains(job);
   }
   std::size_t size() const {
-    return sheets_.size();
+    return batches_.size();
   }
   // Sheets that have become empty, to be deleted; each is told once.
   std::vector<std::string> take_empty() {
@@ -79,19 +79,19 @@
   }
 
  private:
-  struct Sheet {
-    std::set<Ix> open;
-    bool whole = false;
+  struct Batch {
+    std::set<JobIndex> live_jobs;
+    bool fully_read = false;
   };
-  using All = std::unordered_map<std::string, Sheet>;
-  void settle(All::iterator it) {
-    if (!it->second.whole || !it->second.open.empty())
+  using BatchMap = std::unordered_map<std::string, Batch>;
+  void erase_if_empty(BatchMap::iterator it) {
+    if (!it->second.fully_read || !it->second.live_jobs.empty())
       return;
     empty_.push_back(it->first);
-    sheets_.erase(it);
+    batches_.erase(it);
   }
-  All sheets_;
-  std::unordered_map<Ix, std::vector<std::string>> of_;
+  BatchMap batches_;
+  std::unordered_map<JobIndex, std::vector<std::string>> batches_of_job_;
   std::vector<std::string> empty_;
 };
 
--- /dev/null
+++ b/src/jobs/state_writer.hpp
@@ -0,0 +1,216 @@
+// What the leader persists: final states, completed tasks, and the roster of machines. One transaction is
+// under way at a time; what gathers meanwhile goes into the next one (group commit). Every one is conditioned
+// on the leader's key, so a copy that is applied late fails once somebody else leads.
+//
+// Keys: j/REF the job while it is not over, j/REF/abort that its user wants it cancelled, f/REF its final
+// state. Progress and roster are kept in pages, many jobs or machines to a value, since the state service
+// counts writes: p/N the completed tasks of some jobs, r/N some machines that may hold tasks.
+#pragma once
+
+#include <array>
+#include <deque>
+#include <functional>
+#include <map>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "jobs/completion_codec.hpp"
+#include "jobs/job_batches.hpp"
+#include "jobs/job_registry.hpp"
+#include "jobs/record_pages.hpp"
+#include "jobs/write_shares.hpp"
+#include "store/state_client.hpp"
+
+namespace wingtrail::jobs {
+
+inline constexpr const char* kLiveJobPrefix = "j/";
+inline constexpr const char* kCompletionPrefix = "p/";
+inline constexpr const char* kFinalStatePrefix = "f/";
+inline constexpr const char* kInventoryPrefix = "r/";
+inline constexpr const char* kCancellationSuffix = "/abort";
+// In the record of a job that another cell handed on: that cell.
+inline constexpr const char* kOriginCellField = "guest";
+
+class StateWriter {
+ public:
+  struct LeadershipView {
+    std::function<std::uint64_t()> fencing_token;
+    std::function<Seconds()> lease_expires_at;
+    std::function<void()> on_superseded;
+    std::string leader_key;
+  };
+  // A completed task that its worker still reports.
+  struct CompletedTask {
+    MachineIndex machine;
+    std::uint32_t task;
+    std::uint64_t attempt;
+  };
+  struct Events {
+    std::function<void(Job&)> on_final_state;
+    std::function<void(const std::vector<CompletedTask>&)> on_completions_persisted;
+    std::function<void(MachineIndex)> on_machine_recorded;    // the machine is in the persisted roster
+    std::function<wire::Value(MachineIndex)> machine_record;  // what the roster holds of a machine
+  };
+  StateWriter(ports::Outbox& out, store::StateClient& store, JobRegistry& registry,
+              const settings::Settings& settings, LeadershipView link);
+  void set_events(Events events) {
+    events_ = std::move(events);
+  }
+
+  void begin_leadership();  // a leadership begins: nothing is pending
+  void end_leadership();
+  // What an earlier leader persisted, and at which revision; both return false if the record makes no sense.
+  bool load_completion_page(const std::string& key, const wire::Value& value, std::uint64_t version);
+  bool load_inventory_page(const std::string& key, const wire::Value& value, std::uint64_t version,
+                           const std::function<MachineIndex(const wire::Value&)>& learn);
+
+  // Persist the job's final state; `then` runs when that is certain. More than one may wait for it.
+  void record_final_state(Job& job, wire::Phase phase, std::function<void()> then);
+  // The same for one that can never start, since a job that it needs is cancelled.
+  void record_orphan(Job& job);
+  void record_completion(Job& job, std::uint32_t task, MachineIndex machine,
+                         std::uint64_t attempt);  // a task was completed
+  void add_machine(MachineIndex machine);
+  void refresh_machine(MachineIndex machine);  // its record has changed; written in passing
+  void remove_machine(MachineIndex machine);
+
+  // The records of jobs on sheets. Whoever reads one says what it holds.
+  JobBatches& batches() {
+    return batches_;
+  }
+  void delete_empty_batches();         // deleted in passing
+  void delete_later(std::string key);  // the same, of any key that is of no use any more
+  // Gives the job a key of its own, so that its sheets can go; for when sheets are no longer wanted.
+  void move_to_own_key(Job& job);
+
+  const CompletionCodec& codec() const {
+    return codec_;
+  }
+  std::uint64_t commits() const {
+    return commits_;
+  }
+  struct Writes {  // puts and deletes, by what they were for
+    std::uint64_t final_states = 0, inventory = 0, completions = 0, deletions = 0;
+  };
+  const Writes& writes() const {
+    return writes_;
+  }
+  std::uint64_t pages_split() const {
+    return pages_split_;
+  }  // pages found too large
+  std::uint64_t malformed_commits() const {
+    return malformed_commits_;
+  }  // transactions called malformed
+  std::size_t page_count() const {
+    return completion_pages_.size() + inventory_pages_.size();
+  }
+  std::uint64_t page_lookups() const {
+    return page_lookups_;
+  }  // pages that a write without an answer had changed
+  // Ends of one kind that are decided and not recorded.
+  struct Backlog {
+    std::size_t waiting = 0;
+    Seconds oldest_s = 0;
+    std::uint64_t recorded = 0;  // so far
+    std::uint64_t deferred = 0;  // transactions that had to leave some of them out
+  };
+  using Backlogs = std::array<Backlog, kFinalStateKinds>;
+  Backlogs backlogs() const;
+  // Since when the oldest end of that kind has been decided; nothing: all are recorded.
+  std::optional<Seconds> oldest_unrecorded(RecordKind kind) const;
+
+ private:
+  using ChunkKey = std::pair<JobIndex, std::uint32_t>;  // job, chunk
+  struct Commit {
+    std::vector<JobIndex> final_states;
+    std::vector<std::pair<std::size_t, std::vector<std::pair<ChunkKey, CompletedTask>>>>
+        completions;                                                           // page, what it covers
+    std::vector<std::pair<std::size_t, std::vector<MachineIndex>>> inventory;  // page, who joins
+    std::vector<PageUrgency> inventory_urgency;                                // the roster's pages
+    std::vector<std::string> deletions;
+    std::vector<JobIndex> moved_to_own_key;
+    WriteShares shares_before;
+    std::array<bool, kFinalStateKinds> left_out{};  // kinds of ends that it had no room for some of
+    std::size_t record_count() const {
+      return final_states.size() + completions.size() + inventory.size() + deletions.size() +
+             moved_to_own_key.size();
+    }
+  };
+  wire::Value completion_page_value(std::size_t page) const;
+  wire::Value inventory_page_value(std::size_t page) const;
+  std::size_t names_limit_bytes() const {
+    return page_bytes_ / 8;
+  }
+  std::size_t images_limit_bytes() const;
+  std::size_t inventory_limit_bytes() const {
+    return page_bytes_ - names_limit_bytes();
+  }
+  std::size_t record_size(const wire::Value& record) const;
+  // The page's value; nothing if it has to wait: for others, or because it was too large and has been
+  // divided.
+  template <typename Entry, typename Encode>
+  std::optional<wire::Value> writable_value(RecordPages<Entry>& pages, std::size_t n, std::size_t limit,
+                                            Encode encode);
+  void schedule_flush(Seconds delay);
+  void flush();
+  void decide_final_state(Job& job, wire::Phase phase, RecordKind kind, Seconds since);
+  void queue_final_state(const Job& job);
+  static int final_state_changes(const Job& job);
+  void add_final_state(wire::Transaction& txn, Commit& c, Job& job);
+  // What of a transaction's changes is for pages, and which ends go into it.
+  struct PageRoom {
+    int machines = 0, progress = 0, rest = 0;
+  };
+  PageRoom add_by_shares(wire::Transaction& txn, Commit& c);
+  bool near_limit(RecordKind kind) const;
+  void count_left_out(const Commit& c);
+  void note_left_out(Commit& c) const;
+  Seconds inventory_page_due_at(std::size_t n) const;
+  Seconds completion_page_due_at(std::size_t n) const;
+  int inventory_pages_due() const;
+  int completion_pages_due() const;
+  void add_inventory_pages(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes,
+                           PageUrgency least);
+  void add_completion_pages(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes);
+  void add_deletions(wire::Transaction& txn, Commit& c, int& room);
+  void add_moves_to_own_key(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes);
+  void reschedule_flush();
+  bool conflicts_with_newer(const wire::Value& refusal, const Commit& c);
+  void look_up_page(const char* prefix, std::size_t page);
+  void on_commit_failed(Commit& c);
+  void on_commit_malformed(const Commit& c, int ops);
+  void on_committed(const Commit& c, std::uint64_t revision);
+
+  ports::Outbox& out_;
+  store::StateClient& store_;
+  JobRegistry& registry_;
+  const settings::Settings& settings_;
+  LeadershipView leadership_;
+  Events events_;
+  CompletionCodec codec_;
+  std::size_t page_bytes_;  // that a page may have; less once the state service has refused one
+  int max_changes_;         // in a transaction; the same
+  // Ends to be recorded, by kind: the next one first.
+  std::array<std::set<std::pair<Seconds, JobIndex>>, kFinalStateKinds> final_state_queue_;
+  // When those that are not recorded were decided, also of those that a transaction under way holds.
+  std::array<std::multiset<Seconds>, kFinalStateKinds> unrecorded_since_;
+  std::array<std::uint64_t, kFinalStateKinds> recorded_{}, deferred_{};
+  WriteShares shares_;
+  JobBatches batches_;
+  std::deque<std::string> deletions_;
+  std::deque<JobIndex> moves_to_own_key_;
+  Seconds deleted_at_ = 0;
+  RecordPages<ChunkKey> completion_pages_;
+  RecordPages<MachineIndex> inventory_pages_;
+  std::set<MachineIndex> machines_awaiting_record_;  // machines to be told of once their page is written
+  std::map<ChunkKey, std::vector<CompletedTask>> completions_awaiting_;  // completed, not persisted
+  std::map<JobIndex, std::vector<std::function<void()>>> final_state_waiters_;
+  bool active_ = false, in_flight_ = false, flush_scheduled_ = false;
+  Seconds flush_scheduled_at_ = 0, passed_at_ = 0;
+  std::uint64_t term_ = 0, commits_ = 0, pages_split_ = 0, malformed_commits_ = 0, page_lookups_ = 0;
+  Writes writes_;
+};
+
+}  // namespace wingtrail::jobs
--- a/src/jobs/write_shares.hpp
+++ b/src/jobs/write_shares.hpp
@@ -17,10 +17,10 @@
   cancelled,  // the end of a job that its user cancelled, who waits for it with a connection open
   orphaned,   // the end of a job that needs a cancelled one: until it is recorded nobody can answer about it
   completed,  // the end of a job that is done
-  machines,   // a page of machines that get no work before they are in it
-  progress,   // a page of completed tasks, which keep their places until then
+  inventory,  // a page of machines that get no work before they are in it
+  completions,  // a page of completed tasks, which keep their places until then
 };
-inline constexpr std::size_t kRecordKinds = 5, kEndKinds = 3;
+inline constexpr std::size_t kRecordKinds = 5, kFinalStateKinds = 3;
 
 inline constexpr std::size_t index(RecordKind kind) {
   return static_cast<std::size_t>(kind);
--- /dev/null
+++ b/src/leadership/leader_election.cpp
@@ -0,0 +1,206 @@
+#include "leadership/leader_election.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace wingtrail::leadership {
+namespace {
+constexpr double kDrift = 0.0005;  // PROTOCOL: steady clocks differ by up to 0.05%
+constexpr Seconds kMargin = 0.05;  // timers and the clock move in steps of some milliseconds
+constexpr Seconds kRetry = 0.3;
+}  // namespace
+
+LeaderElection::LeaderElection(ports::Outbox& out, store::StateClient& store,
+                               const settings::Settings& settings, Events events)
+    : out_(out), store_(store), settings_(settings), events_(std::move(events)) {}
+
+void LeaderElection::start() {
+  read_leader_key();
+}
+
+Seconds LeaderElection::lease_expiry(Seconds sent) const {
+  return sent + settings_.tunables.leader_lease_s * (1 - 2 * kDrift) - kMargin;
+}
+
+void LeaderElection::observe_leader(const std::string& leader, std::uint64_t token) {
+  if (token <= leader_fencing_token_)
+    return;
+  leader_fencing_token_ = token;
+  leader_ = leader;
+}
+
+void LeaderElection::read_leader_key() {
+  store_.get(kLeaderKey, store::RequestPriority::lease, [this](const store::Reply& r) {
+    if (r.status == 200) {
+      if (auto item = wire::parse_item(r.body)) {
+        on_occupied(*item);
+        return watch_leader_key(item->version);
+      }
+    }
+    if (r.status == 404) {
+      const auto revision = wire::revision(r.body).value_or(0);
+      on_vacant(revision);
+      return watch_leader_key(revision);
+    }
+    out_.after(kRetry, [this] { read_leader_key(); });
+  });
+}
+
+void LeaderElection::watch_leader_key(std::uint64_t after) {
+  store_.watch(kLeaderKey, after, [this, after](const store::Reply& r) {
+    if (r.status != 200)
+      return out_.after(kRetry, [this] { read_leader_key(); });
+    auto changes = wire::parse_changes(r.body);
+    if (!changes)
+      return out_.after(kRetry, [this] { read_leader_key(); });
+    const wire::Change* last = nullptr;
+    for (const wire::Change& c : changes->events) {
+      if (c.key == kLeaderKey)
+        last = &c;
+    }
+    const std::uint64_t next = std::max(after, changes->revision);
+    if (last && last->deleted)
+      on_vacant(next);
+    if (last && !last->deleted)
+      on_occupied({last->key, last->value, last->version});
+    // A quiet watch is a chance to notice that the office is still vacant, such as after a lost attempt.
+    if (!last && leader_.empty() && !holds_leadership_)
+      return read_leader_key();
+    watch_leader_key(next);
+  });
+}
+
+void LeaderElection::on_vacant(std::uint64_t revision) {
+  if (holds_leadership_)
+    step_down("our key is gone");
+  if (leader_fencing_token_ <= revision)
+    leader_.clear();
+  campaign();
+}
+
+void LeaderElection::on_occupied(const wire::Item& item) {
+  const auto holder = wire::text(item.value, "node").value_or("");
+  const auto lease = wire::count(item.value, "lease").value_or(0);
+  if (item.version > leader_fencing_token_ || (item.version == leader_fencing_token_ && leader_.empty())) {
+    if (leader_ != holder)
+      spdlog::info("leader is {} (token {})", holder, item.version);
+    leader_ = holder;
+    leader_fencing_token_ = item.version;
+  }
+  if (holds_leadership_ && item.version != fencing_token_)
+    step_down("another node leads");
+  if (holder == settings_.node && !holds_leadership_ && !campaigning_ && lease != 0 && lease != lease_) {
+    // The holder is an earlier process of this very node. It is dead, so its lease need not be waited for.
+    spdlog::info("ending the lease of this node's earlier process");
+    store_.revoke_lease(lease);
+  }
+}
+
+void LeaderElection::campaign() {
+  if (holds_leadership_ || campaigning_)
+    return;
+  if (out_.now() < campaign_after_) {
+    out_.after(campaign_after_ - out_.now(), [this] { read_leader_key(); });
+    campaign_after_ = 0;  // one wake-up is enough
+    return;
+  }
+  campaigning_ = true;
+  const Seconds sent = out_.now();
+  store_.create_lease(
+      static_cast<int>(settings_.tunables.leader_lease_s * 1000), [this, sent](const store::Reply& granted) {
+        const auto lease = granted.status == 200 ? wire::lease_id(granted.body) : std::nullopt;
+        if (!lease) {
+          campaigning_ = false;
+          return out_.after(kRetry, [this] {
+            if (leader_.empty())
+              read_leader_key();
+          });
+        }
+        lease_ = *lease;
+        wire::Transaction txn;
+        txn.require(kLeaderKey, 0).put(kLeaderKey, {{"node", settings_.node}, {"lease", *lease}}, *lease);
+        store_.transact(std::move(txn), store::RequestPriority::lease, lease_expiry(sent),
+                        [this, sent, lease](const store::Reply& r) {
+                          campaigning_ = false;
+                          const auto revision = wire::revision(r.body);
+                          if (r.status == 200 && revision)
+                            return on_won(*lease, *revision, sent);
+                          // Ending the lease makes a copy of this attempt that is still under way fail.
+                          store_.revoke_lease(*lease);
+                          if (r.status != 409)
+                            out_.after(kRetry, [this] {
+                              if (leader_.empty())
+                                read_leader_key();
+                            });
+                        });
+      });
+}
+
+void LeaderElection::on_won(std::uint64_t lease, std::uint64_t token, Seconds lease_sent) {
+  holds_leadership_ = true;
+  ++term_;
+  lease_ = lease;
+  fencing_token_ = token;
+  lease_expires_at_ = lease_expiry(lease_sent);
+  renewed_at_ = lease_sent;
+  observe_leader(settings_.node, token);
+  leader_ = settings_.node;
+  spdlog::info("this node leads, token {}", token);
+  store_.set_leading(true);
+  schedule_renewal(settings_.tunables.leader_lease_s / 4);
+  events_.on_elected();
+}
+
+void LeaderElection::schedule_renewal(Seconds delay) {
+  out_.after(delay, [this, term = term_] {
+    if (holds_leadership_ && term == term_)
+      renew_lease();
+  });
+}
+
+void LeaderElection::renew_lease() {
+  const Seconds sent = out_.now();
+  store_.renew_lease(lease_, [this, sent, term = term_](const store::Reply& r) {
+    if (!holds_leadership_ || term != term_)
+      return;
+    if (r.status == 200) {
+      if (out_.now() >= lease_expires_at_)
+        spdlog::info("renewal got through, orders go on (token {})", fencing_token_);
+      lease_expires_at_ = std::max(lease_expires_at_, lease_expiry(sent));
+      renewed_at_ = std::max(renewed_at_, sent);
+      return schedule_renewal(std::max(0.05, sent + settings_.tunables.leader_lease_s / 4 - out_.now()));
+    }
+    if (r.status == 404)
+      return step_down("the lease has ended");
+    schedule_renewal(settings_.tunables.leader_lease_s / 12);
+  });
+}
+
+void LeaderElection::step_down(const char* why) {
+  if (!holds_leadership_)
+    return;
+  spdlog::info("this node leads no longer (token {}): {}", fencing_token_, why);
+  holds_leadership_ = false;
+  ++term_;
+  lease_expires_at_ = -1;
+  if (leader_ == settings_.node)
+    leader_.clear();
+  store_.set_leading(false);
+  events_.on_lost();
+}
+
+void LeaderElection::resign(Seconds pause, const char* why) {
+  if (!holds_leadership_)
+    return;
+  campaign_after_ = out_.now() + pause;
+  const std::uint64_t lease = lease_;
+  step_down(why);
+  store_.revoke_lease(lease);
+}
+
+void LeaderElection::on_superseded(const char* why) {
+  step_down(why);
+}
+
+}  // namespace wingtrail::leadership
--- a/src/net/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 
 #include <sys/epoll.h>
 #include <time.h>
@@ -18,18 +18,18 @@
   return static_cast<double>(ts.tv_sec) + static_cast<double>(ts.tv_nsec) * 1e-9;
 }
 
-void Wait::arm(Loop& loop, Scope& scope, Seconds deadline, std::coroutine_handle<> h) {
+void Waiter::arm(EventLoop& loop, TaskScope& scope, Seconds deadline, std::coroutine_handle<> h) {
   loop_ = &loop;
   scope_ = &scope;
   handle_ = h;
   pending_ = true;
-  before_ = nullptr;
-  after_ = scope.first_;
-  if (after_)
-    after_->before_ = this;
+  previous_ = nullptr;
+  next_ = scope.first_;
+  if (next_)
+    next_->previous_ = this;
   scope.first_ = this;
   if (scope.cancelled_)
-    return wake(Woke::cancelled);
+    return wake(WakeReason::cancelled);
   if (std::isfinite(deadline)) {
     timer_ = loop.timers_.emplace(deadline, this);
     has_timer_ = true;
@@ -37,75 +37,75 @@
 }
 
 // Resumption is queued, never nested: a routine is not re-entered from the code that woke it.
-void Wait::wake(Woke how) {
+void Waiter::wake(WakeReason how) {
   if (!pending_)
     return;
   pending_ = false;
-  how_ = how;
-  (before_ ? before_->after_ : scope_->first_) = after_;
-  if (after_)
-    after_->before_ = before_;
+  reason_ = how;
+  (previous_ ? previous_->next_ : scope_->first_) = next_;
+  if (next_)
+    next_->previous_ = previous_;
   if (has_timer_)
     loop_->timers_.erase(timer_);
   has_timer_ = false;
   loop_->ready_.push_back(handle_);
 }
 
-void Scope::cancel() {
+void TaskScope::cancel() {
   cancelled_ = true;
   while (first_)
-    first_->wake(Woke::cancelled);
+    first_->wake(WakeReason::cancelled);
 }
 
-Io::Io(Loop& loop, int fd) : loop_(loop), fd_(fd) {
-  if (loop_.free_places_.empty()) {
-    loop_.free_places_.push_back(static_cast<std::uint32_t>(loop_.places_.size()));
-    loop_.places_.emplace_back();
+Socket::Socket(EventLoop& loop, int fd) : loop_(loop), fd_(fd) {
+  if (loop_.free_entries_.empty()) {
+    loop_.free_entries_.push_back(static_cast<std::uint32_t>(loop_.sockets_.size()));
+    loop_.sockets_.emplace_back();
   }
-  place_ = loop_.free_places_.back();
-  loop_.free_places_.pop_back();
-  Loop::Place& place = loop_.places_[place_];
+  table_index_ = loop_.free_entries_.back();
+  loop_.free_entries_.pop_back();
+  EventLoop::SocketEntry& place = loop_.sockets_[table_index_];
   place.io = this;
   ++place.uses;
   epoll_event ev{};
   ev.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  ev.data.u64 = static_cast<std::uint64_t>(place.uses) << 32 | place_;
+  ev.data.u64 = static_cast<std::uint64_t>(place.uses) << 32 | table_index_;
   epoll_ctl(loop_.epoll_, EPOLL_CTL_ADD, fd_, &ev);
 }
 
-Io::~Io() {
-  loop_.places_[place_].io = nullptr;
-  loop_.free_places_.push_back(place_);
+Socket::~Socket() {
+  loop_.sockets_[table_index_].io = nullptr;
+  loop_.free_entries_.push_back(table_index_);
   close(fd_);
 }
 
-bool Io::Ready::await_ready() {
+bool Socket::Ready::await_ready() {
   const bool ready = write_ ? io_.writable_ : io_.readable_;
   return ready && !owner_.cancelled();
 }
 
-void Io::Ready::await_suspend(std::coroutine_handle<> h) {
+void Socket::Ready::await_suspend(std::coroutine_handle<> h) {
   (write_ ? io_.writer_ : io_.reader_) = this;
   arm(io_.loop_, owner_, deadline_, h);
 }
 
-Woke Io::Ready::await_resume() {
-  Wait*& place = write_ ? io_.writer_ : io_.reader_;
+WakeReason Socket::Ready::await_resume() {
+  Waiter*& place = write_ ? io_.writer_ : io_.reader_;
   if (place == this)
     place = nullptr;
-  return owner_.cancelled() ? Woke::cancelled : how_;
+  return owner_.cancelled() ? WakeReason::cancelled : reason_;
 }
 
-Loop::Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(steady_now()) {
+EventLoop::EventLoop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(steady_now()) {
   if (epoll_ < 0)
     throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-Loop::~Loop() {
+EventLoop::~EventLoop() {
   close(epoll_);
 }
 
-void Loop::resume_ready() {
+void EventLoop::resume_ready() {
   while (!ready_.empty()) {
     std::vector<std::coroutine_handle<>> batch;
     batch.swap(ready_);
@@ -114,7 +114,7 @@
   }
 }
 
-void Loop::run() {
+void EventLoop::run() {
   epoll_event events[128];
   while (!stopped_) {
     resume_ready();
@@ -132,8 +132,8 @@
     const int n = epoll_wait(epoll_, events, 128, timeout);
     refresh();
     for (int i = 0; i < n; ++i) {
-      const Place& place = places_[static_cast<std::uint32_t>(events[i].data.u64)];
-      Io* io = place.io;
+      const SocketEntry& place = sockets_[static_cast<std::uint32_t>(events[i].data.u64)];
+      Socket* io = place.io;
       if (!io || place.uses != events[i].data.u64 >> 32)
         continue;
       const std::uint32_t e = events[i].events;
@@ -142,16 +142,16 @@
       if (e & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
         io->readable_ = true;
         if (io->reader_)
-          io->reader_->wake(Woke::ready);
+          io->reader_->wake(WakeReason::ready);
       }
       if (e & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
         io->writable_ = true;
         if (io->writer_)
-          io->writer_->wake(Woke::ready);
+          io->writer_->wake(WakeReason::ready);
       }
     }
     while (!timers_.empty() && timers_.begin()->first <= now_)
-      timers_.begin()->second->wake(Woke::timeout);
+      timers_.begin()->second->wake(WakeReason::timeout);
   }
   resume_ready();
 }
--- a/src/net/loop.hpp
+++ b/src/net/event_loop.hpp
@@ -7,72 +7,72 @@
 #include <map>
 #include <vector>
 
-#include "net/routine.hpp"
+#include "net/task.hpp"
 
 namespace wingtrail::net {
 
 using Seconds = double;
 Seconds steady_now();
 
-enum class Woke : std::uint8_t { ready, timeout, cancelled };
+enum class WakeReason : std::uint8_t { ready, timeout, cancelled };
 
-class Loop;
+class EventLoop;
 
 // Something a routine is suspended on. Registered with its scope until it wakes.
-class Wait {
+class Waiter {
  public:
-  virtual ~Wait() = default;
-  void wake(Woke how);
+  virtual ~Waiter() = default;
+  void wake(WakeReason how);
   bool pending() const {
     return pending_;
   }
 
  protected:
-  friend class Loop;
-  friend class Scope;
-  void arm(Loop& loop, class Scope& scope, Seconds deadline, std::coroutine_handle<> h);
+  friend class EventLoop;
+  friend class TaskScope;
+  void arm(EventLoop& loop, class TaskScope& scope, Seconds deadline, std::coroutine_handle<> h);
 
-  Loop* loop_ = nullptr;
-  class Scope* scope_ = nullptr;
+  EventLoop* loop_ = nullptr;
+  class TaskScope* scope_ = nullptr;
   std::coroutine_handle<> handle_;
-  std::multimap<Seconds, Wait*>::iterator timer_;
+  std::multimap<Seconds, Waiter*>::iterator timer_;
   bool has_timer_ = false, pending_ = false;
-  Woke how_ = Woke::ready;
-  Wait* before_ = nullptr;  // in its scope's list
-  Wait* after_ = nullptr;
+  WakeReason reason_ = WakeReason::ready;
+  Waiter* previous_ = nullptr;  // in its scope's list
+  Waiter* next_ = nullptr;
 };
 
 // The waits of a family of routines. cancel() wakes all of them, now and from then on.
-class Scope {
+class TaskScope {
  public:
-  explicit Scope(Loop& loop) : loop_(loop) {}
-  ~Scope() {
+  explicit TaskScope(EventLoop& loop) : loop_(loop) {}
+  ~TaskScope() {
     cancel();
   }
-  Scope(const Scope&) = delete;
-  Scope& operator=(const Scope&) = delete;
+  TaskScope(const TaskScope&) = delete;
+  TaskScope& operator=(const TaskScope&) = delete;
   void cancel();
   bool cancelled() const {
     return cancelled_;
   }
-  Loop& loop() {
+  EventLoop& loop() {
     return loop_;
   }
 
  private:
-  friend class Wait;
-  Loop& loop_;
-  Wait* first_ = nullptr;
+  friend class Waiter;
+  EventLoop& loop_;
+  Waiter* first_ = nullptr;
   bool cancelled_ = false;
 };
 
 // A non-blocking socket registered once, edge-triggered: fewer system calls than re-arming for each wait.
-class Io {
+class Socket {
  public:
-  Io(Loop& loop, int fd);
-  ~Io();
-  Io(const Io&) = delete;
-  Io& operator=(const Io&) = delete;
+  Socket(EventLoop& loop, int fd);
+  ~Socket();
+  Socket(const Socket&) = delete;
+  Socket& operator=(const Socket&) = delete;
   int fd() const {
     return fd_;
   }
@@ -83,24 +83,24 @@
     return readable_;
   }
 
-  class Ready : public Wait {
+  class Ready : public Waiter {
    public:
-    Ready(Io& io, Scope& scope, bool write, Seconds deadline)
+    Ready(Socket& io, TaskScope& scope, bool write, Seconds deadline)
         : io_(io), owner_(scope), write_(write), deadline_(deadline) {}
     bool await_ready();
     void await_suspend(std::coroutine_handle<> h);
-    Woke await_resume();
+    WakeReason await_resume();
 
    private:
-    Io& io_;
-    Scope& owner_;
+    Socket& io_;
+    TaskScope& owner_;
     bool write_;
     Seconds deadline_;
   };
-  Ready wait_readable(Scope& scope, Seconds deadline) {
+  Ready wait_readable(TaskScope& scope, Seconds deadline) {
     return {*this, scope, false, deadline};
   }
-  Ready wait_writable(Scope& scope, Seconds deadline) {
+  Ready wait_writable(TaskScope& scope, Seconds deadline) {
     return {*this, scope, true, deadline};
   }
   void drained() {
@@ -111,40 +111,41 @@
   }
 
  private:
-  friend class Loop;
-  Loop& loop_;
+  friend class EventLoop;
+  EventLoop& loop_;
   int fd_;
-  std::uint32_t place_ = 0;  // in the loop's table
+  std::uint32_t table_index_ = 0;  // in the loop's table
   bool readable_ = false, writable_ = false, hung_up_ = false;
-  Wait* reader_ = nullptr;
-  Wait* writer_ = nullptr;
+  Waiter* reader_ = nullptr;
+  Waiter* writer_ = nullptr;
 };
 
-class Sleep : public Wait {
+class Sleep : public Waiter {
  public:
-  Sleep(Scope& scope, Seconds until) : owner_(scope), until_(until) {}
+  Sleep(TaskScope& scope, Seconds until) : owner_(scope), until_(until) {}
   bool await_ready() const {
     return false;
   }
   void await_suspend(std::coroutine_handle<> h) {
     arm(owner_.loop(), owner_, until_, h);
   }
-  Woke await_resume() const {
-    return how_;
+  WakeReason await_resume() const {
+    return reason_;
   }
 
  private:
-  Scope& owner_;
+  TaskScope& owner_;
   Seconds until_;
 };
 
 // A value that one side sets once and one routine waits for.
 template <typename T>
-class Slot {
+class OneShot {
  public:
-  class Waiter : public Wait {
+  class ValueWaiter : public Waiter {
    public:
-    Waiter(Slot& slot, Scope& scope, Seconds deadline) : slot_(slot), owner_(scope), deadline_(deadline) {}
+    ValueWaiter(OneShot& slot, TaskScope& scope, Seconds deadline)
+        : slot_(slot), owner_(scope), deadline_(deadline) {}
     bool await_ready() const {
       return slot_.value_.has_value();
     }
@@ -158,30 +159,30 @@
     }
 
    private:
-    Slot& slot_;
-    Scope& owner_;
+    OneShot& slot_;
+    TaskScope& owner_;
     Seconds deadline_;
   };
   void set(T v) {
     value_ = std::move(v);
     if (waiter_)
-      waiter_->wake(Woke::ready);
+      waiter_->wake(WakeReason::ready);
   }
-  Waiter wait(Scope& scope, Seconds deadline) {
-    return Waiter(*this, scope, deadline);
+  ValueWaiter wait(TaskScope& scope, Seconds deadline) {
+    return ValueWaiter(*this, scope, deadline);
   }
 
  private:
   std::optional<T> value_;
-  Waiter* waiter_ = nullptr;
+  ValueWaiter* waiter_ = nullptr;
 };
 
-class Loop {
+class EventLoop {
  public:
-  Loop();
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  EventLoop();
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
   // The time as of the last look at the clock: one look per round of events.
   Seconds now() const {
     return now_;
@@ -199,23 +200,23 @@
   }
 
  private:
-  friend class Wait;
-  friend class Io;
+  friend class Waiter;
+  friend class Socket;
   void resume_ready();
 
   int epoll_ = -1;
   Seconds now_ = 0;
   bool stopped_ = false;
-  std::multimap<Seconds, Wait*> timers_;
+  std::multimap<Seconds, Waiter*> timers_;
   std::vector<std::coroutine_handle<>> ready_;
   // A routine that runs in this round may close an Io whose event is still to come, and another may open one
   // in its place; the count tells them apart.
-  struct Place {
-    Io* io = nullptr;
+  struct SocketEntry {
+    Socket* io = nullptr;
     std::uint32_t uses = 0;
   };
-  std::vector<Place> places_;
-  std::vector<std::uint32_t> free_places_;
+  std::vector<SocketEntry> sockets_;
+  std::vector<std::uint32_t> free_entries_;
   std::function<Seconds()> before_sleep_;
 };
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -107,14 +107,14 @@
 enum class Got : std::uint8_t { message, closed, bad, timeout };
 
 // `first_byte` is the deadline until a message begins; from then on it has `message_s` more.
-Co<Got> read_message(Io& io, Scope& scope, Parser& parser, Seconds first_byte, Seconds message_s) {
+Task<Got> read_message(Socket& io, TaskScope& scope, Parser& parser, Seconds first_byte, Seconds message_s) {
   // One buffer for all routines: nothing is kept in it across a wait, and a frame of its own for each of a
   // thousand idle connections would be many megabytes.
   static thread_local char buffer[kChunk];
   Seconds deadline = first_byte;
   while (!parser.complete) {
-    const Woke woke = co_await io.wait_readable(scope, deadline);
-    if (woke != Woke::ready)
+    const WakeReason woke = co_await io.wait_readable(scope, deadline);
+    if (woke != WakeReason::ready)
       co_return Got::timeout;
     const ssize_t n = recv(io.fd(), buffer, sizeof buffer, 0);
     if (n < 0 && errno == EINTR)
@@ -142,7 +142,7 @@
   co_return Got::message;
 }
 
-Co<bool> write_all(Io& io, Scope& scope, std::string bytes, Seconds deadline) {
+Task<bool> write_all(Socket& io, TaskScope& scope, std::string bytes, Seconds deadline) {
   std::size_t sent = 0;
   while (sent < bytes.size()) {
     const ssize_t n = send(io.fd(), bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
@@ -154,8 +154,8 @@
       continue;
     if (n < 0 && errno == EAGAIN) {
       io.filled();
-      const Woke woke = co_await io.wait_writable(scope, deadline);
-      if (woke != Woke::ready)
+      const WakeReason woke = co_await io.wait_writable(scope, deadline);
+      if (woke != WakeReason::ready)
         co_return false;
       continue;
     }
@@ -207,10 +207,11 @@
   }
 }
 
-Server::Server(Scope& scope, std::string host, std::uint16_t port, ServerLimits limits, Handler handler)
+HttpServer::HttpServer(TaskScope& scope, std::string host, std::uint16_t port, ServerLimits limits,
+                       Handler handler)
     : scope_(scope), host_(std::move(host)), port_(port), limits_(limits), handler_(std::move(handler)) {}
 
-std::optional<std::string> Server::listen() {
+std::optional<std::string> HttpServer::listen() {
   const std::string where = host_ + ":" + std::to_string(port_);
   auto sa = address(host_, port_);
   if (!sa)
@@ -225,12 +226,12 @@
     ::close(fd);
     return why;
   }
-  listener_ = std::make_unique<Io>(scope_.loop(), fd);
+  listener_ = std::make_unique<Socket>(scope_.loop(), fd);
   accept_loop();
   return std::nullopt;
 }
 
-Routine Server::accept_loop() {
+DetachedTask HttpServer::accept_loop() {
   while (!scope_.cancelled()) {
     const int fd = accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
@@ -254,9 +255,9 @@
   }
 }
 
-Routine Server::serve(int fd) {
+DetachedTask HttpServer::serve(int fd) {
   ++open_;
-  Io io(scope_.loop(), fd);
+  Socket io(scope_.loop(), fd);
   Parser parser(HTTP_REQUEST, limits_.max_header, limits_.max_body);
   while (!scope_.cancelled()) {
     parser.reset(HTTP_REQUEST);
@@ -285,7 +286,8 @@
   --open_;
 }
 
-Co<std::unique_ptr<Io>> Client::connect(const std::string& host, std::uint16_t port, Seconds deadline) {
+Task<std::unique_ptr<Socket>> HttpClient::connect(const std::string& host, std::uint16_t port,
+                                                  Seconds deadline) {
   auto sa = address(host, port);
   if (!sa)
     co_return nullptr;
@@ -298,19 +300,19 @@
     ::close(fd);
     co_return nullptr;
   }
-  auto io = std::make_unique<Io>(scope_.loop(), fd);
+  auto io = std::make_unique<Socket>(scope_.loop(), fd);
   if (rc != 0) {
-    const Woke woke = co_await io->wait_writable(scope_, deadline);
+    const WakeReason woke = co_await io->wait_writable(scope_, deadline);
     int error = 0;
     socklen_t len = sizeof error;
     getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len);
-    if (woke != Woke::ready || error != 0)
+    if (woke != WakeReason::ready || error != 0)
       co_return nullptr;
   }
   co_return io;
 }
 
-void Client::drop(IdleList::iterator it) {
+void HttpClient::drop(IdleList::iterator it) {
   auto same = idle_by_key_.find(it->key);
   std::erase(same->second, it);
   if (same->second.empty())
@@ -318,7 +320,7 @@
   idle_.erase(it);
 }
 
-void Client::keep(const std::string& key, std::unique_ptr<Io> io) {
+void HttpClient::keep(const std::string& key, std::unique_ptr<Socket> io) {
   auto& same = idle_by_key_[key];
   if (same.size() >= kIdlePerEndpoint)
     return;
@@ -326,10 +328,10 @@
   same.push_back(std::prev(idle_.end()));
 }
 
-std::unique_ptr<Io> Client::reuse(const std::string& key) {
+std::unique_ptr<Socket> HttpClient::reuse(const std::string& key) {
   for (auto it = idle_by_key_.find(key); it != idle_by_key_.end(); it = idle_by_key_.find(key)) {
     const auto last = it->second.back();
-    std::unique_ptr<Io> io = std::move(last->io);
+    std::unique_ptr<Socket> io = std::move(last->io);
     const Seconds idle = scope_.loop().now() - last->since;
     drop(last);
     // A connection that became readable while idle was closed by the other side.
@@ -339,9 +341,9 @@
   return nullptr;
 }
 
-Co<Outcome> Client::call(std::string host, std::uint16_t port, Request request, std::string content_type,
-                         Seconds deadline, Seconds not_after) {
-  Outcome out;
+Task<CallResult> HttpClient::call(std::string host, std::uint16_t port, Request request,
+                                  std::string content_type, Seconds deadline, Seconds not_after) {
+  CallResult out;
   out.delivered = false;
   if (open_ >= max_connections_)
     co_return out;
@@ -353,7 +355,7 @@
     }
   } leave{open_};
   const std::string key = host + ":" + std::to_string(port);
-  std::unique_ptr<Io> io = reuse(key);
+  std::unique_ptr<Socket> io = reuse(key);
   while (!idle_.empty() && open_ + idle_.size() > max_connections_)
     drop(idle_.begin());
   if (!io)
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 
 namespace wingtrail::net {
 
@@ -36,10 +36,10 @@
   Seconds request_s = 10;  // from a request's first byte to its last, and for writing an answer
 };
 
-class Server {
+class HttpServer {
  public:
-  using Handler = std::function<Co<Response>(Request)>;
-  Server(Scope& scope, std::string host, std::uint16_t port, ServerLimits limits, Handler handler);
+  using Handler = std::function<Task<Response>(Request)>;
+  HttpServer(TaskScope& scope, std::string host, std::uint16_t port, ServerLimits limits, Handler handler);
   // An error text, or nothing.
   std::optional<std::string> listen();
   std::size_t connections() const {
@@ -47,46 +47,46 @@
   }
 
  private:
-  Routine accept_loop();
-  Routine serve(int fd);
+  DetachedTask accept_loop();
+  DetachedTask serve(int fd);
 
-  Scope& scope_;
+  TaskScope& scope_;
   std::string host_;
   std::uint16_t port_;
   ServerLimits limits_;
   Handler handler_;
-  std::unique_ptr<Io> listener_;
+  std::unique_ptr<Socket> listener_;
   std::size_t open_ = 0;
 };
 
-struct Outcome {
+struct CallResult {
   int status = 0;         // 0: no answer
   bool delivered = true;  // false: not a byte of the request was sent
   std::string body;
 };
 
 // Keeps connections for the next call, and never holds more sockets than it may.
-class Client {
+class HttpClient {
  public:
-  Client(Scope& scope, std::size_t max_connections, std::size_t max_body)
+  HttpClient(TaskScope& scope, std::size_t max_connections, std::size_t max_body)
       : scope_(scope), max_connections_(max_connections), max_body_(max_body) {}
   // `not_after`: the request is not sent at or after this time, even if the deadline is later.
-  Co<Outcome> call(std::string host, std::uint16_t port, Request request, std::string content_type,
-                   Seconds deadline, Seconds not_after);
+  Task<CallResult> call(std::string host, std::uint16_t port, Request request, std::string content_type,
+                        Seconds deadline, Seconds not_after);
 
  private:
-  struct Idle {
+  struct IdleConnection {
     std::string key;
-    std::unique_ptr<Io> io;
+    std::unique_ptr<Socket> io;
     Seconds since = 0;
   };
-  using IdleList = std::list<Idle>;
-  std::unique_ptr<Io> reuse(const std::string& key);
+  using IdleList = std::list<IdleConnection>;
+  std::unique_ptr<Socket> reuse(const std::string& key);
   void drop(IdleList::iterator it);
-  Co<std::unique_ptr<Io>> connect(const std::string& host, std::uint16_t port, Seconds deadline);
-  void keep(const std::string& key, std::unique_ptr<Io> io);
+  Task<std::unique_ptr<Socket>> connect(const std::string& host, std::uint16_t port, Seconds deadline);
+  void keep(const std::string& key, std::unique_ptr<Socket> io);
 
-  Scope& scope_;
+  TaskScope& scope_;
   std::size_t max_connections_, max_body_;
   std::size_t open_ = 0;  // calls under way, each with a socket
   IdleList idle_;         // the longest idle first
--- a/src/net/routine.hpp
+++ b/src/net/task.hpp
@@ -10,20 +10,20 @@
 namespace wingtrail::net {
 
 template <typename T>
-class [[nodiscard]] Co {
+class [[nodiscard]] Task {
  public:
   struct promise_type {
     std::optional<T> value;
     std::coroutine_handle<> waiter;
 
-    Co get_return_object() {
-      return Co(std::coroutine_handle<promise_type>::from_promise(*this));
+    Task get_return_object() {
+      return Task(std::coroutine_handle<promise_type>::from_promise(*this));
     }
     std::suspend_always initial_suspend() noexcept {
       return {};
     }
     auto final_suspend() noexcept {
-      struct Back {
+      struct ResumeWaiter {
         bool await_ready() noexcept {
           return false;
         }
@@ -32,7 +32,7 @@
         }
         void await_resume() noexcept {}
       };
-      return Back{};
+      return ResumeWaiter{};
     }
     void return_value(T v) {
       value = std::move(v);
@@ -44,33 +44,33 @@
     }
   };
 
-  Co(Co&& other) noexcept : h_(std::exchange(other.h_, nullptr)) {}
-  Co& operator=(Co&&) = delete;
-  ~Co() {
-    if (h_)
-      h_.destroy();
+  Task(Task&& other) noexcept : handle_(std::exchange(other.h_, nullptr)) {}
+  Task& operator=(Task&&) = delete;
+  ~Task() {
+    if (handle_)
+      handle_.destroy();
   }
   bool await_ready() const noexcept {
     return false;
   }
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> waiter) noexcept {
-    h_.promise().waiter = waiter;
-    return h_;
+    handle_.promise().waiter = waiter;
+    return handle_;
   }
   T await_resume() {
-    return std::move(*h_.promise().value);
+    return std::move(*handle_.promise().value);
   }
 
  private:
-  explicit Co(std::coroutine_handle<promise_type> h) : h_(h) {}
-  std::coroutine_handle<promise_type> h_;
+  explicit Task(std::coroutine_handle<promise_type> h) : handle_(h) {}
+  std::coroutine_handle<promise_type> handle_;
 };
 
 // Starts at once and frees itself at its end. What it waits for belongs to a Scope, whose cancellation makes
 // every wait return "cancelled", so a routine always runs to its own end and its destructors run.
-struct Routine {
+struct DetachedTask {
   struct promise_type {
-    Routine get_return_object() {
+    DetachedTask get_return_object() {
       return {};
     }
     std::suspend_never initial_suspend() noexcept {
--- a/src/ports/outbox.hpp
+++ b/src/ports/outbox.hpp
@@ -41,7 +41,7 @@
   int status = 0;         // 0: no answer
   bool delivered = true;  // false: it is certain that nothing reached the other side
   wire::Value body;
-  std::string report;  // what a worker answered, as it came
+  std::string heartbeat;  // what a worker answered, as it came
   std::optional<peer::Frame> frame;
 };
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -169,13 +169,13 @@
     s.objectives.push_back(objective);
   });
   r.table("workers", [&](Reader w) {
-    s.report_s = w.number("report_s", 0.1, 600);
-    s.lease_s = w.number("lease_s", 0.5, kDay);
-    s.cancel_s = w.number("cancel_s", 0.5, kDay);
-    if (s.lease_s <= s.report_s)
+    s.heartbeat_interval_s = w.number("report_s", 0.1, 600);
+    s.worker_lease_s = w.number("lease_s", 0.5, kDay);
+    s.cancellation_limit_s = w.number("cancel_s", 0.5, kDay);
+    if (s.worker_lease_s <= s.heartbeat_interval_s)
       w.wrong("lease_s", "more than report_s");
     // A worker that cannot be reached ends its tasks when its lease is over, and nothing ends them sooner.
-    if (s.cancel_s <= s.lease_s)
+    if (s.cancellation_limit_s <= s.worker_lease_s)
       w.wrong("cancel_s", "more than lease_s");
   });
   r.table("state", [&](Reader t) {
@@ -190,14 +190,14 @@
       for (auto& l : limits)
         l.value = std::min(l.value, next.number(l.key, l.lowest, 1e6, l.value));
     });
-    s.state_rps = limits[0].value;
-    s.state_write_rps = limits[1].value;
-    s.value_kb = limits[2].value;
-    s.txn_ops = static_cast<int>(limits[3].value);
+    s.state_requests_per_s = limits[0].value;
+    s.state_writes_per_s = limits[1].value;
+    s.state_value_kb = limits[2].value;
+    s.max_transaction_changes = static_cast<int>(limits[3].value);
   });
   r.table("cloud", [&](Reader c) {
-    s.cloud_rps = c.number("rps", 0.5, 1e6);
-    s.list_lag_s = c.number("list_lag_s", 0, 600);
+    s.cloud_requests_per_s = c.number("rps", 0.5, 1e6);
+    s.cloud_list_lag_s = c.number("list_lag_s", 0, 600);
   });
   r.table("limits", [&](Reader l) {
     s.max_connections = static_cast<int>(l.number("max_connections", 32, 1e6));
@@ -205,7 +205,7 @@
   });
 }
 
-void read_toml(const toml::table& table, Loaded& out) {
+void read_toml(const toml::table& table, LoadResult& out) {
   Settings& s = out.settings;
   Reader r(table, "", out.problems);
   s.node = r.text("node_name");
@@ -234,29 +234,29 @@
 };
 constexpr Tunable kTunables[] = {
     {"leader_lease_s", &Tunables::leader_lease_s, nullptr, 0.5, 60},
-    {"custody_leases", &Tunables::custody_leases, nullptr, 0, 100},
-    {"custody_consent", nullptr, &Tunables::custody_consent, 0, 1},
-    {"zones", nullptr, &Tunables::zones, 0, 1},
-    {"admission", nullptr, &Tunables::admission, 0, 1},
-    {"cutoff_s", &Tunables::cutoff_s, nullptr, 0, kDay},
+    {"custody_leases", &Tunables::delegation_leases, nullptr, 0, 100},
+    {"custody_consent", nullptr, &Tunables::peer_agreement, 0, 1},
+    {"zones", nullptr, &Tunables::zone_tracking, 0, 1},
+    {"admission", nullptr, &Tunables::fair_admission, 0, 1},
+    {"cutoff_s", &Tunables::long_job_cutoff_s, nullptr, 0, kDay},
     {"begin_within_s", &Tunables::begin_within_s, nullptr, 0, kDay},
     {"reservations_per_task", &Tunables::reservations_per_task, nullptr, 1, 20},
     {"steal_sample", nullptr, &Tunables::steal_sample, 1, 1000},
     {"short_partition", &Tunables::short_partition, nullptr, 0, 0.9},
-    {"silent_reports", &Tunables::silent_reports, nullptr, 1.5, 20},
+    {"silent_reports", &Tunables::silent_heartbeats, nullptr, 1.5, 20},
     {"idle_return_s", &Tunables::idle_return_s, nullptr, 1, kDay},
-    {"replica_moves", &Tunables::replica_moves, nullptr, 0, 1},
+    {"replica_moves", &Tunables::replica_migration_rate, nullptr, 0, 1},
     {"headroom", &Tunables::headroom, nullptr, 0, 5},
-    {"spread", nullptr, &Tunables::spread, 0, 1},
-    {"moves", &Tunables::moves, nullptr, 0, 1},
-    {"surge_spare", &Tunables::surge_spare, nullptr, 0, 10},
+    {"spread", nullptr, &Tunables::load_balancing, 0, 1},
+    {"moves", &Tunables::migrations_per_machine, nullptr, 0, 1},
+    {"surge_spare", &Tunables::surge_headroom, nullptr, 0, 10},
     {"progress_flush_s", &Tunables::progress_flush_s, nullptr, 0.1, 60},
 };
 
 // What is said of the cells; every problem names where it is.
 class CellsReader {
  public:
-  explicit CellsReader(Loaded& out) : out_(out), cells_(out.settings.cells) {}
+  explicit CellsReader(LoadResult& out) : out_(out), cells_(out.settings.cells) {}
 
   void read(const YAML::Node& node) {
     if (!node.IsMap())
@@ -274,7 +274,7 @@
             most < 0 || most > 100'000)
           wrong(".most_away", "a whole number from 0 to 100000");
         else
-          cells_.most_away = static_cast<int>(most);
+          cells_.max_remote_jobs = static_cast<int>(most);
       } else if (key == "drain") {
         if (!value.IsScalar() || !YAML::convert<bool>::decode(value, cells_.drain))
           wrong(".drain", "true or false");
@@ -282,7 +282,7 @@
         if (!value.IsSequence())
           return wrong(".gone", "a list of names of neighbours");
         for (const auto& item : value)
-          cells_.gone.push_back(name("gone", item));
+          cells_.decommissioned.push_back(name("gone", item));
       } else {
         out_.problems.push_back("tunables.cells." + key + ": unknown name");
       }
@@ -334,17 +334,17 @@
       if (std::count_if(all.begin(), all.end(), same) > 1)
         wrong(".neighbours", "names that occur once, found \"" + all[i].name + "\" again");
     }
-    for (const std::string& g : cells_.gone) {
+    for (const std::string& g : cells_.decommissioned) {
       if (std::none_of(all.begin(), all.end(), [&g](const Neighbour& n) { return n.name == g; }))
         wrong(".gone", "names of neighbours, found \"" + g + "\"");
     }
   }
 
-  Loaded& out_;
+  LoadResult& out_;
   Cells& cells_;
 };
 
-void read_yaml(const std::string& text, Loaded& out) {
+void read_yaml(const std::string& text, LoadResult& out) {
   YAML::Node root;
   try {
     root = YAML::Load(text);
@@ -404,8 +404,8 @@
 
 }  // namespace
 
-Loaded parse(const std::string& toml_text, const std::string& yaml_text) {
-  Loaded out;
+LoadResult parse(const std::string& toml_text, const std::string& yaml_text) {
+  LoadResult out;
   try {
     const toml::table table = toml::parse(toml_text);
     read_toml(table, out);
@@ -419,8 +419,8 @@
   return out;
 }
 
-Loaded load(const std::string& toml_path, const std::string& yaml_path) {
-  Loaded out;
+LoadResult load(const std::string& toml_path, const std::string& yaml_path) {
+  LoadResult out;
   auto toml_text = slurp(toml_path);
   if (!toml_text) {
     out.problems.push_back(toml_path + ": cannot be read");
--- a/src/emulator/cloud.cpp
+++ b/src/simulation/cloud.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 void SimulatedCluster::keep_listing() {
   snapshot_list();
@@ -86,7 +86,7 @@
   }
   if (method == "GET") {
     // A list describes some moment of the past, not always a later one than the list before it.
-    const double when = t_ - settings_.list_lag_s * between(1, 2);
+    const double when = t_ - settings_.cloud_list_lag_s * between(1, 2);
     Value hosts = Value::array();
     for (const auto& [at_time, list] : lists_) {
       if (at_time <= when)
@@ -127,4 +127,4 @@
   reply(200, Value::object());
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 // ---------------------------------------------------------------- machines and their reports
 
@@ -62,7 +62,7 @@
 // To every node, the new leader among them: as it begins, and once it has acted.
 void SimulatedCluster::release_reports(std::size_t) {
   fault_lasts(5);
-  for (daemon::Incoming& in : std::exchange(kept_reports_, {})) {
+  for (controller::IncomingRequest& in : std::exchange(kept_reports_, {})) {
     if (copies_arrive_ == CopyArrives::at_election) {
       // Before the first answer of any worker; a worker's copies in no particular order.
       later(between(0, 0.0005), [this, in] {
@@ -187,7 +187,7 @@
   // Of one that can't run, or lacks a field, no node may take charge, and none may know it later.
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-6" + std::to_string(1'000'000 + ++odd_made_);
-  s.waits_on.clear();
+  s.depends_on.clear();
   Value body = wire::job_value(s);
   if (kind == 2) {
     const auto what = pick(4);
@@ -205,7 +205,7 @@
         "sizeGb",   "samePlace", "apart", "expectedS", "snapshotEveryS", "accelerators", "standby"};
     body.erase(kNeeded[pick(std::size(kNeeded))]);
   }
-  daemon::Incoming in;
+  controller::IncomingRequest in;
   in.method = "POST";
   in.path = wire::kJobsPath;
   in.body = wire::encode_cbor(body);
@@ -217,7 +217,7 @@
     });
   });
   later(between(0.01, 3), [this, ref = s.ref, k = pick(plan_.nodes)] {
-    daemon::Incoming question;
+    controller::IncomingRequest question;
     question.method = "GET";
     question.path = std::string(wire::kJobsPath) + "/" + ref;
     deliver(k, question, [this, ref](const ports::Answer& a) {
@@ -270,4 +270,4 @@
   return n;
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/components.hpp
+++ b/src/simulation/components.hpp
@@ -2,9 +2,9 @@
 // platform.
 #pragma once
 
-#include "emulator/simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 inline constexpr double kSpan = 5;  // over which changes are counted against the budget
 inline constexpr double kSeenWithin =
@@ -67,7 +67,7 @@
 };
 
 struct SimulatedCluster::Controller {
-  std::unique_ptr<daemon::Node> node;
+  std::unique_ptr<controller::Controller> node;
   std::uint64_t life = 0;
   double rate = 1, paused_until = -1, wake = -1;
   std::uint64_t requests = 0;
@@ -81,4 +81,4 @@
   bool hold = false;
 };
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/controllers.cpp
+++ b/src/simulation/controllers.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 void SimulatedCluster::freeze(std::size_t i, double for_s) {
   fault_lasts(for_s);
@@ -21,7 +21,7 @@
     return;
   settings::Settings s = c.former ? former_ : settings_;
   if (plan_.one_fixed && i + 1 == plan_.nodes)
-    s.tunables.admission = 0;
+    s.tunables.fair_admission = 0;
   s.node = node_name(i);
   s.zone = settings_.zones[i % plan_.zones];
   for (std::size_t p = 0; p < plan_.nodes; ++p) {
@@ -31,7 +31,7 @@
   ++c.life;
   c.open.clear();
   c.wake = -1;
-  c.node = std::make_unique<daemon::Node>(s, rng_());
+  c.node = std::make_unique<controller::Controller>(s, rng_());
   c.node->set_day_offset(1e9 + t_ + between(-0.2, 0.2) - node_time(c));
   c.node->start(node_time(c));
   act(i);
@@ -67,8 +67,8 @@
       }
     }
   }
-  if (c.node->entitled() != c.led) {
-    c.led = c.node->entitled();
+  if (c.node->is_active_leader() != c.led) {
+    c.led = c.node->is_active_leader();
     run_report_.elections += c.led;
     if (c.led && !kept_reports_.empty())
       release_reports(i);
@@ -76,7 +76,7 @@
   // Two nodes that may both give orders would break everything else.
   std::size_t entitled = 0;
   for (auto& other : controllers_)
-    entitled += other->node && node_time(*other) < other->node->authority_until();
+    entitled += other->node && node_time(*other) < other->node->leader_lease_expires_at();
   if (entitled > 1)
     broke("two_leaders", node_name(i) + " acts beside another");
   poke(i);
@@ -179,7 +179,7 @@
       ports::Reply r;
       r.status = status;
       if (worker) {
-        r.report = wire::encode_cbor(body);
+        r.heartbeat = wire::encode_cbor(body);
       } else {
         r.body = body;
       }
@@ -253,7 +253,7 @@
   act(node);
 }
 
-void SimulatedCluster::deliver(std::size_t i, daemon::Incoming in, OnAnswer then) {
+void SimulatedCluster::deliver(std::size_t i, controller::IncomingRequest in, OnAnswer then) {
   if (outside_.deliver)
     return outside_.deliver(i, std::move(in), std::move(then));
   Controller& c = *controllers_[i];
@@ -278,4 +278,4 @@
   crash(node);
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/history.cpp
+++ b/src/simulation/history.cpp
@@ -1,9 +1,9 @@
 // What tests ask of the history so far.
 #include <algorithm>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 std::size_t SimulatedCluster::undone() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [this](const auto& j) {
@@ -17,8 +17,8 @@
   if (!i)
     return jobs_waiting();
   std::size_t n = 0;
-  controllers_[*i]->node->registry().each([&n](const jobs::Job& job) {
-    n += job.open() && !job.held() && !job.service() && job.placed == 0 && job.done == 0;
+  controllers_[*i]->node->registry().for_each([&n](const jobs::Job& job) {
+    n += job.is_open() && !job.is_held() && !job.is_service() && job.placed_tasks == 0 && job.done_tasks == 0;
   });
   return n;
 }
@@ -31,7 +31,7 @@
 
 std::size_t SimulatedCluster::unrecorded_ends() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [this](const auto& j) {
-    return j.second->accepted && j.second->over() && !store_.contains(jobs::kFinal + j.first);
+    return j.second->accepted && j.second->over() && !store_.contains(jobs::kFinalStatePrefix + j.first);
   }));
 }
 
@@ -111,4 +111,4 @@
   return n;
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/network.cpp
+++ b/src/simulation/network.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 SimulatedCluster::Link& SimulatedCluster::link(const std::string& a, const std::string& b) {
   return links_[std::minmax(a, b)];
@@ -67,4 +67,4 @@
   l.hold = hold;
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/random_faults.cpp
+++ b/src/simulation/random_faults.cpp
@@ -1,9 +1,9 @@
 // Faults, at random and as tests order them.
 #include <spdlog/spdlog.h>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 void SimulatedCluster::cut_node(std::size_t i, bool from_state, bool from_peers, double for_s, bool hold) {
   if (from_state)
@@ -207,4 +207,4 @@
   }
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
