--- a/src/emulator/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -4,24 +4,24 @@
 #include <algorithm>
 #include <cmath>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 // What the leader takes for used on a machine is what its tasks there need, once no move is under way.
 void SimulatedCluster::check_rooms() {
   for (const auto& c : controllers_) {
-    if (!c->node || !c->node->entitled())
+    if (!c->node || !c->node->is_active_leader())
       continue;
-    const daemon::Stats stats = c->node->stats();
+    const controller::Stats stats = c->node->stats();
     if (stats.moves_begun > stats.moves_done + stats.moves_failed)
       continue;
-    for (const agents::Machine& m : c->node->agents().all()) {
+    for (const workers::Machine& m : c->node->workers().machines()) {
       if (m.gone)
         continue;
       double cpus = 0;
-      for (const agents::Slot& s : m.slots)
-        cpus += s.counted && !s.ends_at_once() ? s.need.cpus : 0;
+      for (const workers::Allocation& s : m.allocations)
+        cpus += s.occupies_machine && !s.stops_immediately() ? s.resources.cpus : 0;
       if (std::abs(cpus - m.used.cpus) > 1e-6)
         broke("room",
               m.host + ": " + std::to_string(m.used.cpus) + " used, " + std::to_string(cpus) + " held");
@@ -83,7 +83,7 @@
       if (!x.on())
         continue;
       if (x.job->spec.team == s.team)
-        team += x.job->spec.need.cpus;
+        team += x.job->spec.task_resources.cpus;
       if (x.job != &job)
         continue;
       if (&x == &task)
@@ -98,16 +98,16 @@
       broke("quota", s.team + " uses " + std::to_string(team));
     }
   }
-  if (h.spot && !s.spot)
+  if (h.spot && !s.allows_spot)
     broke("wrong_place", task.name + " on spot");
   if (s.zone && *s.zone != settings_.zones[h.zone])
     broke("wrong_place", task.name + " in a zone it may not be in");
   if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end()) {
     broke("wrong_place", task.name + " on a type it may not be on");
   }
-  if (s.spread && zones[h.zone] + 1 > static_cast<int>((s.tasks + 1) / 2))
+  if (s.spread_zones && zones[h.zone] + 1 > static_cast<int>((s.tasks + 1) / 2))
     broke("wrong_place", task.name + " spread");
-  if (s.one_zone) {
+  if (s.same_zone) {
     for (const auto& [zone, n] : zones) {
       if (zone != h.zone && n > 0)
         broke("wrong_place", task.name + " away from its zone");
@@ -130,7 +130,7 @@
     return;
   free_checked_at_ = t_;
   for (const auto& c : controllers_) {
-    if (!c->node || !c->node->entitled() || node_time(*c) >= c->node->authority_until())
+    if (!c->node || !c->node->is_active_leader() || node_time(*c) >= c->node->leader_lease_expires_at())
       continue;
     for (const auto& [name, h] : machines_) {
       if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
@@ -141,7 +141,7 @@
         const jobs::Job* job = c->node->registry().find(x.job->spec.ref);
         if (!job || x.index >= job->tasks.size() || job->tasks[x.index].state != jobs::TaskState::pending)
           continue;
-        if (c->node->scheduler().gates().open(*job))
+        if (c->node->scheduler().filters().admits(*job))
           return broke("free_to_start", x.name + " is on " + name);
       }
     }
@@ -153,9 +153,9 @@
   for (const Value& shown : report["shards"]) {
     if (!shown.contains("cause") || shown["cause"] != "done")
       continue;
-    const auto parsed = wire::parse_task(shown["shard"].get<std::string>());
+    const auto parsed = wire::parse_task_name(shown["shard"].get<std::string>());
     UserJob* job = parsed ? described(parsed->ref) : nullptr;
-    if (!job || !job->done_heard.emplace(parsed->index, token).second)
+    if (!job || !job->done_heard.emplace(parsed->task, token).second)
       continue;
     if (plan_.sabotage == "again_after_done") {
       const std::uint64_t attempt = shown["try"].get<std::uint64_t>() + (std::uint64_t{1} << 20);
@@ -171,7 +171,8 @@
   if (heard == job.done_heard.end())
     return;
   ++run_report_.again_after_done;
-  const std::uint64_t started_by = (task.attempt & ~custody::kHonest) >> custody::kTokenShift;
+  const std::uint64_t started_by =
+      (task.attempt & ~delegation::kStrictCancellationFlag) >> delegation::kFencingTokenShift;
   if (started_by == heard->second)
     broke("again_after_done",
           task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
@@ -185,13 +186,13 @@
   checked_at_ = t_;
   // What waits for others takes nothing: neither room nor a part of its team's limit.
   for (auto& c : controllers_) {
-    if (!c->node || !c->node->entitled() || !plan_.chains)
+    if (!c->node || !c->node->is_active_leader() || !plan_.chains)
       continue;
-    c->node->registry().each([this](const jobs::Job& job) {
+    c->node->registry().for_each([this](const jobs::Job& job) {
       const UserJob& real = *described(job.spec.ref);
       const bool waits =
           std::any_of(real.needs.begin(), real.needs.end(), [](const UserJob* n) { return !n->over(); });
-      if (waits && job.placed > 0)
+      if (waits && job.placed_tasks > 0)
         broke("waiting_placed", job.spec.ref);
     });
   }
@@ -289,12 +290,12 @@
       if (x.phase == "exited" || !x.job)
         continue;
       if (x.job->spec.team == s.team)
-        team += x.job->spec.need.cpus;
+        team += x.job->spec.task_resources.cpus;
       zones[h->zone] += x.job == &job;
     }
   }
   for (const auto& t : settings_.teams) {
-    if (t.name == s.team && t.cpus_max > 0 && team + s.need.cpus > t.cpus_max + 1e-6)
+    if (t.name == s.team && t.cpus_max > 0 && team + s.task_resources.cpus > t.cpus_max + 1e-6)
       return false;
   }
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
@@ -302,22 +303,22 @@
     if (h.gone || h.dead || !h.up || h.sick || h.slow > 1 ||
         t_ < std::max({h.hung_until, h.deaf_until, h.mute_until}))
       return false;
-    if ((h.spot && !s.spot) || (s.zone && *s.zone != settings_.zones[h.zone]))
+    if ((h.spot && !s.allows_spot) || (s.zone && *s.zone != settings_.zones[h.zone]))
       return false;
     if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end())
       return false;
     const auto here = zones.find(h.zone);
-    if (s.spread && here != zones.end() && here->second + 1 > (s.tasks + 1) / 2)
+    if (s.spread_zones && here != zones.end() && here->second + 1 > (s.tasks + 1) / 2)
       return false;
-    if (s.one_zone && std::any_of(zones.begin(), zones.end(),
-                                  [&h](const auto& z) { return z.second > 0 && z.first != h.zone; }))
+    if (s.same_zone && std::any_of(zones.begin(), zones.end(),
+                                   [&h](const auto& z) { return z.second > 0 && z.first != h.zone; }))
       return false;
-    double cpus = s.need.cpus, memory = s.need.memory_gb;
+    double cpus = s.task_resources.cpus, memory = s.task_resources.memory_gb;
     for (const TaskOn& x : h.tasks) {
       if (x.phase == "exited" || !x.job)
         continue;
-      cpus += x.job->spec.need.cpus;
-      memory += x.job->spec.need.memory_gb;
+      cpus += x.job->spec.task_resources.cpus;
+      memory += x.job->spec.task_resources.memory_gb;
     }
     return cpus <= catalog_[h.type].cpus + 1e-9 && memory <= catalog_[h.type].memory_gb + 1e-9;
   });
@@ -359,4 +360,4 @@
   }
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/simulated_cells.cpp
+++ b/src/simulation/simulated_cells.cpp
@@ -1,9 +1,9 @@
-#include "emulator/simulated_cells.hpp"
+#include "simulation/simulated_cells.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 Cells::Cells(std::vector<Plan> plans, std::uint64_t seed) : rng_(seed) {
   for (std::size_t c = 0; c < plans.size(); ++c) {
@@ -135,4 +135,4 @@
   return day;
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/simulated_cells.hpp
+++ b/src/simulation/simulated_cells.hpp
@@ -4,9 +4,9 @@
 // neither must any task of its job.
 #pragma once
 
-#include "emulator/simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 class Cells {
  public:
@@ -60,4 +60,4 @@
 };
 CellsDay play_cells(std::uint64_t seed);
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 Plan plan_of(std::uint64_t seed) {
   Plan plan;
@@ -40,23 +40,23 @@
   for (std::size_t z = 0; z < plan_.zones; ++z)
     settings_.zones.push_back(std::string("z").append(std::to_string(z)));
   settings_.teams = {{"red", 32, plan_.limits ? 64.0 : 0, 0, 0}, {"blue", 16, plan_.limits ? 48.0 : 0, 0, 0}};
-  settings_.report_s = kReport;
-  settings_.lease_s = kLease;
-  settings_.cancel_s = kCancel;
-  settings_.state_rps = 150;
-  settings_.state_write_rps = 60;
-  settings_.list_lag_s = 3;
-  settings_.cloud_rps = 10;
+  settings_.heartbeat_interval_s = kReport;
+  settings_.worker_lease_s = kLease;
+  settings_.cancellation_limit_s = kCancel;
+  settings_.state_requests_per_s = 150;
+  settings_.state_writes_per_s = 60;
+  settings_.cloud_list_lag_s = 3;
+  settings_.cloud_requests_per_s = 10;
   settings_.tunables.idle_return_s = plan_.idle_return_s;
   wire::MachineType a{"big", 16, 0, 64, 50, 1.0, 1.0, 0.4, 12, settings_.zones};
   wire::MachineType b{"small", 8, 0, 32, 50, 1.0, 0.6, 0.2, 8, settings_.zones};
   settings_.tunables.headroom = plan_.headroom;
   settings_.tunables.begin_within_s = plan_.begin_within_s;
-  settings_.tunables.spread = plan_.spread;
-  settings_.tunables.zones = plan_.lives;
-  settings_.tunables.admission = plan_.admission;
-  settings_.tunables.custody_consent = plan_.agreed;
-  settings_.tunables.custody_leases = plan_.custody_leases;
+  settings_.tunables.load_balancing = plan_.spread;
+  settings_.tunables.zone_tracking = plan_.lives;
+  settings_.tunables.fair_admission = plan_.admission;
+  settings_.tunables.peer_agreement = plan_.agreed;
+  settings_.tunables.delegation_leases = plan_.custody_leases;
   settings_.objectives = plan_.objectives;
   if (plan_.cells > 1) {
     settings_.cells.name = std::string("c").append(std::to_string(plan_.cell));
@@ -76,20 +76,20 @@
   }
   if (plan_.machines > 100) {  // budgets as of a large deployment
     settings_.max_connections = 2 * plan_.machines;
-    settings_.state_write_rps = 30;
+    settings_.state_writes_per_s = 30;
   }
   if (plan_.write_rps > 0)
-    settings_.state_write_rps = plan_.write_rps;
+    settings_.state_writes_per_s = plan_.write_rps;
   former_ = settings_;
   if (plan_.upgrade) {
-    settings_.value_kb = 2;
-    settings_.txn_ops = 4;
-    settings_.state_write_rps *= 0.7;
+    settings_.state_value_kb = 2;
+    settings_.max_transaction_changes = 4;
+    settings_.state_writes_per_s *= 0.7;
     for (auto& c : controllers_)
       c->former = true;
-    former_.tunables.admission = 0;  // of a version that does not know them
+    former_.tunables.fair_admission = 0;  // of a version that does not know them
   }
-  state_level_ = settings_.state_rps, write_level_ = former_.state_write_rps;
+  state_level_ = settings_.state_requests_per_s, write_level_ = former_.state_writes_per_s;
   for (int i = 0; i < plan_.machines; ++i)
     add_host(static_cast<std::size_t>(i % 2), static_cast<std::size_t>(i / 2) % plan_.zones, false, 0);
 }
@@ -154,34 +154,35 @@
     ++run_report_.unfinished;
     spdlog::debug("unfinished: {} {} of {}: {}", ref, job->done.size(), job->spec.tasks, job->body.dump());
     for (auto& c : controllers_) {
-      if (!c->node || !c->node->entitled())
+      if (!c->node || !c->node->is_active_leader())
         continue;
       jobs::Job* known = c->node->registry().find(ref);
       spdlog::debug("  leader: known {}, pending {}, placed {}, failed on {} machines", known != nullptr,
-                    known ? known->pending.size() : 0, known ? known->placed : 0,
-                    known ? known->failed_on.size() : 0);
+                    known ? known->pending_tasks.size() : 0, known ? known->placed_tasks : 0,
+                    known ? known->failed_machines.size() : 0);
       if (known)
         spdlog::debug("  unmet {}, orphan {}, closing {}, away {}, aborting {}, not before {:.1f} s",
-                      known->unmet, known->orphan, known->closing, known->away, known->aborting,
-                      known->not_before - node_time(*c));
-      for (auto& m : c->node->agents().all()) {
+                      known->unmet_dependencies, known->orphaned, known->final_state_pending,
+                      known->placed_remotely, known->cancelling, known->not_before - node_time(*c));
+      for (auto& m : c->node->workers().machines()) {
         if (m.gone)
           continue;
         spdlog::debug(
             "    {} type {} zone {} spot {} used {}/{} reporting {} settled {} enlisted {} health {} unknown "
             "{} "
             "draining {} returning {} may_start {}",
-            m.host, m.type, m.zone, m.spot, m.used.cpus, m.cpus, m.reporting, m.settled, m.enlisted,
-            static_cast<int>(m.health), m.unknown, m.draining, m.returning, c->node->agents().may_start(m));
+            m.host, m.type, m.zone, m.spot, m.used.cpus, m.cpus, m.has_incarnation, m.fenced, m.in_inventory,
+            static_cast<int>(m.health), m.unsized_allocations, m.draining, m.being_returned,
+            c->node->workers().accepts_tasks(m));
       }
     }
   }
   return run_report_;
 }
 
-std::optional<daemon::Stats> SimulatedCluster::leader_stats() const {
+std::optional<controller::Stats> SimulatedCluster::leader_stats() const {
   for (const auto& c : controllers_) {
-    if (c->node && c->node->entitled())
+    if (c->node && c->node->is_active_leader())
       return c->node->stats();
   }
   return std::nullopt;
@@ -194,7 +195,7 @@
 
 std::optional<std::size_t> SimulatedCluster::leader() const {
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
-    if (controllers_[i]->node && controllers_[i]->node->entitled())
+    if (controllers_[i]->node && controllers_[i]->node->is_active_leader())
       return i;
   }
   return std::nullopt;
@@ -208,4 +209,4 @@
   return 1000 + t_ * c.rate;
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "daemon/node.hpp"
+#include "controller/controller.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 using wire::Value;
 
@@ -120,7 +120,7 @@
   // worker an address, and brings what they ask of the services and the workers. Time is then told from
   // outside too.
   struct Outside {
-    std::function<void(std::size_t, daemon::Incoming, OnAnswer)> deliver;
+    std::function<void(std::size_t, controller::IncomingRequest, OnAnswer)> deliver;
     std::function<std::string(const std::string&)> address;
     std::function<void(std::size_t)> boot, crash;
   };
@@ -233,7 +233,7 @@
     return run_report_;
   }
   // What the leader counted; nothing if nobody leads.
-  std::optional<daemon::Stats> leader_stats() const;
+  std::optional<controller::Stats> leader_stats() const;
   const settings::Settings& settings() const {
     return settings_;
   }
@@ -305,7 +305,7 @@
   double node_time(const Controller& c) const;
   void act(std::size_t i);
   void carry_out(std::size_t i, const ports::Call& call);
-  void deliver(std::size_t i, daemon::Incoming in, OnAnswer then);
+  void deliver(std::size_t i, controller::IncomingRequest in, OnAnswer then);
 
   // state service
   void bump(const std::string& key, Value value, bool erased);
@@ -427,11 +427,11 @@
   bool late_at_once_ = false, carried_out_late_ = false;
   CopyArrives copies_arrive_ = CopyArrives::later;
   double late_command_share_ = 0, late_commands_until_ = -1;
-  std::vector<daemon::Incoming> kept_reports_;
+  std::vector<controller::IncomingRequest> kept_reports_;
   double cancel_at_end_share_ = 0, cancel_at_end_until_ = -1, odd_until_ = -1, looks_until_ = -1;
   std::deque<double> asked_at_, answered_at_;  // users' questions, within kForgotten
   double quick_boots_until_ = -1, slow_links_until_ = -1, faults_until_ = 0;
   RunReport run_report_;
 };
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/state_service.cpp
+++ b/src/simulation/state_service.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 void SimulatedCluster::state_refuses(std::size_t node, double for_s) {
   fault_lasts(for_s);
@@ -20,7 +20,7 @@
 }
 
 std::optional<std::size_t> SimulatedCluster::key_holder() const {
-  const auto key = store_.find(lead::kKey);
+  const auto key = store_.find(leadership::kLeaderKey);
   const auto name = key == store_.end() ? std::nullopt : wire::text(key->second.value, "node");
   return name ? std::optional(static_cast<std::size_t>(name->back() - '0')) : std::nullopt;
 }
@@ -121,12 +121,13 @@
 }
 
 bool SimulatedCluster::over_limits(const Value& body, const settings::Settings& s, double share) const {
-  const auto ops = static_cast<std::size_t>(share < 1 ? std::max(3.0, s.txn_ops * share) : s.txn_ops);
+  const auto ops = static_cast<std::size_t>(share < 1 ? std::max(3.0, s.max_transaction_changes * share)
+                                                      : s.max_transaction_changes);
   return body["apply"].size() > ops || body["if"].size() > 4 * ops || body.dump().size() > 65536 ||
          std::any_of(body["apply"].begin(), body["apply"].end(), [&](const Value& op) {
            if (!op.contains("data"))
              return false;
-           return static_cast<double>(op["data"].dump().size()) > s.value_kb * 1024 * share;
+           return static_cast<double>(op["data"].dump().size()) > s.state_value_kb * 1024 * share;
          });
 }
 
@@ -136,10 +137,11 @@
   if (t_ < state_down_until_ || t_ < state_refuses_[node])
     return reply(503, Value::object());
   const double passed = t_ - state_at_;
-  state_level_ = std::min(settings_.state_rps, state_level_ + passed * settings_.state_rps);
+  state_level_ =
+      std::min(settings_.state_requests_per_s, state_level_ + passed * settings_.state_requests_per_s);
   state_at_ = t_;
   const settings::Settings& granted = lowered_ || !plan_.upgrade ? settings_ : former_;
-  write_level_ = std::min(granted.state_write_rps, write_level_ + passed * granted.state_write_rps);
+  write_level_ = std::min(granted.state_writes_per_s, write_level_ + passed * granted.state_writes_per_s);
   if (t_ < state_slow_until_) {
     reply = [this, reply = std::move(reply)](int status, Value out) {
       later(between(0.02, 0.4), [reply, status, out = std::move(out)] { reply(status, out); });
@@ -233,7 +235,7 @@
       write_asks_.pop_front();
     }
     run_report_.most_writes =
-        std::max(run_report_.most_writes, asked_in_span_ / granted.state_write_rps / kSpan);
+        std::max(run_report_.most_writes, asked_in_span_ / granted.state_writes_per_s / kSpan);
     if (changes > 0 && write_level_ < changes)
       return reply(429, Value::object());
     write_level_ -= changes;
@@ -257,8 +259,8 @@
     for (const Value& op : body["apply"]) {
       if (op.contains("put")) {
         const auto key = op["put"].get<std::string>();
-        run_report_.abort_marks += key.ends_with(jobs::kAbortMark);
-        if (jobs::is_sheet(key))
+        run_report_.abort_marks += key.ends_with(jobs::kCancellationSuffix);
+        if (jobs::is_batch_key(key))
           run_report_.on_sheets += op["data"].size();
         store_[key] = {op["data"], revision_, op.contains("permit") ? op["permit"].get<std::uint64_t>() : 0};
         bump(key, op["data"], false);
@@ -275,7 +277,7 @@
 
 std::size_t SimulatedCluster::sheets() const {
   return static_cast<std::size_t>(
-      std::count_if(store_.begin(), store_.end(), [](const auto& e) { return jobs::is_sheet(e.first); }));
+      std::count_if(store_.begin(), store_.end(), [](const auto& e) { return jobs::is_batch_key(e.first); }));
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/users.cpp
+++ b/src/simulation/users.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 // Some of the jobs that were accepted, whatever has become of them, and mostly late ones.
 void SimulatedCluster::name_needs(UserJob& job) {
@@ -22,7 +22,7 @@
       continue;
     job.needs.push_back(need);
     need->needed_by.push_back(&job);
-    job.spec.waits_on.push_back(need->spec.ref);
+    job.spec.depends_on.push_back(need->spec.ref);
   }
   ++run_report_.chained;
 }
@@ -31,10 +31,10 @@
 void SimulatedCluster::submit_impossible() {
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-8" + std::to_string(pick(100000));
-  s.waits_on = {odds(0.3) ? s.ref : "req-7" + std::to_string(pick(100000))};
+  s.depends_on = {odds(0.3) ? s.ref : "req-7" + std::to_string(pick(100000))};
   if (odds(0.5))
-    s.waits_on.push_back(jobs_.begin()->first);
-  daemon::Incoming in;
+    s.depends_on.push_back(jobs_.begin()->first);
+  controller::IncomingRequest in;
   in.method = "POST";
   in.path = wire::kJobsPath;
   in.body = wire::encode_cbor(wire::job_value(s));
@@ -55,7 +55,7 @@
   job->submitted = true;
   job->came = t_;
   UserJob& j = *job;
-  for (const std::string& ref : spec.waits_on) {
+  for (const std::string& ref : spec.depends_on) {
     j.needs.push_back(jobs_.at(ref).get());
     jobs_.at(ref)->needed_by.push_back(&j);
   }
@@ -84,17 +84,17 @@
   s.team = odds(0.5) ? "red" : "blue";
   s.image = "img-" + std::to_string(pick(4));
   s.image_gb = between(0.2, 3);
-  s.need = {odds(0.5) ? 2.0 : 4.0, 0, between(1, 8)};
+  s.task_resources = {odds(0.5) ? 2.0 : 4.0, 0, between(1, 8)};
   s.shape = odds(0.25) ? wire::Shape::service : wire::Shape::array;
   if (s.shape == wire::Shape::service) {
     s.tasks = static_cast<std::uint32_t>(1 + pick(4));
     s.priority = wire::Priority::production;
-    s.spread = odds(0.5);
+    s.spread_zones = odds(0.5);
   } else {
     s.tasks = static_cast<std::uint32_t>(1 + pick(odds(0.1) ? 40 : 10));
     s.priority = odds(0.2) ? wire::Priority::high : wire::Priority::normal;
-    s.spot = odds(0.6);
-    s.one_zone = odds(0.15);
+    s.allows_spot = odds(0.6);
+    s.same_zone = odds(0.15);
     job->run_s = odds(0.1) ? between(40, 90) : between(1, 15);
     s.estimate_s = job->run_s * between(0.5, 2);
     job->bad = odds(0.03);
@@ -109,7 +109,7 @@
     s.types = {catalog_[pick(2)].name};
   if (plan_.chains && t_ >= chains_from_ && s.shape != wire::Shape::service && odds(0.5))
     name_needs(*job);
-  if (s.waits_on.empty() == false && odds(0.5))
+  if (s.depends_on.empty() == false && odds(0.5))
     s.deadline_s = between(20, 300);
   if (plan_.chains && t_ >= chains_from_ && !jobs_.empty() && odds(0.1))
     submit_impossible();
@@ -141,7 +141,7 @@
   if (odds(0.2)) {
     const std::string name = "req-9" + std::to_string(pick(100000));
     send("users", node_name(pick(plan_.nodes)), [this, name, i = pick(plan_.nodes)] {
-      daemon::Incoming in;
+      controller::IncomingRequest in;
       in.method = "GET";
       in.path = std::string(wire::kJobsPath) + "/" + name;
       deliver(i, in, [this, name](const ports::Answer& a) {
@@ -157,7 +157,7 @@
 }
 
 void SimulatedCluster::submit_at(UserJob& job, double since, std::size_t i) {
-  daemon::Incoming in;
+  controller::IncomingRequest in;
   in.method = "POST";
   in.path = wire::kJobsPath;
   in.body = wire::encode_cbor(job.body);
@@ -253,7 +253,7 @@
 }
 
 void SimulatedCluster::ask(UserJob& job, std::size_t i, const char* how) {
-  daemon::Incoming in;
+  controller::IncomingRequest in;
   in.method = "GET";
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref;
   // What counts is the order in which the user hears things: an answer given up on is not heard.
@@ -291,7 +291,7 @@
 }
 
 void SimulatedCluster::abort_at(UserJob& job, std::size_t i) {
-  daemon::Incoming in;
+  controller::IncomingRequest in;
   in.method = "POST";
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref + wire::kAbortSuffix;
   send("users", node_name(i), [this, i, in, &job] {
@@ -307,4 +307,4 @@
   });
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/emulator/workers.cpp
+++ b/src/simulation/workers.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "emulator/components.hpp"
+#include "simulation/components.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 void SimulatedCluster::worker_up(WorkerMachine& h) {
   if (h.gone)
@@ -73,9 +73,9 @@
   const std::uint64_t serial = ++h.beat_serial, session = h.session;
   const double sent = t_;
   const std::string me = h.name, to = node_name(h.node);
-  daemon::Incoming in;
+  controller::IncomingRequest in;
   in.method = "POST";
-  in.path = wire::kReportPath;
+  in.path = wire::kHeartbeatPath;
   Value report = report_value(h);
   in.body = wire::encode_cbor(report);
   auto next = [this, me, serial](double delay, bool other) {
@@ -136,7 +136,8 @@
   }
   send(me, to, [this, in, got, me, to, i = h.node, report = std::move(report)] {
     deliver(i, in, [this, got, me, to, i, report](const ports::Answer& a) {
-      const bool by_leader = a.status == 200 && controllers_[i]->node && controllers_[i]->node->entitled();
+      const bool by_leader =
+          a.status == 200 && controllers_[i]->node && controllers_[i]->node->is_active_leader();
       if (by_leader)
         done_heard(*machines_.at(me), report, a);
       send(to, me, [got, a] { got(a); });
@@ -218,7 +219,7 @@
   TaskOn x;
   x.name = name;
   x.attempt = attempt;
-  const auto parsed = wire::parse_task(name);
+  const auto parsed = wire::parse_task_name(name);
   UserJob* job = parsed ? described(parsed->ref) : nullptr;
   auto refuse = [&](const char* why) {
     x.phase = "exited";
@@ -229,15 +230,15 @@
   if (!job || !job->submitted)
     return refuse("unknown");
   x.job = job;
-  x.index = parsed->index;
-  double cpus = x.job->spec.need.cpus, memory = x.job->spec.need.memory_gb;
+  x.index = parsed->task;
+  double cpus = x.job->spec.task_resources.cpus, memory = x.job->spec.task_resources.memory_gb;
   for (const TaskOn& other : h.tasks) {
     if (other.phase == "exited")
       continue;
     if (other.name == name)
       return refuse("busy");
-    cpus += other.job->spec.need.cpus;
-    memory += other.job->spec.need.memory_gb;
+    cpus += other.job->spec.task_resources.cpus;
+    memory += other.job->spec.task_resources.memory_gb;
   }
   if (cpus > catalog_[h.type].cpus + 1e-9 || memory > catalog_[h.type].memory_gb + 1e-9)
     return refuse("no_room");
@@ -371,4 +372,4 @@
   }
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -33,15 +33,15 @@
                                             {"running", TaskPhase::running},
                                             {"saving", TaskPhase::saving},
                                             {"exited", TaskPhase::exited}};
-constexpr Named<Cause> kCauses[] = {{"done", Cause::done},          {"halted", Cause::stopped},
-                                    {"error", Cause::error},        {"mates_gone", Cause::stopped},
-                                    {"incomplete", Cause::stopped}, {"no_room", Cause::no_room},
-                                    {"busy", Cause::busy},          {"unknown", Cause::unknown}};
+constexpr Named<ExitCause> kCauses[] = {
+    {"done", ExitCause::done},          {"halted", ExitCause::stopped},     {"error", ExitCause::error},
+    {"mates_gone", ExitCause::stopped}, {"incomplete", ExitCause::stopped}, {"no_room", ExitCause::no_room},
+    {"busy", ExitCause::busy},          {"unknown", ExitCause::unknown}};
 constexpr Named<ListedMachine::State> kListed[] = {{"starting", ListedMachine::State::booting},
                                                    {"running", ListedMachine::State::running},
                                                    {"failed", ListedMachine::State::failed}};
-constexpr Named<Order::Verb> kVerbs[] = {
-    {"start", Order::Verb::start}, {"halt", Order::Verb::stop}, {"reap", Order::Verb::forget}};
+constexpr Named<Command::Verb> kVerbs[] = {
+    {"start", Command::Verb::start}, {"halt", Command::Verb::stop}, {"reap", Command::Verb::forget}};
 
 template <typename E, std::size_t N>
 std::optional<E> by_name(const Named<E> (&table)[N], const std::optional<std::string>& name) {
@@ -95,11 +95,11 @@
   return out;
 }
 
-Value orders_value(const std::vector<Order>& orders) {
+Value orders_value(const std::vector<Command>& orders) {
   Value list = Value::array();
-  for (const Order& o : orders) {
+  for (const Command& o : orders) {
     Value v{{"verb", name_of(kVerbs, o.verb)}, {"shard", o.task}, {"try", o.attempt}};
-    if (o.verb == Order::Verb::stop)
+    if (o.verb == Command::Verb::stop)
       v["windDownS"] = o.grace_s;
     list.push_back(std::move(v));
   }
@@ -149,10 +149,10 @@
   struct {
     const char* key;
     double* to;
-  } amounts[] = {{"cores", &s.need.cpus},      {"accelerators", &s.need.gpus},
-                 {"memGb", &s.need.memory_gb}, {"sizeGb", &s.image_gb},
-                 {"expectedS", &s.estimate_s}, {"snapshotEveryS", &s.checkpoint_s},
-                 {"snapshotCostS", &s.save_s}};
+  } amounts[] = {{"cores", &s.task_resources.cpus},      {"accelerators", &s.task_resources.gpus},
+                 {"memGb", &s.task_resources.memory_gb}, {"sizeGb", &s.image_gb},
+                 {"expectedS", &s.estimate_s},           {"snapshotEveryS", &s.checkpoint_interval_s},
+                 {"snapshotCostS", &s.checkpoint_cost_s}};
   for (auto& [key, to] : amounts) {
     auto a = amount(v, key);
     if (!good_amount(a))
@@ -162,7 +162,7 @@
   struct {
     const char* key;
     bool* to;
-  } flags[] = {{"samePlace", &s.one_zone}, {"apart", &s.spread}, {"standby", &s.spot}};
+  } flags[] = {{"samePlace", &s.same_zone}, {"apart", &s.spread_zones}, {"standby", &s.allows_spot}};
   for (auto& [key, to] : flags) {
     auto f = flag(v, key);
     if (!f)
@@ -193,7 +193,7 @@
       return R::fail("waitsOn: expected null or a list of job references");
     std::sort(list->begin(), list->end());
     list->erase(std::unique(list->begin(), list->end()), list->end());
-    s.waits_on = std::move(*list);
+    s.depends_on = std::move(*list);
   }
   return s;
 }
@@ -205,25 +205,25 @@
           {"shape", name_of(kShapes, s.shape)},
           {"urgency", name_of(kPriorities, s.priority)},
           {"shards", s.tasks},
-          {"cores", s.need.cpus},
-          {"accelerators", s.need.gpus},
-          {"memGb", s.need.memory_gb},
+          {"cores", s.task_resources.cpus},
+          {"accelerators", s.task_resources.gpus},
+          {"memGb", s.task_resources.memory_gb},
           {"bundle", s.image},
           {"sizeGb", s.image_gb},
-          {"samePlace", s.one_zone},
-          {"apart", s.spread},
-          {"standby", s.spot},
+          {"samePlace", s.same_zone},
+          {"apart", s.spread_zones},
+          {"standby", s.allows_spot},
           {"expectedS", s.estimate_s},
-          {"snapshotEveryS", s.checkpoint_s},
-          {"snapshotCostS", s.save_s}};
+          {"snapshotEveryS", s.checkpoint_interval_s},
+          {"snapshotCostS", s.checkpoint_cost_s}};
   if (!s.types.empty())
     v["flavours"] = s.types;
   if (s.zone)
     v["hall"] = *s.zone;
   if (s.deadline_s)
     v["dueS"] = *s.deadline_s;
-  if (!s.waits_on.empty())
-    v["waitsOn"] = s.waits_on;
+  if (!s.depends_on.empty())
+    v["waitsOn"] = s.depends_on;
   return v;
 }
 
@@ -233,7 +233,7 @@
   return v;
 }
 
-bool needs_others(const Value& record) {
+bool has_dependencies(const Value& record) {
   const Value* needs = find(record, "waitsOn");
   return needs && needs->is_array() && !needs->empty();
 }
@@ -242,18 +242,19 @@
   return amount(record, "submittedAt");
 }
 
-Value ended_record(const Ended& e) {
+Value final_state_record(const FinalState& e) {
   Value v{{"phase", phase_name(e.phase)}, {"tasks", e.tasks}};
-  if (e.at)
-    v["at"] = *e.at;
+  if (e.ended_at)
+    v["at"] = *e.ended_at;
   return v;
 }
 
-std::optional<Ended> parse_ended(const Value& record) {
+std::optional<FinalState> parse_final_state(const Value& record) {
   const auto phase = parse_phase(record);
   if (!phase)
     return std::nullopt;
-  return Ended{*phase, static_cast<std::uint32_t>(count(record, "tasks").value_or(0)), amount(record, "at")};
+  return FinalState{*phase, static_cast<std::uint32_t>(count(record, "tasks").value_or(0)),
+                    amount(record, "at")};
 }
 
 const char* phase_name(Phase phase) {
@@ -272,14 +273,14 @@
   return by_name(kPhases, text(v, "phase"));
 }
 
-std::optional<TaskName> parse_task(std::string_view name) {
+std::optional<TaskName> parse_task_name(std::string_view name) {
   const auto slash = name.rfind('/');
   if (slash == std::string_view::npos || !valid_ref(name.substr(0, slash)))
     return std::nullopt;
   TaskName t{std::string(name.substr(0, slash)), 0};
   const char* end = name.data() + name.size();
-  auto [p, ec] = std::from_chars(name.data() + slash + 1, end, t.index);
-  if (ec != std::errc() || p != end || t.index >= kMaxTasks)
+  auto [p, ec] = std::from_chars(name.data() + slash + 1, end, t.task);
+  if (ec != std::errc() || p != end || t.task >= kMaxTasks)
     return std::nullopt;
   return t;
 }
@@ -294,7 +295,7 @@
 // occurs twice, or is not what it should be, spoils the report.
 class ReportReader : public nlohmann::json_sax<Value> {
  public:
-  Report report;
+  Heartbeat report;
   std::string problem;
 
   // Whether all is there that must be.
@@ -328,16 +329,16 @@
       return true;
     switch (field_) {
       case session:
-        report.session = v;
+        report.incarnation = v;
         return v >= 1 || spoilt();
       case seq:
-        report.seq = v;
+        report.sequence = v;
         return true;
       case token:
-        report.token = v;
+        report.fencing_token = v;
         return true;
       case reclaim:
-        report.reclaim_in_s = static_cast<double>(v);
+        report.preemption_in_s = static_cast<double>(v);
         return true;
       case attempt:
         task_.attempt = v;
@@ -352,7 +353,7 @@
     if (!std::isfinite(v))
       return spoilt();
     if (field_ == reclaim) {
-      report.reclaim_in_s = v;
+      report.preemption_in_s = v;
       return true;
     }
     // A sender in a language without integers may write 4.0; 2^53 is where doubles stop being exact.
@@ -371,17 +372,17 @@
       case host:
         return name(report.host);
       case addr:
-        return name(report.addr);
+        return name(report.address);
       case type:
         return name(report.type);
       case zone:
         return name(report.zone);
       case task_id: {
-        auto parsed = parse_task(v);
+        auto parsed = parse_task_name(v);
         if (!parsed)
           return spoilt();
         task_.ref = std::move(parsed->ref);
-        task_.index = parsed->index;
+        task_.task = parsed->task;
         return true;
       }
       case phase:
@@ -389,7 +390,7 @@
         task_.phase = by_name(kTaskPhases, v).value_or(TaskPhase::fetching);
         return true;
       case cause:
-        cause_ = by_name(kCauses, v).value_or(Cause::error);
+        cause_ = by_name(kCauses, v).value_or(ExitCause::error);
         return true;
       default:
         return spoilt();
@@ -405,7 +406,7 @@
       return true;
     if (depth_ == 3 && in_tasks_) {
       task_ = {};
-      cause_ = Cause::error;
+      cause_ = ExitCause::error;
       seen_ &= ~kTaskFields;
       return true;
     }
@@ -501,33 +502,33 @@
   int depth_ = 0;
   bool in_tasks_ = false;
   unsigned seen_ = 0;
-  TaskReport task_;
-  Cause cause_ = Cause::error;
+  TaskStatus task_;
+  ExitCause cause_ = ExitCause::error;
 };
 
 }  // namespace
 
-Result<Report> parse_report(std::string_view cbor) {
+Result<Heartbeat> parse_heartbeat(std::string_view cbor) {
   ReportReader reader;
   try {
     Value::sax_parse(cbor.begin(), cbor.end(), &reader, nlohmann::json::input_format_t::cbor);
   } catch (const std::exception& e) {
-    return Result<Report>::fail(e.what());
+    return Result<Heartbeat>::fail(e.what());
   }
   if (!reader.complete())
-    return Result<Report>::fail(reader.problem);
+    return Result<Heartbeat>::fail(reader.problem);
   return std::move(reader.report);
 }
 
-Value report_answer(std::uint64_t token, const std::vector<Order>& orders) {
+Value heartbeat_reply(std::uint64_t token, const std::vector<Command>& orders) {
   return {{"mandate", token}, {"orders", orders_value(orders)}};
 }
 
-Value commands_body(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
+Value commands_body(std::uint64_t token, std::uint64_t session, const std::vector<Command>& orders) {
   return {{"mandate", token}, {"tenure", session}, {"orders", orders_value(orders)}};
 }
 
-Value steward(const std::string& node) {
+Value leader_redirect(const std::string& node) {
   return node.empty() ? Value::object() : Value{{"steward", node}};
 }
 
@@ -583,8 +584,8 @@
   return after.empty() ? path : path + "&after=" + escape(after);
 }
 
-Value hire_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                int n) {
+Value rental_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
+                  int n) {
   return {{"hire", request}, {"flavour", type}, {"hall", zone}, {"standby", spot}, {"howMany", n}};
 }
 
@@ -592,7 +593,7 @@
   return {{"hosts", hosts}};
 }
 
-Result<std::vector<std::string>> parse_hired(const Value& v) {
+Result<std::vector<std::string>> parse_rented(const Value& v) {
   const Value* list = find(v, "hosts");
   auto hosts = list ? text_list(*list) : std::nullopt;
   if (!hosts)
@@ -600,23 +601,23 @@
   return std::move(*hosts);
 }
 
-Txn& Txn::require(const std::string& key, std::uint64_t version) {
+Transaction& Transaction::require(const std::string& key, std::uint64_t version) {
   body_["if"].push_back({{"path", key}, {"stamp", version}});
   return *this;
 }
 
-Txn& Txn::put(const std::string& key, Value value, std::uint64_t lease) {
+Transaction& Transaction::put(const std::string& key, Value value, std::uint64_t lease) {
   Value op{{"put", key}, {"data", std::move(value)}};
   if (lease)
     op["permit"] = lease;
   body_["apply"].push_back(std::move(op));
-  ++ops_;
+  ++change_count_;
   return *this;
 }
 
-Txn& Txn::erase(const std::string& key) {
+Transaction& Transaction::erase(const std::string& key) {
   body_["apply"].push_back({{"delete", key}});
-  ++ops_;
+  ++change_count_;
   return *this;
 }
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -68,14 +68,14 @@
   Shape shape = Shape::array;
   Priority priority = Priority::normal;
   std::uint32_t tasks = 0;
-  Resources need;
+  Resources task_resources;
   double image_gb = 0;
   std::vector<std::string> types;  // empty: any
   std::optional<std::string> zone;
-  bool one_zone = false, spread = false, spot = false;
-  double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+  bool same_zone = false, spread_zones = false, allows_spot = false;
+  double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_cost_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string> waits_on;  // jobs that must be done before any of its tasks starts; each once
+  std::vector<std::string> depends_on;  // jobs that must be done before any of its tasks starts; each once
 };
 
 bool valid_ref(std::string_view ref);
@@ -85,13 +85,13 @@
 Value job_record(const JobSpec& spec, double submitted_at);
 std::optional<double> submitted_at(const Value& record);
 // And of one that is over. Records of versions before chains have no time.
-struct Ended {
+struct FinalState {
   Phase phase = Phase::done;
   std::uint32_t tasks = 0;
-  std::optional<double> at;  // time of day
+  std::optional<double> ended_at;  // time of day
 };
-Value ended_record(const Ended& ended);
-std::optional<Ended> parse_ended(const Value& record);
+Value final_state_record(const FinalState& ended);
+std::optional<FinalState> parse_final_state(const Value& record);
 Value job_state(const std::string& ref, Phase phase);
 Value job_progress(const std::string& ref, Phase phase, std::uint32_t done, std::uint32_t running);
 std::optional<Phase> parse_phase(const Value& job_state_value);
@@ -100,49 +100,49 @@
 // "req-000412/3" -> job reference and task number.
 struct TaskName {
   std::string ref;
-  std::uint32_t index = 0;
+  std::uint32_t task = 0;
 };
-std::optional<TaskName> parse_task(std::string_view name);
+std::optional<TaskName> parse_task_name(std::string_view name);
 std::string task_name(const std::string& ref, std::uint32_t index);
 
 inline constexpr const char* kJobsPath = "/api/jobs";
 inline constexpr const char* kAbortSuffix = "/abort";
 inline constexpr const char* kReadyPath = "/ready";
-inline constexpr const char* kReportPath = "/agent/beat";
+inline constexpr const char* kHeartbeatPath = "/agent/beat";
 inline constexpr const char* kCommandsPath = "/commands";
 
 // ---- workers
 
 enum class TaskPhase : std::uint8_t { fetching, running, saving, exited };
-enum class Cause : std::uint8_t { none, done, stopped, error, no_room, busy, unknown };
+enum class ExitCause : std::uint8_t { none, done, stopped, error, no_room, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
   std::string ref;
-  std::uint32_t index = 0;
+  std::uint32_t task = 0;
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::fetching;
-  Cause cause = Cause::none;
+  ExitCause cause = ExitCause::none;
 };
 
-struct Report {
-  std::string host, addr, type, zone;
+struct Heartbeat {
+  std::string host, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
-  std::optional<double> reclaim_in_s;
-  std::vector<TaskReport> tasks;
+  std::uint64_t incarnation = 0, sequence = 0, fencing_token = 0;
+  std::optional<double> preemption_in_s;
+  std::vector<TaskStatus> tasks;
 };
 // Straight from CBOR, without a tree of values between: reports are most of what a leader reads.
-Result<Report> parse_report(std::string_view cbor);
+Result<Heartbeat> parse_heartbeat(std::string_view cbor);
 
-struct Order {
+struct Command {
   enum class Verb : std::uint8_t { start, stop, forget } verb;
   std::string task;
   std::uint64_t attempt;
   double grace_s = 0;
 };
-Value report_answer(std::uint64_t token, const std::vector<Order>& orders);
-Value commands_body(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
-Value steward(const std::string& node);
+Value heartbeat_reply(std::uint64_t token, const std::vector<Command>& orders);
+Value commands_body(std::uint64_t token, std::uint64_t session, const std::vector<Command>& orders);
+Value leader_redirect(const std::string& node);
 
 // ---- cloud
 
@@ -156,7 +156,7 @@
 
 struct ListedMachine {
   enum class State : std::uint8_t { booting, running, failed };
-  std::string host, addr, type, zone;
+  std::string host, address, type, zone;
   bool spot = false;
   State state = State::booting;
   double age_s = 0;
@@ -167,10 +167,10 @@
 };
 Result<MachineList> parse_machine_list(const Value& v);
 std::string machine_list_path(const std::string& after, int limit);
-Value hire_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
-                int count);
+Value rental_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
+                  int count);
 Value return_body(const std::vector<std::string>& hosts);
-Result<std::vector<std::string>> parse_hired(const Value& v);
+Result<std::vector<std::string>> parse_rented(const Value& v);
 inline constexpr const char* kCatalogPath = "/catalog";
 inline constexpr const char* kMachinesPath = "/machines";
 inline constexpr const char* kReturnPath = "/machines/return";
@@ -199,15 +199,15 @@
 };
 
 // A transaction under construction. `bytes` tracks its size so that callers can stay below the limit.
-class Txn {
+class Transaction {
  public:
-  Txn& require(const std::string& key, std::uint64_t version);
-  Txn& put(const std::string& key, Value value, std::uint64_t lease = 0);
-  Txn& erase(const std::string& key);
-  int ops() const {
-    return ops_;
+  Transaction& require(const std::string& key, std::uint64_t version);
+  Transaction& put(const std::string& key, Value value, std::uint64_t lease = 0);
+  Transaction& erase(const std::string& key);
+  int change_count() const {
+    return change_count_;
   }
-  int conditions() const {
+  int condition_count() const {
     return static_cast<int>(body_["if"].size());
   }
   Value take() {
@@ -216,10 +216,10 @@
 
  private:
   Value body_ = Value{{"if", Value::array()}, {"apply", Value::array()}};
-  int ops_ = 0;
+  int change_count_ = 0;
 };
 // Whether the record is of a job that waits for others.
-bool needs_others(const Value& record);
+bool has_dependencies(const Value& record);
 std::optional<std::uint64_t> revision(const Value& v);
 std::vector<std::string> failed_keys(const Value& v);  // of a transaction whose comparison failed
 std::optional<std::uint64_t> lease_id(const Value& v);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -9,12 +9,12 @@
 #include <queue>
 #include <set>
 
-#include "admission/index.hpp"
-#include "admission/intake.hpp"
-#include "admission/shares.hpp"
-#include "admission/turns.hpp"
-#include "daemon/node.hpp"
-#include "jobs/ledger.hpp"
+#include "admission/batch_index.hpp"
+#include "admission/budget_shares.hpp"
+#include "admission/creation_queue.hpp"
+#include "admission/fair_queue.hpp"
+#include "controller/controller.hpp"
+#include "jobs/state_writer.hpp"
 
 namespace wingtrail::admission {
 namespace {
@@ -60,20 +60,20 @@
     for (std::size_t t = 0; t < teams; ++t)
       rates.push_back(rng(3) == 0 ? 60 : 2 + rng(12));  // a second
     constexpr double kRoom = 40;
-    Turns turns(weights);
-    std::map<Turns::Id, std::size_t> of;
+    FairQueue turns(weights);
+    std::map<FairQueue::Id, std::size_t> of;
     std::vector<double> served(teams), owed(teams);
-    Turns::Id last = 0;
+    FairQueue::Id last = 0;
     constexpr int kSeconds = 200;
     for (int s = 0; s < kSeconds; ++s) {
       for (std::size_t t = 0; t < teams; ++t) {
         for (int n = 0; n < static_cast<int>(rates[t]); ++n) {
           of[++last] = t;
-          turns.add(static_cast<Ix>(t), static_cast<Ix>(rng(3)), last, s);
+          turns.push(jobs::TeamIndex(t), jobs::ClassIndex(rng(3)), last, s);
         }
       }
       for (int n = 0; n < kRoom; ++n) {
-        if (const auto id = turns.take())
+        if (const auto id = turns.pop())
           served[of[*id]] += 1;
       }
     }
@@ -84,49 +84,49 @@
 }
 
 TEST(Turns, AFloodLengthensItsOwnLineOnly) {
-  Turns turns({1, 1});
-  for (Turns::Id id = 1; id <= 1000; ++id)
-    turns.add(0, 0, id, 1);
-  EXPECT_NEAR(turns.ahead(0, 0, 2), 1000, 1);
-  EXPECT_LE(turns.ahead(0, 1, 2), 1) << "another class of the team";
-  EXPECT_LE(turns.ahead(1, 0, 2), 1) << "another team";
-  turns.add(0, 1, 2001, 2);
-  turns.add(1, 0, 2002, 2);
-  std::set<Turns::Id> first;
+  FairQueue turns({1, 1});
+  for (FairQueue::Id id = 1; id <= 1000; ++id)
+    turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), id, 1);
+  EXPECT_NEAR(turns.jobs_ahead(jobs::TeamIndex(0), jobs::ClassIndex(0), 2), 1000, 1);
+  EXPECT_LE(turns.jobs_ahead(jobs::TeamIndex(0), jobs::ClassIndex(1), 2), 1) << "another class of the team";
+  EXPECT_LE(turns.jobs_ahead(jobs::TeamIndex(1), jobs::ClassIndex(0), 2), 1) << "another team";
+  turns.push(jobs::TeamIndex(0), jobs::ClassIndex(1), 2001, 2);
+  turns.push(jobs::TeamIndex(1), jobs::ClassIndex(0), 2002, 2);
+  std::set<FairQueue::Id> first;
   for (int n = 0; n < 4; ++n)
-    first.insert(*turns.take());
+    first.insert(*turns.pop());
   EXPECT_TRUE(first.contains(2001) && first.contains(2002));
 }
 
 TEST(Turns, TheOldestTryComesFirstInItsClass) {
-  Turns turns({1});
-  for (Turns::Id id = 1; id <= 3; ++id)
-    turns.add(0, 0, id, 10 + static_cast<double>(id));
-  const auto id = turns.take();
+  FairQueue turns({1});
+  for (FairQueue::Id id = 1; id <= 3; ++id)
+    turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), id, 10 + static_cast<double>(id));
+  const auto id = turns.pop();
   EXPECT_EQ(id, 1U);
-  turns.add(0, 0, *id, 11);  // nothing became of its turn
-  turns.add(0, 0, 9, 4);     // a retry
-  EXPECT_EQ(turns.ahead(0, 0, 5), 1);
-  EXPECT_EQ(turns.ahead(0, 0, 11.5), 2);
-  EXPECT_EQ(turns.take(), 9U);
-  EXPECT_EQ(turns.take(), 1U);
-  turns.drop([](Turns::Id w) { return w == 2; });
+  turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), *id, 11);  // nothing became of its turn
+  turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), 9, 4);     // a retry
+  EXPECT_EQ(turns.jobs_ahead(jobs::TeamIndex(0), jobs::ClassIndex(0), 5), 1);
+  EXPECT_EQ(turns.jobs_ahead(jobs::TeamIndex(0), jobs::ClassIndex(0), 11.5), 2);
+  EXPECT_EQ(turns.pop(), 9U);
+  EXPECT_EQ(turns.pop(), 1U);
+  turns.remove_if([](FairQueue::Id w) { return w == 2; });
   EXPECT_EQ(turns.size(), 1U);
-  EXPECT_EQ(turns.take(), 3U);
+  EXPECT_EQ(turns.pop(), 3U);
 }
 
 TEST(Turns, APauseSavesNothingUp) {
-  Turns turns({1, 1});
-  Turns::Id id = 0;
+  FairQueue turns({1, 1});
+  FairQueue::Id id = 0;
   for (int n = 0; n < 500; ++n)
-    turns.add(0, 0, ++id, 0);
+    turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), ++id, 0);
   for (int n = 0; n < 400; ++n)
-    turns.take();
+    turns.pop();
   for (int n = 0; n < 100; ++n)
-    turns.add(1, 0, 10'000 + n, 1);
+    turns.push(jobs::TeamIndex(1), jobs::ClassIndex(0), 10'000 + n, 1);
   int late = 0;
   for (int n = 0; n < 100; ++n)
-    late += *turns.take() >= 10'000;
+    late += *turns.pop() >= 10'000;
   EXPECT_NEAR(late, 50, 2) << "who comes late shares from now on, and makes up for nothing";
 }
 
@@ -134,42 +134,42 @@
 
 TEST(Tries, AllNodesKnowTheFirstTryWithinAGreeting) {
   pcg32 rng(3);
-  std::vector<Tries> nodes(5);
+  std::vector<FirstAttempts> nodes(5);
   std::map<std::string, double> first;
   for (double t = 0; t < 60; t += 0.1) {
     for (int k = 0; k < 3; ++k) {
       const std::string ref = "req-" + std::to_string(rng(400));
-      Tries& node = nodes[rng(5)];
-      const auto known = node.first(ref);
+      FirstAttempts& node = nodes[rng(5)];
+      const auto known = node.first_attempt(ref);
       // Within a greeting of its first refusal a job may come to a node that has not heard of it.
       if (first.contains(ref) && first[ref] < t - 1.05) {
         ASSERT_TRUE(known) << ref;
         EXPECT_NEAR(*known, first[ref], 0.01);
       }
       first.try_emplace(ref, t);
-      node.put_off(ref, std::min(t, known.value_or(t)), t);
+      node.record_deferral(ref, std::min(t, known.value_or(t)), t);
     }
     if (std::fmod(t + 1e-9, 1.0) > 0.05)
       continue;
     for (std::size_t a = 0; a < 5; ++a) {
-      const std::string told = nodes[a].tell(t);
+      const std::string told = nodes[a].encode_recent(t);
       for (std::size_t b = 0; b < 5; ++b) {
         if (a != b)
-          nodes[b].heard(told, t);
+          nodes[b].merge(told, t);
       }
     }
   }
 }
 
 TEST(Tries, AreForgottenAndBounded) {
-  Tries tries;
+  FirstAttempts tries;
   for (int n = 0; n < 50'000; ++n)
-    tries.put_off("req-" + std::to_string(n), n * 0.001, n * 0.001);
+    tries.record_deferral("req-" + std::to_string(n), n * 0.001, n * 0.001);
   EXPECT_LE(tries.size(), 20'000U);
-  EXPECT_LE(tries.tell(50).size(), 12'000U);
-  tries.put_off("req-x", 500, 500);
+  EXPECT_LE(tries.encode_recent(50).size(), 12'000U);
+  tries.record_deferral("req-x", 500, 500);
   EXPECT_EQ(tries.size(), 1U);
-  tries.heard("not twelve", 500);
+  tries.merge("not twelve", 500);
   EXPECT_EQ(tries.size(), 1U);
 }
 
@@ -180,11 +180,11 @@
 struct Nodes {
   explicit Nodes(std::uint64_t seed, std::size_t count) : rng(seed) {
     for (std::size_t i = 0; i < count; ++i) {
-      nodes.push_back({Shares(count), 1 + (unit(rng) - 0.5) * 0.001, 1000 * unit(rng)});
+      nodes.push_back({BudgetShares(count), 1 + (unit(rng) - 0.5) * 0.001, 1000 * unit(rng)});
     }
   }
   struct Node {
-    Shares shares;
+    BudgetShares shares;
     double rate, offset;
     bool leads = false;
     double until = -1;  // of its authority, on its own clock
@@ -198,7 +198,7 @@
   double in_use() const {
     double sum = 0;
     for (const Node& n : nodes)
-      sum += n.shares.mine(clock(n), entitled(n));
+      sum += n.shares.own_share(clock(n), entitled(n));
     return sum;
   }
   pcg32 rng;
@@ -226,7 +226,7 @@
           n.leads = &n == &w.nodes[holder] || (n.leads && w.entitled(n));
         auto& n = w.nodes[holder];
         n.until = w.clock(n) + kLease * 0.999 - 0.05;
-        n.shares.lead(w.clock(n));
+        n.shares.begin_leadership(w.clock(n));
         lease_until = w.t + kLease;
       }
       const bool troubled = w.t < 150;
@@ -258,7 +258,7 @@
             const double lent = leader.shares.lend(i < l ? i : i - 1, wants, w.clock(leader));
             for (int copies = 0; copies < 2; ++copies)
               events.emplace(w.t + back * (1 + copies),
-                             [&w, i, asked, lent] { w.nodes[i].shares.borrowed(lent, asked); });
+                             [&w, i, asked, lent] { w.nodes[i].shares.on_loan(lent, asked); });
           });
         }
       }
@@ -272,29 +272,29 @@
 }
 
 TEST(Shares, WhatADeadNodeHadIsInUseWithinTwoSeconds) {
-  Shares leader(3);
-  leader.lead(0);
-  const double alone = leader.mine(10, true);
+  BudgetShares leader(3);
+  leader.begin_leadership(0);
+  const double alone = leader.own_share(10, true);
   EXPECT_NEAR(leader.lend(0, 0.15, 10), 0.15, 1e-9);
-  EXPECT_NEAR(leader.mine(10, true), alone - 0.15, 1e-9);
-  EXPECT_NEAR(leader.mine(12, true), alone, 1e-9);
+  EXPECT_NEAR(leader.own_share(10, true), alone - 0.15, 1e-9);
+  EXPECT_NEAR(leader.own_share(12, true), alone, 1e-9);
 }
 
 TEST(Shares, WantsThatExceedWhatThereIsShareIt) {
-  Shares leader(3);
-  leader.lead(0);
+  BudgetShares leader(3);
+  leader.begin_leadership(0);
   leader.lend(0, 0.8, 10);
   EXPECT_NEAR(leader.lend(1, 0.4, 10.1), 0, 1e-9) << "all is lent until the first loan is renewed";
-  EXPECT_NEAR(leader.lend(0, 0.8, 12), Shares::kLendable * 2 / 3, 1e-9);
-  EXPECT_NEAR(leader.lend(1, 0.4, 12), Shares::kLendable / 3, 1e-9);
+  EXPECT_NEAR(leader.lend(0, 0.8, 12), BudgetShares::kMaxLent * 2 / 3, 1e-9);
+  EXPECT_NEAR(leader.lend(1, 0.4, 12), BudgetShares::kMaxLent / 3, 1e-9);
 }
 
 TEST(Shares, ALateAnswerChangesNothing) {
-  Shares follower(3);
-  follower.borrowed(0.3, 10);
-  follower.borrowed(0.1, 9);
-  EXPECT_NEAR(follower.mine(11, false), follower.floor() + 0.3, 1e-9);
-  EXPECT_NEAR(follower.mine(11.9, false), follower.floor(), 1e-9);
+  BudgetShares follower(3);
+  follower.on_loan(0.3, 10);
+  follower.on_loan(0.1, 9);
+  EXPECT_NEAR(follower.own_share(11, false), follower.floor() + 0.3, 1e-9);
+  EXPECT_NEAR(follower.own_share(11.9, false), follower.floor(), 1e-9);
 }
 
 // ---------------------------------------------------------------- sheets and their index
@@ -310,35 +310,35 @@
 TEST(Sheets, IndexAndAccountAgreeWithPlainSets) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 rng(seed);
-    Index index;
-    jobs::Sheets sheets;
+    BatchIndex index;
+    jobs::JobBatches sheets;
     std::map<std::string, std::set<std::string>> there;
-    std::map<std::string, std::set<jobs::Ix>> open;
-    std::set<jobs::Ix> over;
+    std::map<std::string, std::set<jobs::JobIndex>> open;
+    std::set<jobs::JobIndex> over;
     std::set<std::string> empty;
     double now = 0;
     for (int n = 0; n < 400; ++n, now += 0.1) {
       if (rng(3) > 0) {
-        const std::string key = jobs::kSheet + std::string("a/1/") + std::to_string(n);
+        const std::string key = jobs::kBatchPrefix + std::string("a/1/") + std::to_string(n);
         std::vector<std::string> refs;
         for (std::uint32_t k = 0, m = 1 + rng(5); k < m; ++k) {
-          const jobs::Ix ix = rng(300);
+          const jobs::JobIndex ix{rng(300)};
           refs.push_back("req-" + std::to_string(ix));
           there[key].insert(refs.back());
           if (over.contains(ix))
             continue;
           open[key].insert(ix);
-          sheets.hold(key, ix);
+          sheets.add_live_job(key, ix);
         }
-        index.sheet(key, records(refs));
-        index.sheet(key, records(refs));  // told twice
-        sheets.read(key);
+        index.add_batch(key, records(refs));
+        index.add_batch(key, records(refs));  // told twice
+        sheets.on_read(key);
         if (open[key].empty())
           empty.insert(key), open.erase(key);
       } else {
-        const jobs::Ix ix = rng(300);
+        const jobs::JobIndex ix{rng(300)};
         over.insert(ix);
-        sheets.over(ix);
+        sheets.on_job_over(ix);
         for (auto it = open.begin(); it != open.end();) {
           it->second.erase(ix);
           if (it->second.empty()) {
@@ -352,16 +352,16 @@
       for (const std::string& key : sheets.take_empty()) {
         EXPECT_EQ(empty.erase(key), 1U) << key;
         const auto gone = there.extract(key);
-        index.gone(key, now);
+        index.remove_batch(key, now);
         for (const auto& ref : gone.mapped())
-          EXPECT_TRUE(index.lately(ref));
+          EXPECT_TRUE(index.recently_removed(ref));
       }
       EXPECT_TRUE(empty.empty());
-      index.reached(static_cast<std::uint64_t>(n), now);
-      EXPECT_EQ(index.sheets(), there.size());
+      index.advance_to(static_cast<std::uint64_t>(n), now);
+      EXPECT_EQ(index.batch_count(), there.size());
       EXPECT_EQ(sheets.size(), open.size());
     }
-    for (jobs::Ix ix = 0; ix < 300; ++ix) {
+    for (jobs::JobIndex ix{0}; ix < 300; ++ix) {
       const std::string ref = "req-" + std::to_string(ix);
       const bool found =
           std::any_of(there.begin(), there.end(), [&ref](const auto& s) { return s.second.contains(ref); });
@@ -371,7 +371,7 @@
       }
       const bool held =
           std::any_of(open.begin(), open.end(), [ix](const auto& s) { return s.second.contains(ix); });
-      EXPECT_EQ(sheets.holds(ix), held);
+      EXPECT_EQ(sheets.contains(ix), held);
     }
   }
 }
@@ -379,16 +379,16 @@
 // The leader may know a sheet by one of its jobs alone; when that is over the sheet must stay, since it is
 // all that is left of the others (seed 400310 of the random days).
 TEST(Sheets, OneKnownByOneJobIsNotTakenForEmpty) {
-  jobs::Sheets sheets;
-  sheets.hold("j/sheet/a/1/1", 7);
-  sheets.over(7);
+  jobs::JobBatches sheets;
+  sheets.add_live_job("j/sheet/a/1/1", jobs::JobIndex(7));
+  sheets.on_job_over(jobs::JobIndex(7));
   EXPECT_TRUE(sheets.take_empty().empty());
-  EXPECT_FALSE(sheets.known("j/sheet/a/1/1"));
-  sheets.hold("j/sheet/a/1/1", 8);
-  sheets.read("j/sheet/a/1/1");
+  EXPECT_FALSE(sheets.fully_read("j/sheet/a/1/1"));
+  sheets.add_live_job("j/sheet/a/1/1", jobs::JobIndex(8));
+  sheets.on_read("j/sheet/a/1/1");
   EXPECT_TRUE(sheets.take_empty().empty());
-  EXPECT_TRUE(sheets.known("j/sheet/a/1/1"));
-  sheets.over(8);
+  EXPECT_TRUE(sheets.fully_read("j/sheet/a/1/1"));
+  sheets.on_job_over(jobs::JobIndex(8));
   EXPECT_EQ(sheets.take_empty().size(), 1U);
 }
 
@@ -398,19 +398,19 @@
   static settings::Settings with(double write_rps) {
     settings::Settings s;
     s.node = "node-0";
-    s.tunables.admission = 1;
-    s.state_write_rps = write_rps;
-    s.state_rps = 150;
+    s.tunables.fair_admission = 1;
+    s.state_writes_per_s = write_rps;
+    s.state_requests_per_s = 150;
     s.teams = {{"red", 30, 0, 0, 0}, {"blue", 10, 0, 0, 0}};
     return s;
   }
   explicit Desk(double write_rps = 35) : settings(with(write_rps)) {
     spdlog::set_level(spdlog::level::off);
-    store.shared([this] { return store::Client::Parts{share, share, fixed}; });
-    intake.sheets_allowed = [this] {
+    store.set_share_source([this] { return store::StateClient::BudgetShare{share, share, fixed}; });
+    intake.batches_allowed = [this] {
       return together;
     };
-    intake.fixed_parts = [this] {
+    intake.fixed_shares = [this] {
       return fixed;
     };
   }
@@ -420,8 +420,9 @@
     s.team = team;
     s.job_class = job_class;
     s.image = "img";
-    s.need = {2, 0, 2};
-    intake.offer(s, wire::job_record(s, 0), [this, n](const Intake::Result& r) { told[n].push_back(r); });
+    s.task_resources = {2, 0, 2};
+    intake.enqueue(s, wire::job_record(s, 0),
+                   [this, n](const CreationQueue::Result& r) { told[n].push_back(r); });
   }
   std::vector<ports::Call> calls() {
     std::vector<ports::Call> list;
@@ -441,16 +442,16 @@
   }
   static std::size_t jobs_in(const ports::Call& call) {
     const Value& put = call.body["apply"][0];
-    return jobs::is_sheet(put["put"].get<std::string>()) ? put["data"].size() : 1;
+    return jobs::is_batch_key(put["put"].get<std::string>()) ? put["data"].size() : 1;
   }
 
   settings::Settings settings;
   double share = 1;
   bool together = true, fixed = false;
   ports::Outbox out;
-  store::Client store{out, settings};
-  Intake intake{out, store, settings, "7"};
-  std::map<int, std::vector<Intake::Result>> told;
+  store::StateClient store{out, settings};
+  CreationQueue intake{out, store, settings, "7"};
+  std::map<int, std::vector<CreationQueue::Result>> told;
 };
 
 TEST(Intake, OneAloneHasAKeyOfItsOwnAndWhatComesMeanwhileGoesTogether) {
@@ -462,7 +463,7 @@
   EXPECT_EQ(first[0].body["apply"][0]["put"], "j/req-0");
   d.reply(first[0], 200, {{"ledgerRev", 5}});
   ASSERT_EQ(d.told[0].size(), 1U);
-  EXPECT_EQ(d.told[0][0].outcome, Intake::Outcome::created);
+  EXPECT_EQ(d.told[0][0].outcome, CreationQueue::Outcome::created);
   EXPECT_EQ(d.told[0][0].revision, 5U);
   auto second = d.calls();
   ASSERT_EQ(second.size(), 1U);
@@ -471,7 +472,7 @@
   EXPECT_EQ(second[0].body["if"].size(), 19U) << "neither live nor over, each; and the sheet is new";
   d.reply(second[0], 200, {{"ledgerRev", 6}});
   for (int n = 1; n < 10; ++n)
-    EXPECT_EQ(d.told[n][0].sheet, second[0].body["apply"][0]["put"]);
+    EXPECT_EQ(d.told[n][0].batch_key, second[0].body["apply"][0]["put"]);
 }
 
 TEST(Intake, KeepsToTheLimitsOfATransaction) {
@@ -493,15 +494,15 @@
   d.reply(d.calls()[0], 200, {{"ledgerRev", 1}});
   auto sheet = d.calls();
   d.reply(sheet[0], 409, {{"failed", {"f/req-2", "j/req-4"}}, {"ledgerRev", 9}});
-  EXPECT_EQ(d.told[2][0].outcome, Intake::Outcome::exists);
-  EXPECT_EQ(d.told[4][0].outcome, Intake::Outcome::exists);
+  EXPECT_EQ(d.told[2][0].outcome, CreationQueue::Outcome::exists);
+  EXPECT_EQ(d.told[4][0].outcome, CreationQueue::Outcome::exists);
   auto again = d.calls();
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(Desk::jobs_in(again[0]), 3U);
   EXPECT_NE(again[0].body["apply"][0]["put"], sheet[0].body["apply"][0]["put"]) << "names are not used again";
   d.reply(again[0], 200, {{"ledgerRev", 10}});
   for (const int n : {1, 3, 5})
-    EXPECT_EQ(d.told[n][0].outcome, Intake::Outcome::created);
+    EXPECT_EQ(d.told[n][0].outcome, CreationQueue::Outcome::created);
 }
 
 TEST(Intake, ARetryJoinsTheTryThatIsUnderWay) {
@@ -527,7 +528,7 @@
   for (int n = 0; n < 5; ++n) {
     auto calls = d.calls();
     ASSERT_EQ(calls.size(), 1U);
-    EXPECT_FALSE(jobs::is_sheet(calls[0].body["apply"][0]["put"].get<std::string>()));
+    EXPECT_FALSE(jobs::is_batch_key(calls[0].body["apply"][0]["put"].get<std::string>()));
     d.reply(calls[0], 200, {{"ledgerRev", n + 1}});
   }
 }
@@ -567,10 +568,10 @@
   for (int n = 0; n < 4; ++n)
     d.offer(n);
   d.reply(d.calls()[0], 503);
-  EXPECT_EQ(d.told[0][0].outcome, Intake::Outcome::unserved);
+  EXPECT_EQ(d.told[0][0].outcome, CreationQueue::Outcome::unavailable);
   d.reply(d.calls()[0], 0);
   for (int n = 1; n < 4; ++n)
-    EXPECT_EQ(d.told[n][0].outcome, Intake::Outcome::unserved);
+    EXPECT_EQ(d.told[n][0].outcome, CreationQueue::Outcome::unavailable);
 }
 
 // A flood of one class at forty times what the budget lets through: the others go at once, what cannot go
@@ -605,9 +606,9 @@
         for (const auto& r : results) {
           longest = std::max(longest, t - came[job]);
           if (job > 1'000'000)
-            calm_created += r.outcome == Intake::Outcome::created;
-          if (job <= 1'000'000 && r.outcome == Intake::Outcome::later)
-            ++flood_put_off, turns += r.turn_s;
+            calm_created += r.outcome == CreationQueue::Outcome::created;
+          if (job <= 1'000'000 && r.outcome == CreationQueue::Outcome::deferred)
+            ++flood_put_off, turns += r.retry_after_s;
         }
       }
       d.told.clear();
@@ -648,8 +649,8 @@
   s.zone = "z0";
   s.zones = {"z0"};
   s.peers = {{"node-1", "z0", {}}};
-  s.tunables.admission = 1;
-  daemon::Node node(s, 7);
+  s.tunables.fair_admission = 1;
+  controller::Controller node(s, 7);
   double now = 100;
   node.start(now);
   std::string handed_on;
@@ -667,9 +668,9 @@
           r.status = 200;
           r.frame = peer::Frame{};
           r.frame->node = r.frame->leader = "node-1";
-          r.frame->token = 5;
-          r.frame->answers = r.frame->store_ok = r.frame->admission = true;
-          r.frame->level = peer::kLevel;
+          r.frame->leader_fencing_token = 5;
+          r.frame->answers_heartbeats = r.frame->state_service_healthy = r.frame->supports_batches = true;
+          r.frame->level = peer::kProtocolLevel;
         } else {
           handed_on = call->frame->path;
           continue;
--- a/tests/agents_test.cpp
+++ b/tests/agents_test.cpp
@@ -1,14 +1,13 @@
 // What the leader believes of workers' reports after a take-over: which machine a task is on, whether it may
 // be anywhere else, and whether it is done. The test plays the workers.
-#include "agents/agents.hpp"
-
 #include <gtest/gtest.h>
 
 #include <map>
 
-#include "gates/gate.hpp"
+#include "filters/filter.hpp"
+#include "workers/worker_manager.hpp"
 
-namespace wingtrail::agents {
+namespace wingtrail::workers {
 namespace {
 
 constexpr std::uint64_t kToken = 50;
@@ -29,17 +28,19 @@
                    return true;
                  }},
                 {[](Machine&) {}, [](Machine&) {}, [](Machine&) {},
-                 [this](Machine&, const Slot& slot) { exits_.push_back(slot.cause); },
+                 [this](Machine&, const Allocation& slot) { exits_.push_back(slot.cause); },
                  [] {
                  }}) {
     ledger_.set_events({[](jobs::Job&) {},
-                        [this](const std::vector<jobs::Ledger::Ended>& ended) { agents_.forget(ended); },
-                        [this](Ix ix) { agents_.enlisted(ix); },
-                        [this](Ix ix) {
-                          return agents_.record(ix);
+                        [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
+                          agents_.acknowledge_ends(ended);
+                        },
+                        [this](jobs::MachineIndex ix) { agents_.on_inventory_written(ix); },
+                        [this](jobs::MachineIndex ix) {
+                          return agents_.inventory_record(ix);
                         }});
-    ledger_.begin();
-    agents_.begin();
+    ledger_.begin_leadership();
+    agents_.begin_leadership();
     agents_.set_catalog({wire::MachineType{"small", 8, 0, 32, 50, 1.0, 0.6, 0.2, 8, settings_.zones}});
   }
 
@@ -47,16 +48,16 @@
     settings::Settings s;
     s.teams = {{"red"}};
     s.zones = {"z0"};
-    s.report_s = 3;
-    s.lease_s = 20;
+    s.heartbeat_interval_s = 3;
+    s.worker_lease_s = 20;
     s.max_connections = 1000;
-    s.state_rps = s.state_write_rps = 1e6;
+    s.state_requests_per_s = s.state_writes_per_s = 1e6;
     return s;
   }
 
   // A machine that the leaders before this one knew.
   Machine& inherited(const std::string& host) {
-    return agents_.roster(
+    return agents_.add_from_inventory(
         {{"host", host}, {"addr", host + ":1"}, {"type", "small"}, {"zone", "z0"}, {"spot", false}});
   }
 
@@ -66,7 +67,7 @@
     spec.ref = ref;
     spec.team = "red";
     spec.image = "img";
-    spec.need = {2, 0, 2};
+    spec.task_resources = {2, 0, 2};
     spec.tasks = tasks;
     return registry_.add(spec, kEarlierToken, 0);
   }
@@ -75,24 +76,24 @@
     std::string ref;
     std::uint64_t attempt = kOldAttempt;
     wire::TaskPhase phase = wire::TaskPhase::running;
-    wire::Cause cause = wire::Cause::none;
+    wire::ExitCause cause = wire::ExitCause::none;
     std::uint32_t index = 0;
   };
 
-  static wire::Report report_of(const std::string& host, std::uint64_t session, std::uint64_t counter,
-                                std::uint64_t token, const std::vector<Shown>& tasks) {
-    wire::Report r;
+  static wire::Heartbeat report_of(const std::string& host, std::uint64_t session, std::uint64_t counter,
+                                   std::uint64_t token, const std::vector<Shown>& tasks) {
+    wire::Heartbeat r;
     r.host = host;
-    r.addr = host + ":1";
+    r.address = host + ":1";
     r.type = "small";
     r.zone = "z0";
-    r.session = session;
-    r.seq = counter;
-    r.token = token;
+    r.incarnation = session;
+    r.sequence = counter;
+    r.fencing_token = token;
     for (const Shown& t : tasks) {
-      wire::TaskReport shown;
+      wire::TaskStatus shown;
       shown.ref = t.ref;
-      shown.index = t.index;
+      shown.task = t.index;
       shown.attempt = t.attempt;
       shown.phase = t.phase;
       shown.cause = t.cause;
@@ -104,22 +105,22 @@
   // A report that arrives with the token of an earlier leadership.
   void old_report(const std::string& host, std::uint64_t counter, const std::vector<Shown>& tasks,
                   std::uint64_t session = 1) {
-    agents_.report(report_of(host, session, counter, kEarlierToken, tasks));
+    agents_.handle_heartbeat(report_of(host, session, counter, kEarlierToken, tasks));
   }
   // One of a worker that knows this leadership.
   void new_report(const std::string& host, std::uint64_t counter, const std::vector<Shown>& tasks,
                   std::uint64_t session = 1) {
-    agents_.report(report_of(host, session, counter, kToken, tasks));
+    agents_.handle_heartbeat(report_of(host, session, counter, kToken, tasks));
   }
 
   // Whether the decision code would let the task start now.
   bool may_start(const jobs::Job& job, std::uint32_t task = 0) {
-    const gates::Accounted accounted(agents_, [] { return kToken; });
-    return job.tasks[task].state == jobs::TaskState::pending && accounted.open(job);
+    const filters::ReconciledFilter accounted(agents_, [] { return kToken; });
+    return job.tasks[task].state == jobs::TaskState::pending && accounted.admits(job);
   }
 
-  const Slot* slot_on(const Machine& m, std::uint64_t attempt) {
-    for (const Slot& s : m.slots) {
+  const Allocation* slot_on(const Machine& m, std::uint64_t attempt) {
+    for (const Allocation& s : m.allocations) {
       if (s.attempt == attempt)
         return &s;
     }
@@ -134,11 +135,11 @@
 
   ports::Outbox out_;
   settings::Settings settings_;
-  store::Client store_;
-  jobs::Registry registry_;
-  jobs::Ledger ledger_;
-  Agents agents_;
-  std::vector<wire::Cause> exits_;
+  store::StateClient store_;
+  jobs::JobRegistry registry_;
+  jobs::StateWriter ledger_;
+  WorkerManager agents_;
+  std::vector<wire::ExitCause> exits_;
 };
 
 // The task was moved from m to n under an earlier leader. An old report of m comes first and gets the place;
@@ -148,19 +149,19 @@
   Machine& n = inherited("n");
   jobs::Job& job = earlier_job("req-1");
   old_report("m", 5, {{"req-1", kOldAttempt}});
-  ASSERT_EQ(job.tasks[0].machine, m.ix);
+  ASSERT_EQ(job.tasks[0].machine, m.index);
   new_report("n", 9, {{"req-1", kNewAttempt}});
-  EXPECT_TRUE(agents_.holds_unplaced("req-1")) << "a cancellation can't be told either";
+  EXPECT_TRUE(agents_.has_stray_instance("req-1")) << "a cancellation can't be told either";
   new_report("m", 12, {});
-  ASSERT_TRUE(agents_.clear() || n.unknown > 0);
+  ASSERT_TRUE(agents_.reconciled() || n.unsized_allocations > 0);
   EXPECT_FALSE(may_start(job)) << "n still runs it";
-  EXPECT_EQ(job.placed, 1U);
-  EXPECT_EQ(job.tasks[0].machine, n.ix);
-  EXPECT_EQ(n.unknown, 0);
+  EXPECT_EQ(job.placed_tasks, 1U);
+  EXPECT_EQ(job.tasks[0].machine, n.index);
+  EXPECT_EQ(n.unsized_allocations, 0);
   EXPECT_DOUBLE_EQ(n.used.cpus, 2);
   EXPECT_DOUBLE_EQ(m.used.cpus, 0);
-  EXPECT_DOUBLE_EQ(agents_.team_use(0).cpus, 2);
-  EXPECT_TRUE(agents_.clear());
+  EXPECT_DOUBLE_EQ(agents_.team_usage(jobs::TeamIndex(0)).cpus, 2);
+  EXPECT_TRUE(agents_.reconciled());
 }
 
 // As long as m is not known to say the truth, the copy on n is not stopped: it may be the only one.
@@ -171,9 +172,9 @@
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
   ASSERT_NE(slot_on(n, kNewAttempt), nullptr);
-  EXPECT_FALSE(slot_on(n, kNewAttempt)->stop);
+  EXPECT_FALSE(slot_on(n, kNewAttempt)->stop_requested);
   new_report("m", 12, {});
-  EXPECT_FALSE(slot_on(n, kNewAttempt)->stop) << "it was the only one";
+  EXPECT_FALSE(slot_on(n, kNewAttempt)->stop_requested) << "it was the only one";
 }
 
 // If both really have it, one of them is stopped, and nothing starts before it has ended.
@@ -184,15 +185,15 @@
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
   new_report("m", 12, {{"req-1", kOldAttempt}});
-  EXPECT_TRUE(slot_on(n, kNewAttempt)->stop);
-  EXPECT_FALSE(slot_on(m, kOldAttempt)->stop);
+  EXPECT_TRUE(slot_on(n, kNewAttempt)->stop_requested);
+  EXPECT_FALSE(slot_on(m, kOldAttempt)->stop_requested);
   // The one that stays ends first: the other is where the task is now, stopped or not.
-  new_report("m", 13, {{"req-1", kOldAttempt, wire::TaskPhase::exited, wire::Cause::error}});
+  new_report("m", 13, {{"req-1", kOldAttempt, wire::TaskPhase::exited, wire::ExitCause::error}});
   EXPECT_FALSE(may_start(job)) << "n has yet to say that it has stopped";
-  EXPECT_EQ(job.tasks[0].machine, n.ix);
-  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::Cause::stopped}});
+  EXPECT_EQ(job.tasks[0].machine, n.index);
+  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
   EXPECT_TRUE(may_start(job));
-  EXPECT_DOUBLE_EQ(agents_.team_use(0).cpus, 0);
+  EXPECT_DOUBLE_EQ(agents_.team_usage(jobs::TeamIndex(0)).cpus, 0);
 }
 
 // A session's end, or a return, proves the same for one machine only.
@@ -202,10 +203,10 @@
   jobs::Job& job = earlier_job("req-1");
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
-  agents_.gone(m);
+  agents_.mark_gone(m);
   EXPECT_FALSE(may_start(job));
-  EXPECT_EQ(job.tasks[0].machine, n.ix);
-  agents_.gone(n);
+  EXPECT_EQ(job.tasks[0].machine, n.index);
+  agents_.mark_gone(n);
   EXPECT_TRUE(may_start(job));
 }
 
@@ -217,11 +218,11 @@
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
   new_report("o", 9, {{"req-1", kNewAttempt + 1}});
-  agents_.gone(m);
+  agents_.mark_gone(m);
   EXPECT_FALSE(may_start(job));
   new_report("n", 10, {});
   EXPECT_FALSE(may_start(job));
-  EXPECT_TRUE(job.placed == 1);
+  EXPECT_TRUE(job.placed_tasks == 1);
   new_report("o", 10, {});
   EXPECT_TRUE(may_start(job));
 }
@@ -232,18 +233,18 @@
   Machine& n = inherited("n");
   jobs::Job& job = earlier_job("req-1", 2);
   old_report("m", 5, {{"req-1", kOldAttempt}});
-  new_report("n", 9, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::Cause::done}});
+  new_report("n", 9, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_FALSE(slot_on(n, kNewAttempt)->forget) << "not before it is persisted";
-  EXPECT_EQ(exits_, std::vector<wire::Cause>{wire::Cause::done});
-  EXPECT_EQ(job.placed, 0U);
-  EXPECT_TRUE(agents_.holds_unplaced("req-1")) << "m may have it";
-  EXPECT_DOUBLE_EQ(agents_.team_use(0).cpus, 0);
+  EXPECT_FALSE(slot_on(n, kNewAttempt)->end_persisted) << "not before it is persisted";
+  EXPECT_EQ(exits_, std::vector<wire::ExitCause>{wire::ExitCause::done});
+  EXPECT_EQ(job.placed_tasks, 0U);
+  EXPECT_TRUE(agents_.has_stray_instance("req-1")) << "m may have it";
+  EXPECT_DOUBLE_EQ(agents_.team_usage(jobs::TeamIndex(0)).cpus, 0);
   new_report("m", 12, {});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_EQ(job.done, 1U);
-  EXPECT_EQ(m.unknown, 0);
-  EXPECT_FALSE(agents_.holds_unplaced("req-1"));
+  EXPECT_EQ(job.done_tasks, 1U);
+  EXPECT_EQ(m.unsized_allocations, 0);
+  EXPECT_FALSE(agents_.has_stray_instance("req-1"));
 }
 
 // The same if it ends while its place is another's.
@@ -253,13 +254,13 @@
   jobs::Job& job = earlier_job("req-1");
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
-  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::Cause::done}});
+  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_FALSE(slot_on(n, kNewAttempt)->forget);
-  EXPECT_TRUE(slot_on(m, kOldAttempt)->stop) << "what it does is of no use any more";
+  EXPECT_FALSE(slot_on(n, kNewAttempt)->end_persisted);
+  EXPECT_TRUE(slot_on(m, kOldAttempt)->stop_requested) << "what it does is of no use any more";
   new_report("m", 12, {});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_EQ(job.done, 1U);
+  EXPECT_EQ(job.done_tasks, 1U);
   EXPECT_FALSE(may_start(job));
 }
 
@@ -270,15 +271,15 @@
   jobs::Job& job = earlier_job("req-1");
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
-  ASSERT_FALSE(slot_on(n, kNewAttempt)->stop);
-  job.aborting = true;
-  agents_.cancel(job);
-  EXPECT_TRUE(slot_on(n, kNewAttempt)->stop);
+  ASSERT_FALSE(slot_on(n, kNewAttempt)->stop_requested);
+  job.cancelling = true;
+  agents_.cancel_job(job);
+  EXPECT_TRUE(slot_on(n, kNewAttempt)->stop_requested);
   new_report("m", 12, {});
-  EXPECT_TRUE(job.placed > 0 || agents_.holds_unplaced("req-1"));
-  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::Cause::stopped}});
-  EXPECT_EQ(job.placed, 0U);
-  EXPECT_FALSE(agents_.holds_unplaced("req-1"));
+  EXPECT_TRUE(job.placed_tasks > 0 || agents_.has_stray_instance("req-1"));
+  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
+  EXPECT_EQ(job.placed_tasks, 0U);
+  EXPECT_FALSE(agents_.has_stray_instance("req-1"));
 }
 
 // Another task must not go by the zone of a place that may be false.
@@ -286,16 +287,16 @@
   inherited("m");
   Machine& n = inherited("n");
   jobs::Job& job = earlier_job("req-1", 3);
-  job.spec.spread = true;
+  job.spec.spread_zones = true;
   old_report("m", 5, {{"req-1", kOldAttempt}});
   new_report("n", 9, {{"req-1", kNewAttempt}});
   new_report("m", 12, {{"req-1", kOldAttempt}});  // both have it
-  EXPECT_EQ(n.unknown, 1);
+  EXPECT_EQ(n.unsized_allocations, 1);
   EXPECT_FALSE(may_start(job, 1));
-  job.spec.spread = false;
-  job.spec.one_zone = true;
+  job.spec.spread_zones = false;
+  job.spec.same_zone = true;
   EXPECT_FALSE(may_start(job, 1));
-  job.spec.one_zone = false;
+  job.spec.same_zone = false;
   EXPECT_TRUE(may_start(job, 1)) << "task 1 itself is nowhere";
 }
 
@@ -303,11 +304,11 @@
 TEST_F(AgentsTest, AJobLearnedOfLateIsWhereItWasShown) {
   Machine& n = inherited("n");
   new_report("n", 9, {{"req-1", kNewAttempt}});
-  EXPECT_TRUE(slot_on(n, kNewAttempt)->stop) << "nobody knows it";
+  EXPECT_TRUE(slot_on(n, kNewAttempt)->stop_requested) << "nobody knows it";
   jobs::Job& job = earlier_job("req-1");
-  agents_.claim(job);
+  agents_.adopt_stray_instances(job);
   EXPECT_FALSE(may_start(job));
-  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::Cause::stopped}});
+  new_report("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
   EXPECT_TRUE(may_start(job));
 }
 
@@ -316,23 +317,23 @@
   Machine& m = inherited("m");
   jobs::Job& job = earlier_job("req-1");
   new_report("m", 9, {{"req-1", kOldAttempt}}, 3);
-  ASSERT_EQ(job.placed, 1U);
+  ASSERT_EQ(job.placed_tasks, 1U);
   for (int i = 0; i < 60; ++i)
     pass(0.5);  // silent for longer than its lease
-  ASSERT_FALSE(m.reporting);
-  ASSERT_EQ(job.placed, 0U);
-  const Seconds lease = m.lease_until;
+  ASSERT_FALSE(m.has_incarnation);
+  ASSERT_EQ(job.placed_tasks, 0U);
+  const Seconds lease = m.lease_expires_at;
   new_report("m", 10, {{"req-1", kOldAttempt}}, 3);
-  EXPECT_EQ(job.placed, 0U) << "a late report of the session whose lease has run out";
+  EXPECT_EQ(job.placed_tasks, 0U) << "a late report of the session whose lease has run out";
   old_report("m", 200, {{"req-1", kOldAttempt}}, 2);
-  EXPECT_EQ(job.placed, 0U);
-  EXPECT_FALSE(m.reporting);
-  EXPECT_EQ(m.session, 3U);
-  EXPECT_EQ(m.lease_until, lease);
+  EXPECT_EQ(job.placed_tasks, 0U);
+  EXPECT_FALSE(m.has_incarnation);
+  EXPECT_EQ(m.incarnation, 3U);
+  EXPECT_EQ(m.lease_expires_at, lease);
   new_report("m", 11, {}, 4);
-  EXPECT_TRUE(m.reporting);
-  EXPECT_EQ(m.session, 4U);
+  EXPECT_TRUE(m.has_incarnation);
+  EXPECT_EQ(m.incarnation, 4U);
 }
 
 }  // namespace
-}  // namespace wingtrail::agents
+}  // namespace wingtrail::workers
--- a/tests/backlog_test.cpp
+++ b/tests/backlog_test.cpp
@@ -9,7 +9,7 @@
 // that a leader that could write lately had recorded by then whatever follows from a cancellation.
 #include "combined_faults.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 constexpr double kFrom = 50, kUntil = 260;
@@ -48,7 +48,7 @@
   }
   static wire::JobSpec small(int n) {
     wire::JobSpec s = job_of(n, 1, "red");
-    s.need = {0.5, 0, 0.5};
+    s.task_resources = {0.5, 0, 0.5};
     s.estimate_s = 1;
     return s;
   }
@@ -59,7 +59,7 @@
     std::string needed = first.ref;
     for (int link = 1; link <= 2; ++link) {
       wire::JobSpec next = small(++jobs_made_);
-      next.waits_on = {needed};
+      next.depends_on = {needed};
       needed = next.ref;
       at(world.now() + link, [this, next] { world.user(next, 1); });
     }
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/bounds_test.cpp
+++ b/tests/bounds_test.cpp
@@ -188,7 +188,7 @@
                              {"counter", 1},
                              {"mandate", 0},
                              {"shards", wire::Value::array()}};
-    requests.push_back(post(wire::kReportPath, wire::encode_cbor(report)));
+    requests.push_back(post(wire::kHeartbeatPath, wire::encode_cbor(report)));
   }
   for (int i = 0; i < kUsers; ++i)
     requests.push_back("GET " + std::string(wire::kJobsPath) + "/req-" + std::to_string(i) +
--- a/tests/cells_lab.cpp
+++ b/tests/cells_lab.cpp
@@ -9,9 +9,9 @@
 #include <iomanip>
 #include <iostream>
 
-#include "emulator/simulated_cells.hpp"
+#include "simulation/simulated_cells.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 struct Lab {
@@ -51,9 +51,9 @@
     s.team = n % 2 == 0 ? "red" : "blue";
     s.image = "img-0";
     s.image_gb = 0.5;
-    s.need = {2, 0, 2};
+    s.task_resources = {2, 0, 2};
     s.tasks = kTasks;
-    s.spot = true;
+    s.allows_spot = true;
     s.estimate_s = kRun;
     return s;
   }
@@ -154,10 +154,10 @@
 };
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
 
 int main(int argc, char** argv) {
-  using namespace wingtrail::emulator;
+  using namespace wingtrail::simulation;
   Lab lab;
   CLI::App app("What several cells do for each other, in virtual time");
   app.add_option("--machines", lab.machines, "of each cell");
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -9,8 +9,8 @@
 #include <iterator>
 #include <pcg_random.hpp>
 
-#include "cells/planner.hpp"
-#include "cells/stays.hpp"
+#include "cells/offload_planner.hpp"
+#include "cells/remote_placements.hpp"
 #include "settings/settings.hpp"
 
 namespace wingtrail::cells {
@@ -26,33 +26,33 @@
   std::map<std::string, Job> jobs;
   bool takes = true;
 
-  peer::JobWord answer(const peer::JobWord& asked) {
+  peer::JobMessage answer(const peer::JobMessage& asked) {
     Job& job = jobs[asked.ref];
-    const auto say = [&asked](Word w) {
-      return peer::JobWord{asked.ref, static_cast<std::uint8_t>(w), {}, 0, 0};
+    const auto say = [&asked](JobVerb w) {
+      return peer::JobMessage{asked.ref, static_cast<std::uint8_t>(w), {}, 0, 0};
     };
     if (job.state == State::done)
-      return say(Word::done);
+      return say(JobVerb::done);
     if (job.state == State::withdrawn)
-      return say(Word::withdrawn);
+      return say(JobVerb::withdrawn);
     const bool live = job.state == State::live;
-    switch (asked.said()) {
-      case Word::offer:
+    switch (asked.verb()) {
+      case JobVerb::offer:
         if (!live && !takes)
-          return say(Word::refused);
+          return say(JobVerb::refused);
         job.state = State::live;
-        return say(Word::held);
-      case Word::state:
-        return say(live ? Word::held : Word::unknown);
-      case Word::recall:
+        return say(JobVerb::held);
+      case JobVerb::state:
+        return say(live ? JobVerb::held : JobVerb::unknown);
+      case JobVerb::recall:
         if (live && job.begun)
-          return say(Word::held);
+          return say(JobVerb::held);
         [[fallthrough]];
-      case Word::cancel:
+      case JobVerb::cancel:
         job.state = State::withdrawn;
-        return say(Word::withdrawn);
+        return say(JobVerb::withdrawn);
       default:
-        return say(Word::none);
+        return say(JobVerb::none);
     }
   }
 };
@@ -91,7 +91,7 @@
       if (step == 2999) {
         for (int n = 0; n < 50; ++n)
           write();
-        EXPECT_TRUE(stays_.to_look_at().empty() && stays_.next_write(1).empty())
+        EXPECT_TRUE(stays_.pages_to_read().empty() && stays_.next_write(1).empty())
             << "a page that cannot be written";
       }
       for (std::size_t c = 0; c < 2; ++c)
@@ -116,7 +116,7 @@
     bool over = false, cancelled = false;
   };
   struct Stored {
-    std::vector<Stays::Page> pages;
+    std::vector<RemotePlacements::Page> pages;
     int leader = 0;
   };
   bool odds(int of) {
@@ -129,7 +129,7 @@
     // What runs at home is not handed on; here nothing ever does for long.
     if (it->second.over || it->second.cancelled || stays_.find(it->first))
       return;
-    stays_.leave(it->first, rng_(2));
+    stays_.offload(it->first, rng_(2));
     ++handed_on;
   }
   void recall() {
@@ -176,8 +176,8 @@
   void write() {
     if (odds(3))
       return;
-    for (const std::string& key : stays_.to_look_at())
-      stays_.looked(key, store_.contains(key) ? store_[key].first : 0);
+    for (const std::string& key : stays_.pages_to_read())
+      stays_.on_page_read(key, store_.contains(key) ? store_[key].first : 0);
     Stored txn{stays_.next_write(1 + rng_(3)), leader_};
     if (txn.pages.empty())
       return;
@@ -187,11 +187,11 @@
         (void)apply(txn);
       if (fate == 1)
         late_.push_back({now_ + 0.1 * rng_(80), txn});
-      return stays_.failed(true);
+      return stays_.on_write_failed(true);
     }
     if (!apply(txn))
-      return stays_.failed(true);
-    for (const std::string& ref : stays_.written(revision_))
+      return stays_.on_write_failed(true);
+    for (const std::string& ref : stays_.on_written(revision_))
       back += !jobs_[ref].over;
   }
   void late() {
@@ -210,23 +210,24 @@
     }
   }
   void ask(std::size_t c) {
-    for (const peer::JobWord& w : stays_.ask(c, 5, now_)) {
+    for (const peer::JobMessage& w : stays_.next_questions(c, 5, now_)) {
       if (odds(5))
         messages_.emplace(now_ + 0.1 * rng_(300), std::pair(c, w));  // once more, much later
       if (odds(4))
         continue;
-      const peer::JobWord said = there_[c].answer(w);
+      const peer::JobMessage said = there_[c].answer(w);
       if (odds(4))
         continue;
-      const auto event = stays_.heard(c, said, now_);
+      const auto event = stays_.on_reply(c, said, now_);
       Job& job = jobs_[w.ref];
-      if (event == Stays::Event::none)
+      if (event == RemotePlacements::Event::none)
         continue;
       EXPECT_FALSE(job.over) << w.ref << " ends twice";
-      EXPECT_EQ(event == Stays::Event::done, there_[c].jobs[w.ref].state == Neighbour::State::done);
-      ++(event == Stays::Event::done ? done : withdrawn);
+      EXPECT_EQ(event == RemotePlacements::Event::done,
+                there_[c].jobs[w.ref].state == Neighbour::State::done);
+      ++(event == RemotePlacements::Event::done ? done : withdrawn);
       job.over = true;  // recorded at home, and told
-      stays_.over(w.ref);
+      stays_.on_job_over(w.ref);
     }
   }
   void run_elsewhere() {
@@ -272,9 +273,9 @@
   std::map<std::string, Job> jobs_;
   std::map<std::string, std::pair<std::uint64_t, wire::Value>> store_;
   std::deque<std::pair<double, Stored>> late_;
-  std::multimap<double, std::pair<std::size_t, peer::JobWord>> messages_;
+  std::multimap<double, std::pair<std::size_t, peer::JobMessage>> messages_;
   Neighbour there_[2];
-  Stays stays_;
+  RemotePlacements stays_;
 };
 
 TEST(Stays, OneHolderAtMostWhateverIsLostLateOrNew) {
@@ -298,22 +299,22 @@
 }
 
 TEST(Stays, ManyJobsGoWithOneChange) {
-  Stays stays({"south"}, 6000);
+  RemotePlacements stays({"south"}, 6000);
   for (int n = 0; n < 200; ++n)
-    stays.leave("req-" + std::to_string(100000 + n), 0);
+    stays.offload("req-" + std::to_string(100000 + n), 0);
   const auto pages = stays.next_write(12);
   ASSERT_EQ(pages.size(), 1U);
   EXPECT_EQ(pages[0].refs.size(), 200U);
   EXPECT_LT(pages[0].value().dump().size(), 6000U);
-  EXPECT_TRUE(stays.ask(0, 500, 100).empty()) << "nothing is said before it is written";
-  EXPECT_TRUE(stays.written(7).empty());
-  EXPECT_EQ(stays.ask(0, 500, 100).size(), 200U);
+  EXPECT_TRUE(stays.next_questions(0, 500, 100).empty()) << "nothing is said before it is written";
+  EXPECT_TRUE(stays.on_written(7).empty());
+  EXPECT_EQ(stays.next_questions(0, 500, 100).size(), 200U);
 }
 
 TEST(Stays, APageThatIsFullIsFollowedByAnother) {
-  Stays stays({"south"}, 400);
+  RemotePlacements stays({"south"}, 400);
   for (int n = 0; n < 100; ++n)
-    stays.leave("req-" + std::to_string(100000 + n), 0);
+    stays.offload("req-" + std::to_string(100000 + n), 0);
   std::set<std::string> keys;
   for (const auto& p : stays.next_write(100)) {
     keys.insert(p.key);
@@ -323,107 +324,111 @@
 }
 
 TEST(Stays, WhatTheStateServiceCallsTooLargeStaysHome) {
-  Stays stays({"south"}, 6000);
+  RemotePlacements stays({"south"}, 6000);
   for (int n = 0; n < 100; ++n)
-    stays.leave("req-" + std::to_string(100000 + n), 0);
+    stays.offload("req-" + std::to_string(100000 + n), 0);
   ASSERT_EQ(stays.next_write(1).size(), 1U);
-  EXPECT_EQ(stays.refused().size(), 100U);
+  EXPECT_EQ(stays.on_write_refused().size(), 100U);
   EXPECT_EQ(stays.size(), 0U);
   EXPECT_TRUE(stays.next_write(1).empty());
   for (int n = 0; n < 400; ++n)
-    stays.leave("req-" + std::to_string(100000 + n), 0);
+    stays.offload("req-" + std::to_string(100000 + n), 0);
   for (const auto& page : stays.next_write(100))
     EXPECT_LE(page.value().dump().size(), 3000U);
 }
 
 TEST(Stays, ANeighbourThatIsGoneForGoodGivesEverythingBack) {
-  Stays stays({"south"}, 6000);
-  stays.leave("req-1", 0);
+  RemotePlacements stays({"south"}, 6000);
+  stays.offload("req-1", 0);
   (void)stays.next_write(1);
-  (void)stays.written(3);
-  stays.give_up(0);
+  (void)stays.on_written(3);
+  stays.abandon_cell(0);
   ASSERT_EQ(stays.next_write(1).size(), 1U);
-  EXPECT_EQ(stays.written(4), std::vector<std::string>{"req-1"});
+  EXPECT_EQ(stays.on_written(4), std::vector<std::string>{"req-1"});
   EXPECT_EQ(stays.size(), 0U);
 }
 
 TEST(Stays, WhatACellHoldsThatIsNoLongerNamedStaysAway) {
-  Stays stays({"south"}, 6000);
+  RemotePlacements stays({"south"}, 6000);
   const wire::Value page{{"cell", "north"}, {"refs", {"req-1", "req-2"}}};
   EXPECT_TRUE(stays.load(
       "j/away/north/1", page, 9, [](const std::string& r) { return r == "req-1"; }, 0));
   EXPECT_NE(stays.find("req-1"), nullptr);
   EXPECT_EQ(stays.find("req-2"), nullptr) << "it is over";
-  EXPECT_TRUE(stays.ask(0, 10, 100).empty());
+  EXPECT_TRUE(stays.next_questions(0, 10, 100).empty());
   EXPECT_FALSE(stays.load(
       "j/away/north/x", page, 9, [](const std::string&) { return true; }, 0));
 }
 
 // ---------------------------------------------------------------- the planner
 
-There open(double takes, Seconds wait) {
+NeighbourCapacity open(double takes, Seconds wait) {
   return {true, takes, wait, 0.5, {{"red", 1e9}}};
 }
-Waiting job(double cores, double run_s) {
+WaitingJob job(double cores, double run_s) {
   return {"red", cores, cores * run_s, 0.2, {true, true}};
 }
 
 TEST(Planner, WhatWouldBeginSoonerElsewhereGoes) {
-  Here here{10, {}, ports::kNever, false};
-  std::vector<Waiting> waiting(6, job(10, 10));  // each takes 10 s of all that there is
-  const auto spills = plan(here, waiting, {open(1000, 0), open(1000, 0)}, 100).go;
+  LocalCapacity here{10, {}, ports::kNever, false};
+  std::vector<WaitingJob> waiting(6, job(10, 10));  // each takes 10 s of all that there is
+  const auto spills = plan_offloads(here, waiting, {open(1000, 0), open(1000, 0)}, 100).offloads;
   ASSERT_EQ(spills.size(), 5U) << "the first begins at once";
   EXPECT_EQ(spills[0].waiting, 1U);
 }
 
 TEST(Planner, NothingGoesWhereItWouldWaitAsLong) {
-  Here here{10, {}, ports::kNever, false};
-  std::vector<Waiting> waiting(3, job(10, 10));
-  EXPECT_TRUE(plan(here, waiting, {open(1000, 60)}, 100).go.empty());
-  EXPECT_TRUE(plan(here, waiting, {There{}}, 100).go.empty()) << "not heard of";
+  LocalCapacity here{10, {}, ports::kNever, false};
+  std::vector<WaitingJob> waiting(3, job(10, 10));
+  EXPECT_TRUE(plan_offloads(here, waiting, {open(1000, 60)}, 100).offloads.empty());
+  EXPECT_TRUE(plan_offloads(here, waiting, {NeighbourCapacity{}}, 100).offloads.empty()) << "not heard of";
   here.boot_s = 2;
-  EXPECT_TRUE(plan(here, waiting, {open(1000, 0)}, 100).go.empty()) << "more is had here as soon";
+  EXPECT_TRUE(plan_offloads(here, waiting, {open(1000, 0)}, 100).offloads.empty())
+      << "more is had here as soon";
 }
 
 TEST(Planner, KeepsToWhatIsTakenAndToLimits) {
-  Here here{1, {}, ports::kNever, false};
-  std::vector<Waiting> waiting(50, job(10, 10));
-  EXPECT_EQ(plan(here, waiting, {open(95, 0)}, 100).go.size(), 10U)
+  LocalCapacity here{1, {}, ports::kNever, false};
+  std::vector<WaitingJob> waiting(50, job(10, 10));
+  EXPECT_EQ(plan_offloads(here, waiting, {open(95, 0)}, 100).offloads.size(), 10U)
       << "the last may begin with what there is";
-  EXPECT_TRUE(plan(here, waiting, {open(3, 0)}, 100).go.empty()) << "many times as large";
-  EXPECT_EQ(plan(here, waiting, {open(95, 0)}, 100).soon.size(), 39U) << "not begun, but for the first";
-  There limited = open(1000, 0);
+  EXPECT_TRUE(plan_offloads(here, waiting, {open(3, 0)}, 100).offloads.empty()) << "many times as large";
+  EXPECT_EQ(plan_offloads(here, waiting, {open(95, 0)}, 100).soon.size(), 39U)
+      << "not begun, but for the first";
+  NeighbourCapacity limited = open(1000, 0);
   limited.teams["red"] = 30;
-  EXPECT_EQ(plan(here, waiting, {limited}, 100).go.size(), 3U);
-  EXPECT_EQ(plan(here, waiting, {open(1000, 0)}, 4).go.size(), 4U);
+  EXPECT_EQ(plan_offloads(here, waiting, {limited}, 100).offloads.size(), 3U);
+  EXPECT_EQ(plan_offloads(here, waiting, {open(1000, 0)}, 4).offloads.size(), 4U);
   limited.teams.clear();
-  EXPECT_TRUE(plan(here, waiting, {limited}, 100).go.empty()) << "it has no such team";
+  EXPECT_TRUE(plan_offloads(here, waiting, {limited}, 100).offloads.empty()) << "it has no such team";
 }
 
 TEST(Planner, ATeamsOwnLimitIsAReasonToo) {
-  Here here{1000, {{"red", 10}}, 1, false};
-  std::vector<Waiting> waiting(4, job(10, 20));
-  EXPECT_EQ(plan(here, waiting, {open(1000, 0)}, 100).go.size(), 3U);
+  LocalCapacity here{1000, {{"red", 10}}, 1, false};
+  std::vector<WaitingJob> waiting(4, job(10, 20));
+  EXPECT_EQ(plan_offloads(here, waiting, {open(1000, 0)}, 100).offloads.size(), 3U);
 }
 
 TEST(Planner, ADrainedCellHandsOnWhatMayGo) {
-  Here here{1000, {}, 0, true};
-  std::vector<Waiting> waiting(4, job(10, 20));
-  waiting[2].may_go.clear();
-  EXPECT_EQ(plan(here, waiting, {open(1000, 5)}, 100).go.size(), 3U);
-  EXPECT_EQ(plan(here, waiting, {open(0, 500)}, 100).go.size(), 3U) << "they wait as well there";
+  LocalCapacity here{1000, {}, 0, true};
+  std::vector<WaitingJob> waiting(4, job(10, 20));
+  waiting[2].may_offload.clear();
+  EXPECT_EQ(plan_offloads(here, waiting, {open(1000, 5)}, 100).offloads.size(), 3U);
+  EXPECT_EQ(plan_offloads(here, waiting, {open(0, 500)}, 100).offloads.size(), 3U)
+      << "they wait as well there";
 }
 
 TEST(Planner, TakesWhatIsFreeThenWhatCanBeHad) {
-  EXPECT_EQ(takes({100, 800, 30, 20, 0, false, false}), 50);
-  EXPECT_EQ(takes({100, 800, 80, 30, 0, false, false}), 70) << "a tenth of what may be had";
-  EXPECT_EQ(takes({100, 80000, 400, 30, 2000, false, false}), 7870);
-  EXPECT_EQ(takes({100, 800, 400, 30, 2000, false, false}), 370) << "at most a quarter of what there is";
-  EXPECT_EQ(takes({100, 0, 80, 30, 0, false, false}), 0);
-  EXPECT_EQ(takes({0, 0, 0, 20, 1000, false, false}), 80) << "some wait for what ends next";
-  EXPECT_EQ(takes({0, 0, 150, 0, 1000, false, false}), 0) << "unless own work does";
-  EXPECT_EQ(takes({100, 800, 0, 0, 0, true, false}), 0) << "drained";
-  EXPECT_EQ(takes({100, 800, 0, 0, 0, false, true}), 0) << "its own users are put off";
+  EXPECT_EQ(acceptable_guest_cores({100, 800, 30, 20, 0, false, false}), 50);
+  EXPECT_EQ(acceptable_guest_cores({100, 800, 80, 30, 0, false, false}), 70) << "a tenth of what may be had";
+  EXPECT_EQ(acceptable_guest_cores({100, 80000, 400, 30, 2000, false, false}), 7870);
+  EXPECT_EQ(acceptable_guest_cores({100, 800, 400, 30, 2000, false, false}), 370)
+      << "at most a quarter of what there is";
+  EXPECT_EQ(acceptable_guest_cores({100, 0, 80, 30, 0, false, false}), 0);
+  EXPECT_EQ(acceptable_guest_cores({0, 0, 0, 20, 1000, false, false}), 80) << "some wait for what ends next";
+  EXPECT_EQ(acceptable_guest_cores({0, 0, 150, 0, 1000, false, false}), 0) << "unless own work does";
+  EXPECT_EQ(acceptable_guest_cores({100, 800, 0, 0, 0, true, false}), 0) << "drained";
+  EXPECT_EQ(acceptable_guest_cores({100, 800, 0, 0, 0, false, true}), 0) << "its own users are put off";
 }
 
 // Against all ways to divide a few jobs between two cells that serve them one after the other: the sum of the
@@ -433,9 +438,9 @@
   double planned = 0, best_of_all = 0, stay_of_all = 0;
   for (int round = 0; round < 300; ++round) {
     const std::size_t n = 3 + rng(5);
-    Here here{10.0 + rng(30), {}, ports::kNever, false};
+    LocalCapacity here{10.0 + rng(30), {}, ports::kNever, false};
     const double there_cores = 10.0 + rng(30);
-    std::vector<Waiting> waiting;
+    std::vector<WaitingJob> waiting;
     for (std::size_t i = 0; i < n; ++i)
       waiting.push_back(job(2.0 + rng(8), 5.0 + rng(60)));
     const auto cost = [&](std::uint32_t goes) {
@@ -444,7 +449,7 @@
         const bool away = (goes >> i & 1U) != 0;
         double& ahead = away ? ahead_there : ahead_here;
         sum += ahead / (away ? there_cores : here.cores) + (away ? 2.2 : 0);
-        ahead += waiting[i].core_s;
+        ahead += waiting[i].core_seconds;
       }
       return sum;
     };
@@ -454,7 +459,7 @@
     // What it takes at a time is what it has free, told anew once a second; here all of it at once.
     std::uint32_t goes = 0;
     double room = there_cores;
-    for (const Spill& s : plan(here, waiting, {open(room, 0)}, 100).go)
+    for (const Offload& s : plan_offloads(here, waiting, {open(room, 0)}, 100).offloads)
       goes |= 1U << s.waiting;
     planned += cost(goes), best_of_all += best, stay_of_all += cost(0);
     EXPECT_LE(cost(goes), cost(0) * 1.5 + 5);
@@ -481,13 +486,13 @@
       "  most_away: 40\n  drain: true\n  gone: [south]\n");
   EXPECT_EQ(loaded.problems, std::vector<std::string>{});
   const settings::Cells& c = loaded.settings.cells;
-  EXPECT_TRUE(c.on());
+  EXPECT_TRUE(c.enabled());
   EXPECT_EQ(c.name, "north");
   ASSERT_EQ(c.neighbours.size(), 1U);
   EXPECT_EQ(c.neighbours[0].nodes[1].text(), "10.0.0.2:8081");
-  EXPECT_EQ(c.most_away, 40);
+  EXPECT_EQ(c.max_remote_jobs, 40);
   EXPECT_TRUE(c.drain);
-  EXPECT_FALSE(settings::parse(toml(), "").settings.cells.on());
+  EXPECT_FALSE(settings::parse(toml(), "").settings.cells.enabled());
 }
 
 TEST(CellSettings, TheExampleIsInOrderAndWhatIsRunHasNone) {
@@ -497,10 +502,10 @@
   };
   const auto example = settings::parse(toml(), text("cells.yaml"));
   EXPECT_EQ(example.problems, std::vector<std::string>{});
-  EXPECT_TRUE(example.settings.cells.on());
+  EXPECT_TRUE(example.settings.cells.enabled());
   const auto run = settings::parse(toml(), text("tunables.yaml"));
   EXPECT_EQ(run.problems, std::vector<std::string>{});
-  EXPECT_FALSE(run.settings.cells.on());
+  EXPECT_FALSE(run.settings.cells.enabled());
 }
 
 TEST(CellSettings, ProblemsNameTheirPlace) {
--- a/tests/cells_world_test.cpp
+++ b/tests/cells_world_test.cpp
@@ -1,9 +1,9 @@
 // Several cells with real controllers each: what spills over, what a hand-over survives, and what the
 // neighbour's own work loses.
-#include "emulator/simulated_cells.hpp"
 #include "rides.hpp"
+#include "simulation/simulated_cells.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 Plan cell(std::uint64_t seed, int machines) {
@@ -244,4 +244,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/chains_test.cpp
+++ b/tests/chains_test.cpp
@@ -1,11 +1,11 @@
-#include "jobs/chains.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <map>
 #include <pcg_random.hpp>
 
+#include "jobs/dependency_graph.hpp"
+
 namespace wingtrail::jobs {
 namespace {
 
@@ -16,16 +16,16 @@
 class ChainsTest : public ::testing::Test {
  protected:
   settings::Settings settings;
-  Registry registry{settings};
-  std::map<std::string, Chains::End> over;
-  Chains chains{registry,
-                {[this](const std::string& r) -> std::optional<Chains::End> {
-                   auto it = over.find(r);
-                   return it == over.end() ? std::nullopt : std::optional(it->second);
-                 },
-                 [](const Job& job) {
-                   return job.spec.estimate_s;
-                 }}};
+  JobRegistry registry{settings};
+  std::map<std::string, DependencyGraph::End> over;
+  DependencyGraph chains{registry,
+                         {[this](const std::string& r) -> std::optional<DependencyGraph::End> {
+                            auto it = over.find(r);
+                            return it == over.end() ? std::nullopt : std::optional(it->second);
+                          },
+                          [](const Job& job) {
+                            return job.spec.estimate_s;
+                          }}};
   std::uint64_t revision = 0;
 
   Job& add(int n, const std::vector<int>& needs, wire::Priority priority = wire::Priority::low,
@@ -37,22 +37,22 @@
     s.priority = priority;
     s.deadline_s = due;
     for (const int k : needs)
-      s.waits_on.push_back(ref(k));
+      s.depends_on.push_back(ref(k));
     Job& job = registry.add(s, ++revision, 0);
-    chains.join(job);
+    chains.add(job);
     return job;
   }
   void end(int n, bool done, Seconds at = 1) {
     if (Job* job = registry.find(ref(n)))
-      job->closing = job->closed = true;
+      job->final_state_pending = job->final_state_recorded = true;
     over[ref(n)] = {done, at};
-    chains.ended(ref(n), {done, at});
+    chains.on_ended(ref(n), {done, at});
   }
-  std::vector<std::string> names(const std::vector<Ix>& jobs) {
+  std::vector<std::string> names(const std::vector<jobs::JobIndex>& jobs) {
     std::vector<std::string> out;
     out.reserve(jobs.size());
-    for (const Ix ix : jobs)
-      out.push_back(registry.at(ix)->spec.ref);
+    for (const jobs::JobIndex ix : jobs)
+      out.push_back(registry.job_at(ix)->spec.ref);
     std::sort(out.begin(), out.end());
     return out;
   }
@@ -64,30 +64,30 @@
   add(2, {});
   add(3, {});
   Job& last = add(4, {1, 2, 3});
-  EXPECT_EQ(last.unmet, 2U);
+  EXPECT_EQ(last.unmet_dependencies, 2U);
   end(2, true, 7);
   EXPECT_TRUE(chains.take_ready().empty());
   end(3, true, 9);
   EXPECT_EQ(names(chains.take_ready()), Refs{ref(4)});
-  EXPECT_DOUBLE_EQ(last.since, 9);
-  EXPECT_DOUBLE_EQ(last.submitted, 0);
+  EXPECT_DOUBLE_EQ(last.eligible_since, 9);
+  EXPECT_DOUBLE_EQ(last.submitted_at, 0);
   end(3, true, 9);  // told again
   EXPECT_TRUE(chains.take_ready().empty());
   end(4, true);
-  EXPECT_EQ(chains.nodes(), 0U);
+  EXPECT_EQ(chains.node_count(), 0U);
 }
 
 // Unknown is not done: it may be live and not seen yet, or over before this leadership.
 TEST_F(ChainsTest, WhatIsUnknownIsAskedAboutOnceAndHoldsTheJob) {
   Job& a = add(2, {1});
   add(3, {1});
-  EXPECT_TRUE(a.held());
+  EXPECT_TRUE(a.is_held());
   EXPECT_EQ(chains.take_unknown(), Refs{ref(1)});
   EXPECT_TRUE(chains.take_unknown().empty());
-  EXPECT_TRUE(chains.asks_for(ref(1)));
+  EXPECT_TRUE(chains.awaits_unknown(ref(1)));
   add(1, {});  // its creation is seen late
-  EXPECT_FALSE(chains.asks_for(ref(1)));
-  EXPECT_TRUE(a.held());
+  EXPECT_FALSE(chains.awaits_unknown(ref(1)));
+  EXPECT_TRUE(a.is_held());
   end(1, true);
   EXPECT_EQ(names(chains.take_ready()), (Refs{ref(2), ref(3)}));
 }
@@ -103,11 +103,11 @@
   EXPECT_TRUE(chains.take_ready().empty());
   Job& late = add(6, {3});  // submitted while the ends are on their way
   end(2, false), end(3, false);
-  EXPECT_TRUE(late.orphan);
+  EXPECT_TRUE(late.orphaned);
   EXPECT_EQ(names(chains.take_orphans()), Refs{ref(6)});
   Job& later = add(7, {5, 3});
-  EXPECT_TRUE(later.orphan);
-  EXPECT_TRUE(later.held());
+  EXPECT_TRUE(later.orphaned);
+  EXPECT_TRUE(later.is_held());
   end(5, true);
   EXPECT_TRUE(chains.take_ready().empty());
 }
@@ -116,22 +116,22 @@
   Job& first = add(1, {});
   Job& middle = add(2, {1});
   Job& side = add(3, {1}, wire::Priority::normal);
-  chains.spread_urgency();
-  EXPECT_EQ(first.priority, wire::Priority::normal);
-  EXPECT_EQ(first.latest, ports::kNever);
+  chains.propagate_urgency();
+  EXPECT_EQ(first.effective_priority, wire::Priority::normal);
+  EXPECT_EQ(first.latest_finish, ports::kNever);
   Job& last = add(4, {2}, wire::Priority::high, 100);
-  chains.spread_urgency();
-  EXPECT_EQ(first.priority, wire::Priority::high);
-  EXPECT_EQ(middle.priority, wire::Priority::high);
-  EXPECT_EQ(side.priority, wire::Priority::normal);
-  EXPECT_DOUBLE_EQ(middle.latest, 90);  // the last needs ten seconds
-  EXPECT_DOUBLE_EQ(first.latest, 80);
-  EXPECT_EQ(last.latest, ports::kNever);
+  chains.propagate_urgency();
+  EXPECT_EQ(first.effective_priority, wire::Priority::high);
+  EXPECT_EQ(middle.effective_priority, wire::Priority::high);
+  EXPECT_EQ(side.effective_priority, wire::Priority::normal);
+  EXPECT_DOUBLE_EQ(middle.latest_finish, 90);  // the last needs ten seconds
+  EXPECT_DOUBLE_EQ(first.latest_finish, 80);
+  EXPECT_EQ(last.latest_finish, ports::kNever);
   end(4, false);
-  chains.spread_urgency();
-  EXPECT_EQ(middle.priority, wire::Priority::low);
-  EXPECT_EQ(first.priority, wire::Priority::normal);
-  EXPECT_EQ(first.latest, ports::kNever);
+  chains.propagate_urgency();
+  EXPECT_EQ(middle.effective_priority, wire::Priority::low);
+  EXPECT_EQ(first.effective_priority, wire::Priority::normal);
+  EXPECT_EQ(first.latest_finish, ports::kNever);
 }
 
 TEST_F(ChainsTest, ThousandsInARowOrInAFanCostNoMoreThanTheirNumber) {
@@ -142,17 +142,17 @@
     add(kMany + i, {0});
   }
   add(3 * kMany, {kMany}, wire::Priority::high, 1e6);  // the last one comes late
-  chains.spread_urgency();
-  EXPECT_EQ(registry.find(ref(0))->priority, wire::Priority::high);
+  chains.propagate_urgency();
+  EXPECT_EQ(registry.find(ref(0))->effective_priority, wire::Priority::high);
   EXPECT_LT(chains.visits(), 10U * kMany);
   end(0, false);
   EXPECT_EQ(chains.take_orphans().size(), 2U * kMany + 1);
   for (int i = 1; i <= 2 * kMany; ++i)
     end(i, false);
   end(3 * kMany, false);
-  chains.spread_urgency();
+  chains.propagate_urgency();
   EXPECT_LT(chains.visits(), 30U * kMany);
-  EXPECT_EQ(chains.nodes(), 0U);
+  EXPECT_EQ(chains.node_count(), 0U);
 }
 
 // Against a plain walk over all jobs, for random graphs and ends in random order.
@@ -172,20 +172,20 @@
       }
       needs.push_back(list);
       Job& job = add(n, list);
-      if (!job.held())
+      if (!job.is_held())
         ready.insert(ref(n));
     } else if (n > 0) {
       const int k = static_cast<int>(rng(static_cast<std::uint32_t>(n)));
       Job* job = registry.find(ref(k));
-      if (!fate.contains(k) && (!job->held() || job->orphan || rng(4) == 0)) {
-        fate[k] = !job->held() && rng(4) > 0 ? 1 : 2;
+      if (!fate.contains(k) && (!job->is_held() || job->orphaned || rng(4) == 0)) {
+        fate[k] = !job->is_held() && rng(4) > 0 ? 1 : 2;
         end(k, fate[k] == 1);
       }
     }
-    for (const Ix ix : chains.take_ready())
-      ready.insert(registry.at(ix)->spec.ref);
-    for (const Ix ix : chains.take_orphans())
-      orphans.insert(registry.at(ix)->spec.ref);
+    for (const jobs::JobIndex ix : chains.take_ready())
+      ready.insert(registry.job_at(ix)->spec.ref);
+    for (const jobs::JobIndex ix : chains.take_orphans())
+      orphans.insert(registry.job_at(ix)->spec.ref);
     for (int i = 0; i < static_cast<int>(needs.size()); ++i) {
       bool all = true, lost = false;
       for (const int k : needs[i]) {
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -25,11 +25,11 @@
 #include <iostream>
 #include <memory>
 
-#include "emulator/simulated_cluster.hpp"
+#include "net/event_loop.hpp"
 #include "net/http.hpp"
-#include "net/loop.hpp"
+#include "simulation/simulated_cluster.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 constexpr std::size_t kNodes = 3;
@@ -69,7 +69,7 @@
 
 class Cluster {
  public:
-  Cluster(const Options& options, net::Loop& loop, net::Scope& scope, std::size_t cell,
+  Cluster(const Options& options, net::EventLoop& loop, net::TaskScope& scope, std::size_t cell,
           std::shared_ptr<Reach> reach)
       : options_(options),
         loop_(loop),
@@ -98,7 +98,7 @@
     world_ = std::make_unique<SimulatedCluster>(
         plan,
         SimulatedCluster::Outside{
-            [this](std::size_t i, daemon::Incoming in, SimulatedCluster::OnAnswer then) {
+            [this](std::size_t i, controller::IncomingRequest in, SimulatedCluster::OnAnswer then) {
               carry(i, std::move(in), std::move(then));
             },
             [this](const std::string& host) { return worker(host); }, [this](std::size_t i) { boot(i); },
@@ -117,11 +117,11 @@
         world_->cloud(r.method, r.target, body(r), std::move(reply));
       });
       write_settings(i);
-      auto relay = [this, i](net::Request r) -> net::Co<net::Response> {
+      auto relay = [this, i](net::Request r) -> net::Task<net::Response> {
         return pass_on(i, std::move(r));
       };
       servers_.push_back(
-          std::make_unique<net::Server>(scope_, kHere, nodes_[i].relay, net::ServerLimits{}, relay));
+          std::make_unique<net::HttpServer>(scope_, kHere, nodes_[i].relay, net::ServerLimits{}, relay));
       if (auto why = servers_.back()->listen())
         spdlog::error("{}", *why);
     }
@@ -251,18 +251,18 @@
   }
 
   void serve(std::uint16_t port, Service service) {
-    auto handle = [this, service = std::move(service)](net::Request r) -> net::Co<net::Response> {
+    auto handle = [this, service = std::move(service)](net::Request r) -> net::Task<net::Response> {
       return answer(service, std::move(r));
     };
-    servers_.push_back(std::make_unique<net::Server>(scope_, kHere, port, net::ServerLimits{}, handle));
+    servers_.push_back(std::make_unique<net::HttpServer>(scope_, kHere, port, net::ServerLimits{}, handle));
     if (auto why = servers_.back()->listen())
       spdlog::error("{}", *why);
   }
 
-  net::Co<net::Response> answer(const Service& service, net::Request r) {
+  net::Task<net::Response> answer(const Service& service, net::Request r) {
     using Got = std::pair<int, wire::Value>;
     // The world may answer long after this routine has given up.
-    auto got = std::make_shared<net::Slot<Got>>();
+    auto got = std::make_shared<net::OneShot<Got>>();
     world_->step(now());
     service(std::move(r), [got](int status, wire::Value v) { got->set({status, std::move(v)}); });
     auto reply = co_await got->wait(scope_, loop_.now() + 60);
@@ -274,13 +274,13 @@
   }
 
   // What a controller of another cell says to this one's.
-  net::Co<net::Response> pass_on(std::size_t i, net::Request r) {
+  net::Task<net::Response> pass_on(std::size_t i, net::Request r) {
     net::Response out;
     out.status = 503;
     if (refuses_)
       co_return out;
-    const net::Outcome o = co_await client_.call(kHere, nodes_[i].peer, std::move(r), "application/msgpack",
-                                                 loop_.now() + 5, ports::kNever);
+    const net::CallResult o = co_await client_.call(kHere, nodes_[i].peer, std::move(r),
+                                                    "application/msgpack", loop_.now() + 5, ports::kNever);
     if (scope_.cancelled() || o.status == 0)
       co_return out;
     out.status = o.status;
@@ -299,10 +299,11 @@
     return address(port);
   }
 
-  net::Routine carry(std::size_t i, daemon::Incoming in, SimulatedCluster::OnAnswer then) {
+  net::DetachedTask carry(std::size_t i, controller::IncomingRequest in, SimulatedCluster::OnAnswer then) {
     net::Request request{in.method, in.path, in.body};
-    const net::Outcome o = co_await client_.call(kHere, nodes_[i].client, std::move(request),
-                                                 "application/cbor", loop_.now() + kUserWaits, ports::kNever);
+    const net::CallResult o =
+        co_await client_.call(kHere, nodes_[i].client, std::move(request), "application/cbor",
+                              loop_.now() + kUserWaits, ports::kNever);
     if (scope_.cancelled() || o.status == 0)
       co_return;
     ports::Answer a;
@@ -332,13 +333,14 @@
       f << "[[params.teams]]\nname = \"" << t.name << "\"\ncpus = " << t.cpus
         << ".0\ncpus_max = " << t.cpus_max << ".0\ngpus = 0.0\ngpus_max = 0.0\n";
     }
-    f << "[params.workers]\nreport_s = " << s.report_s << "\nlease_s = " << s.lease_s
+    f << "[params.workers]\nreport_s = " << s.heartbeat_interval_s << "\nlease_s = " << s.worker_lease_s
       << "\ngang_wait_s = 25.0\n"
-      << "gang_peer_s = 8.0\ncancel_s = " << s.cancel_s << "\n[params.state]\nrps = " << s.state_rps
-      << "\nwrite_rps = " << s.state_write_rps << "\nvalue_kb = " << s.value_kb << "\ntxn_ops = " << s.txn_ops
-      << "\n[params.state.next]\nwrite_rps = " << next.state_write_rps << "\nvalue_kb = " << next.value_kb
-      << "\ntxn_ops = " << next.txn_ops << "\n[params.cloud]\nrps = " << s.cloud_rps
-      << "\nlist_lag_s = " << s.list_lag_s
+      << "gang_peer_s = 8.0\ncancel_s = " << s.cancellation_limit_s
+      << "\n[params.state]\nrps = " << s.state_requests_per_s << "\nwrite_rps = " << s.state_writes_per_s
+      << "\nvalue_kb = " << s.state_value_kb << "\ntxn_ops = " << s.max_transaction_changes
+      << "\n[params.state.next]\nwrite_rps = " << next.state_writes_per_s
+      << "\nvalue_kb = " << next.state_value_kb << "\ntxn_ops = " << next.max_transaction_changes
+      << "\n[params.cloud]\nrps = " << s.cloud_requests_per_s << "\nlist_lag_s = " << s.cloud_list_lag_s
       << "\n[params.limits]\ncores = 0.5\nmem_mb = 200.0\nmax_connections = 1000\n";
   }
 
@@ -378,23 +380,23 @@
   }
 
   Options options_;
-  net::Loop& loop_;
-  net::Scope& scope_;
-  net::Client client_;
+  net::EventLoop& loop_;
+  net::TaskScope& scope_;
+  net::HttpClient client_;
   std::size_t cell_;
   bool refuses_ = false;  // what other cells say
   std::filesystem::path folder_;
   std::array<Process, kNodes> nodes_;
   std::unique_ptr<SimulatedCluster> world_;
-  std::vector<std::unique_ptr<net::Server>> servers_;
+  std::vector<std::unique_ptr<net::HttpServer>> servers_;
   net::Seconds start_ = 0;
 };
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
 
 int main(int argc, char** argv) {
-  wingtrail::emulator::Options options;
+  wingtrail::simulation::Options options;
   CLI::App app("Three controllers against stand-ins for everything around them");
   app.add_option("--program", options.program, "the controller to start")
       ->required()
@@ -417,12 +419,12 @@
   CLI11_PARSE(app, argc, argv);
   spdlog::set_level(spdlog::level::from_str(std::getenv("LOG_LEVEL") ? std::getenv("LOG_LEVEL") : "error"));
   using namespace wingtrail;
-  net::Loop loop;
-  net::Scope scope(loop);
-  auto reach = std::make_shared<emulator::Reach>();
-  std::vector<std::unique_ptr<emulator::Cluster>> cells;
+  net::EventLoop loop;
+  net::TaskScope scope(loop);
+  auto reach = std::make_shared<simulation::Reach>();
+  std::vector<std::unique_ptr<simulation::Cluster>> cells;
   for (std::size_t c = 0; c < options.cells; ++c)
-    cells.push_back(std::make_unique<emulator::Cluster>(options, loop, scope, c, reach));
+    cells.push_back(std::make_unique<simulation::Cluster>(options, loop, scope, c, reach));
   for (auto& c : cells)
     c->meet(cells);
   for (auto& c : cells)
@@ -438,9 +440,9 @@
   });
   loop.run();
   scope.cancel();
-  emulator::RunReport v;
+  simulation::RunReport v;
   for (auto& c : cells) {
-    const emulator::RunReport& own = c->close();
+    const simulation::RunReport& own = c->close();
     for (const auto& b : own.broken)
       std::cout << b << "\n";
     v.broken.insert(v.broken.end(), own.broken.begin(), own.broken.end());
--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -6,7 +6,7 @@
 
 #include "rides.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 // As deployed, but for the sizes.
 inline Plan deployed(std::uint64_t seed, int machines = 10) {
@@ -27,8 +27,8 @@
       wire::JobSpec service = job_of(n, 4, "red");
       service.shape = wire::Shape::service;
       service.priority = wire::Priority::production;
-      service.spread = true;
-      service.spot = false;
+      service.spread_zones = true;
+      service.allows_spot = false;
       world.user(service, 0);
     }
     world.step(40);  // custody begins once no node of an older version can have led for cancel_s
@@ -137,4 +137,4 @@
   return confirmed;
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,7 +1,7 @@
 // Combinations of two faults: docs/combined-faults.md has a row for each.
 #include "combined_faults.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 TEST(CombinedFaults, TheGapSwept) {
@@ -428,7 +428,7 @@
       if (n % 2 == 0)
         s.zone = "z0";
       if (n % 4 == 1)
-        s.one_zone = true;
+        s.same_zone = true;
       day.world.user(s, 40);
     }
     day.world.step(56);
@@ -480,7 +480,7 @@
     day.world.step(50);
     for (int n = 11; n < 14; ++n) {
       wire::JobSpec next = job_of(n, 1, "red");
-      next.waits_on = {Day::ref(n - 1)};
+      next.depends_on = {Day::ref(n - 1)};
       day.world.user(next, 5);
       day.world.step(day.world.now() + 2);
     }
@@ -598,4 +598,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/custody_test.cpp
+++ b/tests/custody_test.cpp
@@ -1,16 +1,15 @@
 // Custody against a plain truth: a worker's real lease, clocks that drift, messages that come late, nodes
 // that restart, leaders that change. Whenever a leader takes the worker's lease for over, it must be.
-#include "custody/custody.hpp"
-
 #include <gtest/gtest.h>
 
 #include <map>
 #include <memory>
 #include <pcg_random.hpp>
 
-#include "zones/zones.hpp"
+#include "delegation/delegation.hpp"
+#include "zones/zone_tracker.hpp"
 
-namespace wingtrail::custody {
+namespace wingtrail::delegation {
 namespace {
 
 constexpr Seconds kSpan = 40, kLease = 20;
@@ -19,7 +18,7 @@
  public:
   explicit Truth(std::uint64_t seed) : rng_(seed) {
     for (Node& n : nodes_)
-      n.rate = between(0.9995, 1.0005), n.custodian = std::make_unique<Custodian>(kSpan, 3);
+      n.rate = between(0.9995, 1.0005), n.custodian = std::make_unique<LeaseDelegate>(kSpan, 3);
     worker_rate_ = between(0.9995, 1.0005);
   }
 
@@ -53,7 +52,7 @@
   struct Node {
     double rate = 1, cut_until = -1, born = 0;
     std::uint64_t life = 1, knows = 0;
-    std::unique_ptr<Custodian> custodian;
+    std::unique_ptr<LeaseDelegate> custodian;
   };
   double between(double a, double b) {
     return a + (b - a) * std::ldexp(static_cast<double>(rng_()), -32);
@@ -83,17 +82,17 @@
     vacant_ = false;
     ++token_;
     nodes_[i].knows = token_;
-    nodes_[i].custodian->heard(token_);
-    grants_ = std::make_unique<Grants>(kSpan, kLease, 3);
-    grants_->begin(clock(i));
-    own_ = clock(i) + kLease * (1 + kDrift) + 0.5;  // whatever earlier leaders granted ends by then
+    nodes_[i].custodian->observe_leadership(token_);
+    grants_ = std::make_unique<DelegationLedger>(kSpan, kLease, 3);
+    grants_->begin_leadership(clock(i));
+    own_ = clock(i) + kLease * (1 + kMaxClockDrift) + 0.5;  // whatever earlier leaders granted ends by then
     watched_ = worker_;
   }
   // Node i asks node j for a grant, and j for a word of i if it leads; as the controllers' greetings do.
   void greet(std::size_t i) {
     later(1, [this, i] { greet(i); });
     if (i == leader_ && !vacant_)  // what it did itself is in own_
-      grants_->vouched(i, clock(i), clock(i), {clock(i) - nodes_[i].born, -1, true});
+      grants_->on_peer_statement(i, clock(i), clock(i), {clock(i) - nodes_[i].born, -1, true});
     for (std::size_t j = 0; j < 3; ++j) {
       if (j == i)
         continue;
@@ -102,27 +101,28 @@
       send(i, j, [this, i, j, asked, life, knew] {
         Node& to = nodes_[j];
         if (knew > to.knows)
-          to.knows = knew, to.custodian->heard(knew);
+          to.knows = knew, to.custodian->observe_leadership(knew);
         const bool grants = j == leader_ && !vacant_;
         // Whoever may give no orders agrees; a leader past its authority puts it down.
         if (j == leader_)
-          grants_->granted(i, clock(j));
-        const std::uint64_t newest = to.custodian->newest();
-        const Grants::Word word{clock(j) - to.born, to.custodian->held_s(clock(j)), true};
+          grants_->on_granted(i, clock(j));
+        const std::uint64_t newest = to.custodian->newest_token();
+        const DelegationLedger::PeerStatement word{clock(j) - to.born,
+                                                   to.custodian->since_last_renewal_s(clock(j)), true};
         send(j, i, [this, i, j, asked, life, knows = to.knows, grants, word, newest] {
           Node& me = nodes_[i];
           if (me.life != life)
             return;
           if (knows > me.knows)
-            me.knows = knows, me.custodian->heard(knows);
+            me.knows = knows, me.custodian->observe_leadership(knows);
           if (grants)
-            me.custodian->granted(knows, asked);
+            me.custodian->on_grant(knows, asked);
           if (!grants)
-            me.custodian->consented(j, newest, asked, kSpan);
-          me.custodian->consented(i, me.custodian->newest(), asked,
-                                  kSpan);  // itself, where it counts as a peer
+            me.custodian->on_peer_agreement(j, newest, asked, kSpan);
+          me.custodian->on_peer_agreement(i, me.custodian->newest_token(), asked,
+                                          kSpan);  // itself, where it counts as a peer
           if (i == leader_ && !vacant_ && knows >= token_)
-            grants_->vouched(j, asked, clock(i), word);
+            grants_->on_peer_statement(j, asked, clock(i), word);
         });
       });
     }
@@ -143,13 +143,13 @@
           return;  // it is out of the leader's reach, mostly
         token = token_;
         if (session >= watched_)
-          watched_ = session, own_ = clock(i) + kLease * (1 + kDrift) + 0.5;
-      } else if (const auto may = n.custodian->may_answer(clock(i), mandate_)) {
-        n.custodian->answered(clock(i));
+          watched_ = session, own_ = clock(i) + kLease * (1 + kMaxClockDrift) + 0.5;
+      } else if (const auto may = n.custodian->renewal_token(clock(i), mandate_)) {
+        n.custodian->on_renewal(clock(i));
         token = *may;
         agreed_ += n.custodian->agreed_until() > clock(i);
         if (i == leader_ && session >= watched_)
-          watched_ = session, own_ = clock(i) + kLease * (1 + kDrift) + 0.5;
+          watched_ = session, own_ = clock(i) + kLease * (1 + kMaxClockDrift) + 0.5;
       }
       if (token == 0)
         return;
@@ -173,7 +173,7 @@
         ++nodes_[i].life;
         nodes_[i].born = clock(i);
         nodes_[i].knows = 0;
-        nodes_[i].custodian = std::make_unique<Custodian>(kSpan, 3);
+        nodes_[i].custodian = std::make_unique<LeaseDelegate>(kSpan, 3);
         if (i == leader_)
           dead_ = true, vacant_ = true;
         if (dead_ && odds(0.5))
@@ -195,7 +195,7 @@
           ++nodes_[k].life;
           nodes_[k].born = clock(k);
           nodes_[k].knows = 0;
-          nodes_[k].custodian = std::make_unique<Custodian>(kSpan, 3);
+          nodes_[k].custodian = std::make_unique<LeaseDelegate>(kSpan, 3);
         }
         later(between(1, 120), [this, was = token_] {
           if (token_ == was && dead_)
@@ -211,7 +211,7 @@
     }
   }
   void judge() {
-    if (vacant_ || watched_ == 0 || grants_->lease_end(own_) > clock(leader_))
+    if (vacant_ || watched_ == 0 || grants_->worker_lease_expiry(own_) > clock(leader_))
       return;
     ++ends_;
     // Sessions up to the one that was heard of last must be over.
@@ -224,7 +224,7 @@
   double t_ = 0, worker_rate_ = 1, renewed_ = 0;
   std::multimap<double, std::function<void()>> events_;
   Node nodes_[3];
-  std::unique_ptr<Grants> grants_;
+  std::unique_ptr<DelegationLedger> grants_;
   std::size_t leader_ = 0;
   std::uint64_t token_ = 0, worker_ = 1, watched_ = 0, mandate_ = 0;
   Seconds own_ = 0;
@@ -248,86 +248,88 @@
 }
 
 TEST(Custody, AGrantCountsFromItsAskingAndEndsWithANewerLeader) {
-  Custodian c(kSpan, 1);
-  c.granted(7, 100);
-  EXPECT_EQ(c.may_answer(139, 7), 7U);
-  EXPECT_EQ(c.may_answer(139, 8), std::nullopt) << "the worker would drop the answer";
-  EXPECT_EQ(c.may_answer(140, 7), std::nullopt);
-  c.granted(7, 120);
-  c.heard(8);
-  EXPECT_EQ(c.may_answer(121, 7), std::nullopt);
-  c.granted(7, 130);  // came late
-  EXPECT_EQ(c.may_answer(131, 7), std::nullopt);
+  LeaseDelegate c(kSpan, 1);
+  c.on_grant(7, 100);
+  EXPECT_EQ(c.renewal_token(139, 7), 7U);
+  EXPECT_EQ(c.renewal_token(139, 8), std::nullopt) << "the worker would drop the answer";
+  EXPECT_EQ(c.renewal_token(140, 7), std::nullopt);
+  c.on_grant(7, 120);
+  c.observe_leadership(8);
+  EXPECT_EQ(c.renewal_token(121, 7), std::nullopt);
+  c.on_grant(7, 130);  // came late
+  EXPECT_EQ(c.renewal_token(131, 7), std::nullopt);
 }
 
 // Nobody leads: all peers must agree, each consent counts from its asking, and a newer leader ends all of it.
 TEST(Custody, WhatAllAgreeOnLastsAsLongAsTheOldestConsent) {
-  Custodian c(kSpan, 2);
-  c.consented(0, 0, 100, kSpan);
-  EXPECT_EQ(c.may_answer(101, 7), std::nullopt) << "the other peer may lead";
-  c.consented(1, 0, 110, kSpan);
-  EXPECT_EQ(c.may_answer(139, 7), 7U) << "the worker's own token: it moves nothing";
-  EXPECT_EQ(c.may_answer(139, 7, false), std::nullopt)
+  LeaseDelegate c(kSpan, 2);
+  c.on_peer_agreement(0, 0, 100, kSpan);
+  EXPECT_EQ(c.renewal_token(101, 7), std::nullopt) << "the other peer may lead";
+  c.on_peer_agreement(1, 0, 110, kSpan);
+  EXPECT_EQ(c.renewal_token(139, 7), 7U) << "the worker's own token: it moves nothing";
+  EXPECT_EQ(c.renewal_token(139, 7, false), std::nullopt)
       << "an earlier leader may have told what was not so yet";
-  EXPECT_EQ(c.may_answer(139, 0), std::nullopt)
+  EXPECT_EQ(c.renewal_token(139, 0), std::nullopt)
       << "a worker that never heard of a leader has nothing to lose";
-  EXPECT_EQ(c.may_answer(140, 7), std::nullopt);
-  c.consented(0, 0, 130, 5);  // for as long as the peer reckons with, not longer
-  EXPECT_EQ(c.may_answer(140, 7), std::nullopt);
-  c.consented(0, 0, 130, kSpan);
-  EXPECT_EQ(c.may_answer(141, 7), 7U);
-  c.heard(9);
-  EXPECT_EQ(c.may_answer(141, 9), std::nullopt);
-  c.consented(0, 8, 150, kSpan);  // has not heard of 9, so it may have spoken before 9 was elected
-  c.consented(1, 9, 150, kSpan);
-  EXPECT_EQ(c.may_answer(151, 9), std::nullopt);
-  c.consented(0, 9, 150, kSpan);
-  EXPECT_EQ(c.may_answer(151, 9), 9U);
-  EXPECT_EQ(c.may_answer(151, 7), 7U);
+  EXPECT_EQ(c.renewal_token(140, 7), std::nullopt);
+  c.on_peer_agreement(0, 0, 130, 5);  // for as long as the peer reckons with, not longer
+  EXPECT_EQ(c.renewal_token(140, 7), std::nullopt);
+  c.on_peer_agreement(0, 0, 130, kSpan);
+  EXPECT_EQ(c.renewal_token(141, 7), 7U);
+  c.observe_leadership(9);
+  EXPECT_EQ(c.renewal_token(141, 9), std::nullopt);
+  c.on_peer_agreement(0, 8, 150, kSpan);  // has not heard of 9, so it may have spoken before 9 was elected
+  c.on_peer_agreement(1, 9, 150, kSpan);
+  EXPECT_EQ(c.renewal_token(151, 9), std::nullopt);
+  c.on_peer_agreement(0, 9, 150, kSpan);
+  EXPECT_EQ(c.renewal_token(151, 9), 9U);
+  EXPECT_EQ(c.renewal_token(151, 7), 7U);
 
-  Custodian off(0, 2), alone(kSpan, 0);
-  off.consented(0, 0, 100, kSpan), off.consented(1, 0, 100, kSpan);
-  EXPECT_EQ(off.may_answer(101, 7), std::nullopt);
-  EXPECT_EQ(alone.may_answer(101, 7), 7U) << "nobody else could lead";
+  LeaseDelegate off(0, 2), alone(kSpan, 0);
+  off.on_peer_agreement(0, 0, 100, kSpan), off.on_peer_agreement(1, 0, 100, kSpan);
+  EXPECT_EQ(off.renewal_token(101, 7), std::nullopt);
+  EXPECT_EQ(alone.renewal_token(101, 7), 7U) << "nobody else could lead";
 }
 
 TEST(Custody, ALeaderReckonsWithWhatEarlierOnesMayHaveGranted) {
-  Grants g(kSpan, kLease, 2);
-  g.begin(100);
-  EXPECT_NEAR(g.lease_end(90), 100 + kSpan + kLease, 1);
-  g.vouched(0, 101, 101.1, {500, -1, true});
-  g.earlier(3 * kSpan);  // as the mark in the state service says
-  EXPECT_NEAR(g.lease_end(90), 100 + 3 * kSpan + kLease, 1) << "of the peer that nothing was heard of";
-  g.vouched(1, 102, 102.1, {500, 30, true});
-  EXPECT_NEAR(g.lease_end(90), 72 + kLease, 1) << "it last answered at 72";
+  DelegationLedger g(kSpan, kLease, 2);
+  g.begin_leadership(100);
+  EXPECT_NEAR(g.worker_lease_expiry(90), 100 + kSpan + kLease, 1);
+  g.on_peer_statement(0, 101, 101.1, {500, -1, true});
+  g.assume_earlier_delegations(3 * kSpan);  // as the mark in the state service says
+  EXPECT_NEAR(g.worker_lease_expiry(90), 100 + 3 * kSpan + kLease, 1)
+      << "of the peer that nothing was heard of";
+  g.on_peer_statement(1, 102, 102.1, {500, 30, true});
+  EXPECT_NEAR(g.worker_lease_expiry(90), 72 + kLease, 1) << "it last answered at 72";
 }
 
 TEST(Custody, AnAttemptTellsWhoseItIs) {
-  const std::uint64_t plain = (std::uint64_t{412} << kTokenShift) + 17;
-  EXPECT_EQ(honest_token(plain), 0U);
-  EXPECT_EQ(honest_token(kHonest + plain), 412U);
+  const std::uint64_t plain = (std::uint64_t{412} << kFencingTokenShift) + 17;
+  EXPECT_EQ(strict_cancellation_token(plain), 0U);
+  EXPECT_EQ(strict_cancellation_token(kStrictCancellationFlag + plain), 412U);
 }
 
 TEST(Links, ACutZoneIsNotTakenForLostMachines) {
-  zones::Zones links(5, 27, false);
-  links.begin(0);
-  links.expected(0, 200);
-  links.expected(1, 4);
+  zones::ZoneTracker links(5, 27, false);
+  links.begin_leadership(0);
+  links.set_expected(0, 200);
+  links.set_expected(1, 4);
   for (double t = 1; t < 10; t += 0.05)
-    links.heard(0, t);
-  links.heard(1, 9);
-  EXPECT_FALSE(links.quiet(0, 10));
-  EXPECT_TRUE(links.quiet(0, 10.5)) << "forty reports a second, and none for half of one";
-  EXPECT_FALSE(links.quiet(1, 20)) << "four machines are silent for that long now and then";
-  EXPECT_FALSE(links.cut(0, 10.5));
-  EXPECT_TRUE(links.cut(0, 12.5));
-  EXPECT_TRUE(links.cut(1, 60));
+    links.on_contact(0, t);
+  links.on_contact(1, 9);
+  EXPECT_FALSE(links.is_silent(0, 10));
+  EXPECT_TRUE(links.is_silent(0, 10.5)) << "forty reports a second, and none for half of one";
+  EXPECT_FALSE(links.is_silent(1, 20)) << "four machines are silent for that long now and then";
+  EXPECT_FALSE(links.is_unreachable(0, 10.5));
+  EXPECT_TRUE(links.is_unreachable(0, 12.5));
+  EXPECT_TRUE(links.is_unreachable(1, 60));
   // A call sent at 9 s failed: lost if others were heard after it had been out for a second, and not before.
-  EXPECT_FALSE(links.lost_alone(0, 9));
-  EXPECT_TRUE(links.heard(0, 12.5));
-  EXPECT_TRUE(links.lost_alone(0, 9)) << "whoever counts failures leaves out those from before back_at()";
-  EXPECT_EQ(links.back_at(0), 12.5);
+  EXPECT_FALSE(links.machine_lost_alone(0, 9));
+  EXPECT_TRUE(links.on_contact(0, 12.5));
+  EXPECT_TRUE(links.machine_lost_alone(0, 9))
+      << "whoever counts failures leaves out those from before back_at()";
+  EXPECT_EQ(links.returned_at(0), 12.5);
 }
 
 }  // namespace
-}  // namespace wingtrail::custody
+}  // namespace wingtrail::delegation
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -2,7 +2,7 @@
 // ask of the state service, and that who does not flood is admitted as on a calm day.
 #include "rides.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 enum class Trouble {
@@ -187,7 +187,7 @@
     world.step(25);
     EXPECT_GT(world.sheets(), 0U) << "services live on";
     for (std::size_t i = 0; i < 3; ++i) {
-      world.restart_with([](settings::Settings& s) { s.tunables.admission = 0; }, i);
+      world.restart_with([](settings::Settings& s) { s.tunables.fair_admission = 0; }, i);
       world.step(30 + 8 * static_cast<double>(i));
     }
     world.step(80);
@@ -252,7 +252,7 @@
     world.crash(world.leader().value_or(0));
     world.step(20.5);
     wire::JobSpec next = job_of(2, 2, "red");
-    next.waits_on = {"req-1"};
+    next.depends_on = {"req-1"};
     world.user(next, 5);
     world.step(21);
     world.state_outage(45);
@@ -293,4 +293,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -3,7 +3,7 @@
 // nobody.
 #include "combined_faults.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 // A direct command is held up while its machine is well; its leader ends, and the next one's commands come
@@ -180,4 +180,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/ledger_backlog_test.cpp
+++ b/tests/ledger_backlog_test.cpp
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "jobs/ledger.hpp"
+#include "jobs/state_writer.hpp"
 
 namespace wingtrail::jobs {
 namespace {
@@ -33,13 +33,14 @@
         registry_(settings_),
         ledger_(out_, store_, registry_, settings_,
                 {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
-    ledger_.set_events({[this](Job& job) { recorded_.emplace(job.spec.ref, transactions_); },
-                        [this](const std::vector<Ledger::Ended>& ended) { persisted_ += ended.size(); },
-                        [this](Ix machine) { enlisted_.emplace(machine, transactions_); },
-                        [](Ix machine) {
-                          return wire::Value{{"host", "i-" + std::to_string(machine)}, {"images", {"img-0"}}};
-                        }});
-    ledger_.begin();
+    ledger_.set_events(
+        {[this](Job& job) { recorded_.emplace(job.spec.ref, transactions_); },
+         [this](const std::vector<StateWriter::CompletedTask>& ended) { persisted_ += ended.size(); },
+         [this](jobs::MachineIndex machine) { enlisted_.emplace(machine, transactions_); },
+         [](jobs::MachineIndex machine) {
+           return wire::Value{{"host", "i-" + std::to_string(machine)}, {"images", {"img-0"}}};
+         }});
+    ledger_.begin_leadership();
   }
 
   Job& job(std::uint32_t tasks = 1) {
@@ -50,18 +51,18 @@
   }
   std::string complete_one() {
     Job& done = job();
-    ledger_.close(done, wire::Phase::done, {});
+    ledger_.record_final_state(done, wire::Phase::done, {});
     return done.spec.ref;
   }
   std::string cancel_one() {
     Job& cancelled = job();
-    ledger_.close(cancelled, wire::Phase::cancelled, {});
+    ledger_.record_final_state(cancelled, wire::Phase::cancelled, {});
     return cancelled.spec.ref;
   }
   std::string orphan_one() {
     Job& orphan = job();
-    orphan.orphan = true;
-    ledger_.close_orphan(orphan);
+    orphan.orphaned = true;
+    ledger_.record_orphan(orphan);
     return orphan.spec.ref;
   }
   // Lets the ledger write one transaction.
@@ -92,7 +93,7 @@
   std::size_t recorded_ends() const {
     return recorded_.size();
   }
-  bool enlisted(Ix machine) const {
+  bool enlisted(jobs::MachineIndex machine) const {
     return enlisted_.contains(machine);
   }
   std::size_t persisted() const {
@@ -100,36 +101,36 @@
   }
   std::size_t waiting() const {
     std::size_t waiting = 0;
-    for (const Ledger::Backlog& backlog : ledger_.backlogs())
+    for (const StateWriter::Backlog& backlog : ledger_.backlogs())
       waiting += backlog.waiting;
     return waiting;
   }
   std::size_t most_ops() const {
     return most_ops_;
   }
-  Ledger& ledger() {
+  StateWriter& ledger() {
     return ledger_;
   }
-  Registry& registry() {
+  JobRegistry& registry() {
     return registry_;
   }
 
  private:
   static settings::Settings settings_of(int txn_ops) {
     settings::Settings settings;
-    settings.txn_ops = txn_ops;
-    settings.state_rps = settings.state_write_rps = 1e6;
+    settings.max_transaction_changes = txn_ops;
+    settings.state_requests_per_s = settings.state_writes_per_s = 1e6;
     settings.teams = {{"t"}};
     return settings;
   }
 
   settings::Settings settings_;
   ports::Outbox out_;
-  store::Client store_;
-  Registry registry_;
-  Ledger ledger_;
+  store::StateClient store_;
+  JobRegistry registry_;
+  StateWriter ledger_;
   std::map<std::string, std::size_t> recorded_;
-  std::map<Ix, std::size_t> enlisted_;
+  std::map<jobs::MachineIndex, std::size_t> enlisted_;
   std::size_t transactions_ = 0, persisted_ = 0, most_ops_ = 0, jobs_made_ = 0;
 };
 
@@ -201,13 +202,13 @@
   BusyLedger l(txn_ops);
   play_stream(l, stream, txn_ops, kWarmup);
   Job& array = l.job(40);
-  l.registry().complete(array, 3, kNone);
-  l.ledger().progress(array, 3, 0, 1);
-  l.ledger().enlist(5);
+  l.registry().complete_task(array, 3, kNoIndex);
+  l.ledger().record_completion(array, 3, jobs::MachineIndex(0), 1);
+  l.ledger().add_machine(jobs::MachineIndex(5));
   // Completed tasks are gathered for a second, machines for a moment.
   constexpr int kGathering = 60;
   EXPECT_TRUE(holds_within(l, {stream}, txn_ops, kGathering + transactions_for(2, txn_ops),
-                           [&l] { return l.enlisted(5) && l.persisted() == 1; }));
+                           [&l] { return l.enlisted(jobs::MachineIndex(5)) && l.persisted() == 1; }));
   EXPECT_LE(l.most_ops(), static_cast<std::size_t>(txn_ops));
 }
 
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -4,7 +4,7 @@
 
 #include "rides.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 constexpr double kLease = 20;  // of the simulated workers
@@ -216,8 +216,8 @@
     wire::JobSpec s = job_of(n, static_cast<std::uint32_t>(loss.machines / 3), "red");
     s.shape = wire::Shape::service;
     s.priority = wire::Priority::production;
-    s.spread = true;
-    s.spot = false;
+    s.spread_zones = true;
+    s.allows_spot = false;
     world.user(s, 0);
   }
   world.step(50);
@@ -322,8 +322,8 @@
     world.step(5);
     wire::JobSpec s = job_of(1, 6, "red");
     s.shape = wire::Shape::service;
-    s.spread = true;
-    s.spot = false;
+    s.spread_zones = true;
+    s.allows_spot = false;
     world.user(s, 0);
     world.step(50);
     for (double t = 50; t < 50 + 8 * period + 20; t += 2 * period) {
@@ -349,8 +349,8 @@
   for (int n = 1; n <= 30; ++n) {
     wire::JobSpec s = job_of(n, 60, "red");
     s.shape = wire::Shape::service;
-    s.spread = true;
-    s.spot = false;
+    s.spread_zones = true;
+    s.allows_spot = false;
     world.user(s, 0);
   }
   world.step(45);
@@ -380,4 +380,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -5,9 +5,9 @@
 
 #include <pcg_random.hpp>
 
-#include "jobs/ledger.hpp"
+#include "jobs/state_writer.hpp"
 #include "net/http.hpp"
-#include "store/client.hpp"
+#include "store/state_client.hpp"
 
 namespace wingtrail {
 namespace {
@@ -21,7 +21,7 @@
 }
 
 TEST(Progress, ABigJobsRecordsStayBelowTheValueLimitAndReadBackTheSame) {
-  const jobs::ProgressCodec codec(8);
+  const jobs::CompletionCodec codec(8);
   jobs::Job job = big_job(wire::kMaxTasks);
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
     if (i * 2654435761U % 7 < 3)
@@ -38,7 +38,7 @@
 }
 
 TEST(Progress, RecordsThatMakeNoSenseAreRefused) {
-  const jobs::ProgressCodec codec(8);
+  const jobs::CompletionCodec codec(8);
   const auto none = [](std::uint32_t) {
     FAIL();
   };
@@ -50,16 +50,16 @@
 TEST(Budget, ALeasePassesWhenEverybodyElseWaits) {
   ports::Outbox out;
   settings::Settings s;
-  s.state_rps = 10;
+  s.state_requests_per_s = 10;
   s.peers.resize(2);
-  store::Client client(out, s);
+  store::StateClient client(out, s);
   int refused = 0;
   for (int i = 0; i < 40; ++i)
-    client.get("k", store::Urgency::user, [&](const ports::Reply& r) { refused += r.status == 429; });
+    client.get("k", store::RequestPriority::user, [&](const ports::Reply& r) { refused += r.status == 429; });
   EXPECT_GT(refused, 30);
   const auto before = out.drain().size();
   EXPECT_LT(before, 10U);
-  client.renew(1, [](const ports::Reply&) { FAIL() << "answered from here"; });
+  client.renew_lease(1, [](const ports::Reply&) { FAIL() << "answered from here"; });
   EXPECT_EQ(out.drain().size(), 1U);
 }
 
@@ -68,18 +68,18 @@
  protected:
   std::size_t bound = 1000, spare = 2;
   std::string talk(const std::string& bytes) {
-    net::Loop loop;
-    net::Scope scope(loop);
+    net::EventLoop loop;
+    net::TaskScope scope(loop);
     net::ServerLimits limits;
     limits.idle_s = 0.3;
     limits.request_s = 0.3;
     limits.max_connections = bound;
     limits.spare = spare;
-    std::unique_ptr<net::Server> server;
+    std::unique_ptr<net::HttpServer> server;
     std::uint16_t port = 23'000;
     for (; port < 23'200; ++port) {
-      server = std::make_unique<net::Server>(scope, "127.0.0.1", port, limits,
-                                             [](net::Request r) { return echo(std::move(r)); });
+      server = std::make_unique<net::HttpServer>(scope, "127.0.0.1", port, limits,
+                                                 [](net::Request r) { return echo(std::move(r)); });
       if (!server->listen())
         break;
     }
@@ -90,14 +90,14 @@
     loop.run();  // lets the cancelled routines run to their ends
     return got;
   }
-  static net::Co<net::Response> echo(net::Request r) {
+  static net::Task<net::Response> echo(net::Request r) {
     net::Response out;
     out.body = r.method + " " + r.target + " " + std::to_string(r.body.size());
     out.retry_after_s = r.target == "/later" ? std::optional<int>(2) : std::nullopt;
     co_return out;
   }
-  static net::Routine run(net::Loop& loop, net::Scope& scope, std::uint16_t port, std::string bytes,
-                          std::string& got) {
+  static net::DetachedTask run(net::EventLoop& loop, net::TaskScope& scope, std::uint16_t port,
+                               std::string bytes, std::string& got) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in sa{};
     sa.sin_family = AF_INET;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "jobs/ledger.hpp"
+#include "jobs/state_writer.hpp"
 
 namespace wingtrail::jobs {
 namespace {
@@ -21,35 +21,35 @@
   struct Leader {
     settings::Settings settings;
     ports::Outbox out;
-    store::Client store;
-    Registry registry;
-    Ledger ledger;
+    store::StateClient store;
+    JobRegistry registry;
+    StateWriter ledger;
     std::vector<std::string> hosts;  // by index
-    std::set<Ix> enlisted;
+    std::set<jobs::MachineIndex> enlisted;
     explicit Leader(double value_kb, int txn_ops)
         : settings(with(value_kb, txn_ops)),
           store(out, settings),
           registry(settings),
           ledger(out, store, registry, settings,
                  {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
-      ledger.set_events({[](Job&) {}, [](const std::vector<Ledger::Ended>&) {},
-                         [this](Ix ix) { enlisted.insert(ix); },
-                         [this](Ix ix) {
+      ledger.set_events({[](Job&) {}, [](const std::vector<StateWriter::CompletedTask>&) {},
+                         [this](jobs::MachineIndex ix) { enlisted.insert(ix); },
+                         [this](jobs::MachineIndex ix) {
                            return record(hosts[ix]);
                          }});
-      ledger.begin();
+      ledger.begin_leadership();
     }
     static settings::Settings with(double value_kb, int txn_ops) {
       settings::Settings s;
-      s.value_kb = value_kb;
-      s.txn_ops = txn_ops;
-      s.state_rps = s.state_write_rps = 1e6;
+      s.state_value_kb = value_kb;
+      s.max_transaction_changes = txn_ops;
+      s.state_requests_per_s = s.state_writes_per_s = 1e6;
       s.teams = {{"t"}};
       return s;
     }
-    Ix host(const std::string& name) {
+    jobs::MachineIndex host(const std::string& name) {
       hosts.push_back(name);
-      return static_cast<Ix>(hosts.size() - 1);
+      return jobs::MachineIndex(hosts.size() - 1);
     }
     Job& job(const std::string& ref, std::uint32_t tasks) {
       wire::JobSpec s;
@@ -154,13 +154,13 @@
   }
   void load(Leader& l) {
     for (const auto& [key, value] : kept) {
-      if (key.starts_with(kProgress)) {
-        EXPECT_TRUE(l.ledger.load_progress(key, value, version_of(key))) << key;
+      if (key.starts_with(kCompletionPrefix)) {
+        EXPECT_TRUE(l.ledger.load_completion_page(key, value, version_of(key))) << key;
       }
-      if (key.starts_with(kRoster)) {
-        EXPECT_TRUE(l.ledger.load_roster(key, value, version_of(key), [&l](const wire::Value& r) {
+      if (key.starts_with(kInventoryPrefix)) {
+        EXPECT_TRUE(l.ledger.load_inventory_page(key, value, version_of(key), [&l](const wire::Value& r) {
           const auto host = wire::text(r, "host").value();
-          for (Ix ix = 0; ix < l.hosts.size(); ++ix) {
+          for (jobs::MachineIndex ix{0}; ix < l.hosts.size(); ++ix) {
             if (l.hosts[ix] == host)
               return ix;
           }
@@ -185,7 +185,7 @@
   std::set<std::uint32_t> former_reads(const std::string& ref) const {
     std::set<std::uint32_t> done;
     for (const auto& [key, value] : kept) {
-      if (!key.starts_with(kProgress))
+      if (!key.starts_with(kCompletionPrefix))
         continue;
       for (const auto& entry : value) {
         if (entry["ref"] != ref)
@@ -203,7 +203,7 @@
   std::multiset<std::string> former_hosts() const {
     std::multiset<std::string> out;
     for (const auto& [key, value] : kept) {
-      if (!key.starts_with(kRoster))
+      if (!key.starts_with(kInventoryPrefix))
         continue;
       for (const auto& h : value["hosts"]) {
         for (const char* field : {"addr", "type", "zone"})
@@ -242,14 +242,14 @@
     a.job("req-1", kTasks);
     a.job("req-2", 30);
     load(a);
-    ASSERT_EQ(a.registry.find("req-1")->done, done.size());
+    ASSERT_EQ(a.registry.find("req-1")->done_tasks, done.size());
     // One more task of each of the former chunks, so that every page is written anew.
     std::set<std::uint32_t> more = done;
     for (std::uint32_t t = 5; t < kTasks; t += kChunk) {
       if (done.contains(t))
         continue;
-      a.registry.complete(*a.registry.find("req-1"), t, kNone);
-      a.ledger.progress(*a.registry.find("req-1"), t, 0, 1);
+      a.registry.complete_task(*a.registry.find("req-1"), t, kNoIndex);
+      a.ledger.record_completion(*a.registry.find("req-1"), t, jobs::MachineIndex(0), 1);
       more.insert(t);
     }
     const bool whole = run(a);
@@ -262,8 +262,8 @@
     b.job("req-2", 30);
     crash_after = -1;
     load(b);
-    EXPECT_GE(b.registry.find("req-1")->done, done.size());
-    EXPECT_EQ(b.registry.find("req-2")->done, 5U);
+    EXPECT_GE(b.registry.find("req-1")->done_tasks, done.size());
+    EXPECT_EQ(b.registry.find("req-2")->done_tasks, 5U);
     if (!whole)
       continue;
     EXPECT_EQ(read, more);
@@ -275,21 +275,21 @@
   Leader small(2, 4);
   Job& job = small.job("req-1", 100'000);
   for (std::uint32_t i = 0; i < 100'000; i += 3) {
-    small.registry.complete(job, i, kNone);
-    small.ledger.progress(job, i, 0, 1);
+    small.registry.complete_task(job, i, kNoIndex);
+    small.ledger.record_completion(job, i, jobs::MachineIndex(0), 1);
   }
   ASSERT_TRUE(run(small));
-  EXPECT_EQ(former_reads("req-1").size(), job.done);
+  EXPECT_EQ(former_reads("req-1").size(), job.done_tasks);
   Leader large(8, 12);
   Job& again = large.job("req-1", 100'000);
   load(large);
-  EXPECT_EQ(again.done, job.done);
+  EXPECT_EQ(again.done_tasks, job.done_tasks);
   // Rewriting gathers the parts of a chunk; none is lost, whenever it crashes.
-  large.registry.complete(again, 1, kNone);
-  large.ledger.progress(again, 1, 0, 1);
+  large.registry.complete_task(again, 1, kNoIndex);
+  large.ledger.record_completion(again, 1, jobs::MachineIndex(0), 1);
   crash_after = 1;
   run(large);
-  EXPECT_GE(former_reads("req-1").size(), job.done);
+  EXPECT_GE(former_reads("req-1").size(), job.done_tasks);
 }
 
 TEST_F(RecordsTest, ARosterOfTheFormerLayoutIsDividedAndNoMachineIsLost) {
@@ -313,9 +313,9 @@
     ASSERT_EQ(l.hosts.size(), all.size());
     // One machine of each page is gone, and a new one joins.
     for (int page = 0; page < 6; ++page)
-      l.ledger.delist(static_cast<Ix>(page * 45));
-    const Ix fresh = l.host("i-900000");
-    l.ledger.enlist(fresh);
+      l.ledger.remove_machine(jobs::MachineIndex(page * 45));
+    const jobs::MachineIndex fresh = l.host("i-900000");
+    l.ledger.add_machine(fresh);
     const bool whole = run(l);
     EXPECT_LE(largest, 2048U);
     const auto read = former_hosts();
@@ -334,12 +334,12 @@
   refuse_above = 700;
   Leader l(8, 12);
   for (int i = 0; i < 60; ++i)
-    l.ledger.enlist(l.host(name(i)));
+    l.ledger.add_machine(l.host(name(i)));
   ASSERT_TRUE(run(l));
   EXPECT_EQ(l.enlisted.size(), 60U);
   EXPECT_EQ(former_hosts().size(), 60U);
   EXPECT_LE(largest, 700U);
-  EXPECT_GT(l.ledger.refused(), 0U);
+  EXPECT_GT(l.ledger.malformed_commits(), 0U);
 }
 
 // A transaction without an answer that is carried out after newer ones of the same leader (LATER.md of the
@@ -352,13 +352,13 @@
     Leader l(8, 12);
     Job& job = l.job("req-1", 40);
     const auto complete = [&](std::uint32_t task) {
-      l.registry.complete(job, task, kNone);
-      l.ledger.progress(job, task, 0, 1);
+      l.registry.complete_task(job, task, kNoIndex);
+      l.ledger.record_completion(job, task, jobs::MachineIndex(0), 1);
     };
-    l.ledger.enlist(l.host("i-000001"));
+    l.ledger.add_machine(l.host("i-000001"));
     complete(3);
     ASSERT_TRUE(run(l));
-    l.ledger.enlist(l.host("i-000002"));
+    l.ledger.add_machine(l.host("i-000002"));
     complete(4);
     lose = 2;
     if (at_once) {
@@ -369,12 +369,12 @@
       EXPECT_EQ(ignored.status, 200);
       late.clear();
     }
-    l.ledger.enlist(l.host("i-000003"));
+    l.ledger.add_machine(l.host("i-000003"));
     complete(5);
     ASSERT_TRUE(run(l));
     EXPECT_EQ(lose, 0) << "else nothing was lost, and this shows nothing";
     EXPECT_EQ(l.enlisted.size(), 3U);
-    EXPECT_EQ(l.ledger.looked_up() > 0, at_once);
+    EXPECT_EQ(l.ledger.page_lookups() > 0, at_once);
     EXPECT_EQ(late.empty(), at_once);
     for (const auto& body : late) {
       ports::Reply ignored;
@@ -387,9 +387,9 @@
     Leader next(8, 12);
     next.job("req-1", 40);
     load(next);
-    next.ledger.enlist(next.host("i-000004"));
+    next.ledger.add_machine(next.host("i-000004"));
     ASSERT_TRUE(run(next));
-    EXPECT_EQ(next.ledger.looked_up(), 0U);
+    EXPECT_EQ(next.ledger.page_lookups(), 0U);
     EXPECT_EQ(former_hosts().size(), 4U);
   }
 }
@@ -399,8 +399,8 @@
   Leader l(8, 12);
   Job& job = l.job("req-1", 40);
   const auto complete = [&](std::uint32_t task) {
-    l.registry.complete(job, task, kNone);
-    l.ledger.progress(job, task, 0, 1);
+    l.registry.complete_task(job, task, kNoIndex);
+    l.ledger.record_completion(job, task, jobs::MachineIndex(0), 1);
   };
   complete(3);
   ASSERT_TRUE(run(l));
@@ -417,13 +417,13 @@
 }
 
 TEST_F(RecordsTest, EndsTellTheTimeAndFormerOnesAreRead) {
-  const auto ended = wire::parse_ended({{"phase", "done"}, {"tasks", 3}});
+  const auto ended = wire::parse_final_state({{"phase", "done"}, {"tasks", 3}});
   ASSERT_TRUE(ended);
-  EXPECT_FALSE(ended->at);
-  const auto back = wire::parse_ended(wire::ended_record({wire::Phase::cancelled, 4, 1e9}));
-  ASSERT_TRUE(back && back->at);
+  EXPECT_FALSE(ended->ended_at);
+  const auto back = wire::parse_final_state(wire::final_state_record({wire::Phase::cancelled, 4, 1e9}));
+  ASSERT_TRUE(back && back->ended_at);
   EXPECT_EQ(back->phase, wire::Phase::cancelled);
-  EXPECT_DOUBLE_EQ(*back->at, 1e9);
+  EXPECT_DOUBLE_EQ(*back->ended_at, 1e9);
 }
 
 }  // namespace
--- a/tests/rides.hpp
+++ b/tests/rides.hpp
@@ -7,9 +7,9 @@
 
 #include <cstdlib>
 
-#include "emulator/simulated_cluster.hpp"
+#include "simulation/simulated_cluster.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 
 // LOG_LEVEL=debug tells a test's day in detail.
 inline void hush() {
@@ -24,9 +24,9 @@
   s.team = team;
   s.image = "img-0";
   s.image_gb = 0.2;
-  s.need = {2, 0, 2};
+  s.task_resources = {2, 0, 2};
   s.tasks = tasks;
-  s.spot = true;
+  s.allows_spot = true;
   return s;
 }
 
@@ -61,8 +61,8 @@
   for (int n = 1; n <= 3; ++n) {
     wire::JobSpec service = job_of(n, machines, "red");
     service.shape = wire::Shape::service;
-    service.spread = true;
-    service.spot = false;
+    service.spread_zones = true;
+    service.allows_spot = false;
     world.user(service, 0);
   }
   wire::JobSpec array = job_of(9, machines, "blue");
@@ -98,4 +98,4 @@
   EXPECT_TRUE(r.over);
 }
 
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -54,7 +54,7 @@
   ASSERT_TRUE(l.problems.empty()) << l.problems[0];
   EXPECT_EQ(l.settings.peers[0].endpoint.port, 8081);
   EXPECT_DOUBLE_EQ(l.settings.teams[0].cpus_max, 8);
-  EXPECT_DOUBLE_EQ(l.settings.tunables.cutoff_s, 90);
+  EXPECT_DOUBLE_EQ(l.settings.tunables.long_job_cutoff_s, 90);
   EXPECT_EQ(l.settings.tunables.steal_sample, 5);
 }
 
@@ -85,13 +85,13 @@
   };
   auto l = with("[params.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 4\n");
   ASSERT_TRUE(l.problems.empty()) << l.problems[0];
-  EXPECT_DOUBLE_EQ(l.settings.state_write_rps, 21);
-  EXPECT_DOUBLE_EQ(l.settings.value_kb, 2);
-  EXPECT_EQ(l.settings.txn_ops, 4);
-  EXPECT_DOUBLE_EQ(l.settings.state_rps, 120);
+  EXPECT_DOUBLE_EQ(l.settings.state_writes_per_s, 21);
+  EXPECT_DOUBLE_EQ(l.settings.state_value_kb, 2);
+  EXPECT_EQ(l.settings.max_transaction_changes, 4);
+  EXPECT_DOUBLE_EQ(l.settings.state_requests_per_s, 120);
   l = with("[params.state.next]\nvalue_kb = 64.0\n");
   ASSERT_TRUE(l.problems.empty()) << l.problems[0];
-  EXPECT_DOUBLE_EQ(l.settings.value_kb, 8);
+  EXPECT_DOUBLE_EQ(l.settings.state_value_kb, 8);
   EXPECT_TRUE(with("").problems.empty());
   for (const char* bad : {"[params.state.next]\ntxn_ops = 1\n", "[params.state.next]\nvalue_kb = -2\n",
                           "[params.state.next]\nrps = \"many\"\n", "next = 3\n"}) {
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -6,11 +6,11 @@
 #include <pcg_random.hpp>
 #include <random>
 
-#include "spread/moves.hpp"
-#include "spread/picture.hpp"
-#include "spread/speed.hpp"
+#include "balancing/load_snapshot.hpp"
+#include "balancing/migrations.hpp"
+#include "balancing/speed_estimator.hpp"
 
-namespace wingtrail::spread {
+namespace wingtrail::balancing {
 namespace {
 
 // Arrays with run times that differ by a third go over a fleet in rounds; some machines run at a given speed.
@@ -23,9 +23,9 @@
   pcg32 rng(seed);
   std::lognormal_distribution<double> runs(0, 0.3);
   std::uniform_int_distribution<std::size_t> any(0, kMachines - 1);
-  Speeds speeds;
+  SpeedEstimator speeds;
   std::vector<bool> alarmed(kMachines);
-  for (Ix job = 0; job < 200; ++job) {
+  for (jobs::JobIndex job{0}; job < 200; ++job) {
     const double whole = job % 5 == 0 ? job_wide : 1;
     double mean = 0;
     int n = 0;
@@ -33,12 +33,12 @@
       const std::size_t m = any(rng);
       const double took = runs(rng) * whole * (m < kSlow ? speed : 1);
       if (n >= 5)
-        speeds.ended(m, job, std::log(took / mean));
+        speeds.on_task_completed(m, job, std::log(took / mean));
       mean = (mean * n + took) / (n + 1);
       ++n;
-      speeds.look(m);
-      speeds.runs(m, job, std::log(0.7));
-      if (speeds.slow(m))
+      speeds.begin_running_update(m);
+      speeds.add_running_task(m, job, std::log(0.7));
+      if (speeds.is_slow(m))
         alarmed[m] = true;
     }
   }
@@ -48,7 +48,7 @@
       continue;
     ++(m < kSlow ? v.found : v.blamed);
     if (m < kSlow)
-      v.factor += speeds.factor(m) / kSlow;
+      v.factor += speeds.slowdown(m) / kSlow;
   }
   return v;
 }
@@ -70,48 +70,49 @@
 
 // What one job does is the job's own matter, however clear.
 TEST(Speeds, OneJobAloneBlamesNoMachine) {
-  Speeds speeds;
+  SpeedEstimator speeds;
   for (int i = 0; i < 50; ++i)
-    speeds.ended(7, 1, std::log(4.0));
+    speeds.on_task_completed(7, jobs::JobIndex(1), std::log(4.0));
   for (int i = 0; i < 50; ++i)
-    speeds.runs(7, 1, std::log(4.0));
-  EXPECT_FALSE(speeds.slow(7));
-  for (const Ix job : {2U, 3U}) {
+    speeds.add_running_task(7, jobs::JobIndex(1), std::log(4.0));
+  EXPECT_FALSE(speeds.is_slow(7));
+  for (const jobs::JobIndex job : {jobs::JobIndex(2), jobs::JobIndex(3)}) {
     for (int i = 0; i < 5; ++i)
-      speeds.ended(7, job, std::log(4.0));
+      speeds.on_task_completed(7, job, std::log(4.0));
   }
-  speeds.look(7);
-  speeds.runs(7, 3, std::log(4.0));
-  EXPECT_TRUE(speeds.slow(7));
+  speeds.begin_running_update(7);
+  speeds.add_running_task(7, jobs::JobIndex(3), std::log(4.0));
+  EXPECT_TRUE(speeds.is_slow(7));
   // Sound again: enough tasks of other jobs take what they should.
-  for (Ix job = 10; job < 30; ++job) {
+  for (jobs::JobIndex job{10}; job < 30; ++job) {
     for (int i = 0; i < 5; ++i)
-      speeds.ended(7, job, 0);
+      speeds.on_task_completed(7, job, 0);
   }
-  EXPECT_FALSE(speeds.slow(7));
+  EXPECT_FALSE(speeds.is_slow(7));
 }
 
 TEST(Moves, StayWithinTheBudgetAndDoNotUndoEachOther) {
-  Moves moves;
-  Move m;
-  m.to = 4;
+  Migrations moves;
+  Migration m;
+  m.target = jobs::MachineIndex(4);
   for (std::uint32_t task = 0; task < 3; ++task) {
     m.task = task;
-    m.job = 1;
-    m.since = 10;
-    ASSERT_TRUE(moves.may_begin(1, task, 3, 10));
+    m.job = jobs::JobIndex(1);
+    m.began_at = 10;
+    ASSERT_TRUE(moves.may_begin(jobs::JobIndex(1), task, 3, 10));
     moves.begin(m);
   }
-  EXPECT_FALSE(moves.may_begin(1, 9, 3, 10)) << "budget";
-  ASSERT_TRUE(moves.gone(1, 0));
-  EXPECT_FALSE(moves.gone(1, 0)) << "over already";
-  EXPECT_FALSE(moves.may_begin(1, 0, 3, 11 + Moves::kRest / 2)) << "moved a moment ago";
-  EXPECT_TRUE(moves.may_begin(1, 0, 3, 11 + Moves::kRest));
-  EXPECT_EQ(moves.of_machine(5).size(), 0U);
-  EXPECT_EQ(moves.expired(10 + Moves::kPatience).size(), 0U);
-  EXPECT_EQ(moves.of_machine(4).size(), 2U);
-  EXPECT_EQ(moves.under_way(), 0U);
-  EXPECT_EQ(moves.counts(Cause::slow).begun, 3U);
+  EXPECT_FALSE(moves.may_begin(jobs::JobIndex(1), 9, 3, 10)) << "budget";
+  ASSERT_TRUE(moves.on_task_gone(jobs::JobIndex(1), 0));
+  EXPECT_FALSE(moves.on_task_gone(jobs::JobIndex(1), 0)) << "over already";
+  EXPECT_FALSE(moves.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations / 2))
+      << "moved a moment ago";
+  EXPECT_TRUE(moves.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations));
+  EXPECT_EQ(moves.take_of_machine(jobs::MachineIndex(5)).size(), 0U);
+  EXPECT_EQ(moves.take_expired(10 + Migrations::kMigrationTimeout).size(), 0U);
+  EXPECT_EQ(moves.take_of_machine(jobs::MachineIndex(4)).size(), 2U);
+  EXPECT_EQ(moves.in_progress(), 0U);
+  EXPECT_EQ(moves.counts(MigrationCause::slow_machine).begun, 3U);
 }
 
 // The sums that every event changes against a walk over everything there is.
@@ -121,10 +122,10 @@
   settings.zones = {"x", "y"};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 rng(seed);
-    jobs::Registry registry(settings);
-    Picture picture;
-    registry.on_placed = [&](const Job& job, Ix zone, int tasks) {
-      picture.placed(job, zone, tasks);
+    jobs::JobRegistry registry(settings);
+    LoadSnapshot picture;
+    registry.on_placed = [&](const Job& job, jobs::ZoneIndex zone, int tasks) {
+      picture.on_placed(job, zone, tasks);
     };
     std::vector<Job*> all;
     for (int j = 0; j < 12; ++j) {
@@ -133,7 +134,7 @@
       spec.team = std::string(1, rng(2) == 0 ? 'a' : 'b');
       spec.job_class = std::string(1, static_cast<char>('c' + rng(3)));
       spec.tasks = 1 + rng(20);
-      spec.need.cpus = 1 + rng(4);
+      spec.task_resources.cpus = 1 + rng(4);
       all.push_back(&registry.add(spec, 1, 0));
     }
     for (int step = 0; step < 2000; ++step) {
@@ -141,26 +142,26 @@
       const auto task = static_cast<std::uint32_t>(rng(job.spec.tasks));
       const auto& t = job.tasks[task];
       if (t.state == jobs::TaskState::pending) {
-        registry.place(job, task, 0, rng(2));
+        registry.place_task(job, task, jobs::MachineIndex(0), jobs::ZoneIndex(rng(2)));
       } else if (t.state == jobs::TaskState::placed) {
-        const Ix zone = job.in_zone.size() > 1 && job.in_zone[1] > 0 ? 1 : 0;
-        rng(3) == 0 ? registry.complete(job, task, zone) : registry.unplace(job, task, zone);
+        const jobs::ZoneIndex zone(job.placed_by_zone.size() > 1 && job.placed_by_zone[1] > 0 ? 1 : 0);
+        rng(3) == 0 ? registry.complete_task(job, task, zone) : registry.unplace_task(job, task, zone);
       }
       if (step % 100 != 0)
         continue;
-      std::map<Picture::Key, double> held;
+      std::map<LoadSnapshot::ClassKey, double> held;
       std::vector<double> zones(2);
       for (const Job* j : all) {
-        held[{j->team, j->job_class}] += j->placed * j->spec.need.cpus;
-        for (std::size_t z = 0; z < j->in_zone.size(); ++z)
-          zones[z] += j->in_zone[z] * j->spec.need.cpus;
+        held[{j->team, j->job_class}] += j->placed_tasks * j->spec.task_resources.cpus;
+        for (std::size_t z = 0; z < j->placed_by_zone.size(); ++z)
+          zones[z] += j->placed_by_zone[z] * j->spec.task_resources.cpus;
       }
       for (const auto& [key, cores] : held) {
-        const auto* load = picture.of(key.first, key.second);
-        EXPECT_DOUBLE_EQ(load ? load->held : 0, cores) << seed;
+        const auto* load = picture.find(key.first, key.second);
+        EXPECT_DOUBLE_EQ(load ? load->cores_in_use : 0, cores) << seed;
       }
-      for (std::size_t z = 0; z < picture.zones().size(); ++z)
-        EXPECT_DOUBLE_EQ(picture.zones()[z], zones[z]) << seed;
+      for (std::size_t z = 0; z < picture.cores_by_zone().size(); ++z)
+        EXPECT_DOUBLE_EQ(picture.cores_by_zone()[z], zones[z]) << seed;
     }
   }
 }
@@ -168,20 +169,20 @@
 TEST(Picture, ASurgeIsSeenWithinSeconds) {
   settings::Settings settings;
   settings.teams = {{"a", 0, 0, 0, 0}};
-  jobs::Registry registry(settings);
+  jobs::JobRegistry registry(settings);
   wire::JobSpec spec;
   spec.ref = std::string("req-1");
   spec.team = std::string("a");
   spec.tasks = 1;
   const Job& job = registry.add(spec, 1, 0);
-  Picture picture;
+  LoadSnapshot picture;
   for (int s = 0; s < 200; ++s)
-    picture.came(job, 100, s);
-  EXPECT_NEAR(picture.of(0, 0)->surge(200), 1, 0.15);
+    picture.on_arrival(job, 100, s);
+  EXPECT_NEAR(picture.find(jobs::TeamIndex(0), jobs::ClassIndex(0))->surge(200), 1, 0.15);
   for (int s = 200; s < 210; ++s)
-    picture.came(job, 500, s);
-  EXPECT_GT(picture.of(0, 0)->surge(210), 2);
+    picture.on_arrival(job, 500, s);
+  EXPECT_GT(picture.find(jobs::TeamIndex(0), jobs::ClassIndex(0))->surge(210), 2);
 }
 
 }  // namespace
-}  // namespace wingtrail::spread
+}  // namespace wingtrail::balancing
--- a/tests/state_budget_test.cpp
+++ b/tests/state_budget_test.cpp
@@ -8,7 +8,7 @@
 // minute before. The cause: questions got requests only if submissions left a third of the budget.
 #include <gtest/gtest.h>
 
-#include "store/client.hpp"
+#include "store/state_client.hpp"
 
 namespace wingtrail::store {
 namespace {
@@ -23,23 +23,23 @@
  public:
   explicit BusyClient(bool shared) : settings_(settings_of()), client_(out_, settings_) {
     if (shared)
-      client_.shared([] { return Client::Parts{1, 1, false}; });
+      client_.set_share_source([] { return StateClient::BudgetShare{1, 1, false}; });
   }
   void play(double submissions_per_s, double questions_per_s) {
     double submissions = 0, questions = 0;
     for (double t = 0; t < kPlayed; t += kTick) {
       out_.set_now(t);
       for (submissions += submissions_per_s * kTick; submissions >= 1; --submissions)
-        ask(Urgency::user, submissions_);
+        ask(RequestPriority::user, submissions_);
       for (questions += questions_per_s * kTick; questions >= 1; --questions)
-        ask(Urgency::question, questions_);
+        ask(RequestPriority::question, questions_);
       out_.drain();
     }
   }
-  void ask(Urgency urgency, Answers& answers) {
-    const auto before = client_.refused();
+  void ask(RequestPriority urgency, Answers& answers) {
+    const auto before = client_.throttled();
     client_.get("f/req-1", urgency, [](const Reply&) {});
-    ++(client_.refused() > before ? answers.refused : answers.sent);
+    ++(client_.throttled() > before ? answers.refused : answers.sent);
   }
   const Answers& submissions() const {
     return submissions_;
@@ -51,12 +51,12 @@
  private:
   static settings::Settings settings_of() {
     settings::Settings settings;
-    settings.state_rps = kRequests;
+    settings.state_requests_per_s = kRequests;
     return settings;
   }
   ports::Outbox out_;
   settings::Settings settings_;
-  Client client_;
+  StateClient client_;
   Answers submissions_, questions_;
 };
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -21,7 +21,7 @@
   ASSERT_TRUE(spec) << spec.error();
   EXPECT_EQ(spec->tasks, 16U);
   EXPECT_EQ(spec->priority, Priority::high);
-  EXPECT_DOUBLE_EQ(spec->need.gpus, 1.0);  // an amount coded as an integer
+  EXPECT_DOUBLE_EQ(spec->task_resources.gpus, 1.0);  // an amount coded as an integer
   EXPECT_FALSE(spec->zone);
   auto again = parse_job(job_value(*spec));
   ASSERT_TRUE(again);
@@ -91,7 +91,7 @@
       (void)parse_catalog(*v);
       (void)parse_machine_list(*v);
     }
-    (void)parse_report(bytes);
+    (void)parse_heartbeat(bytes);
     (void)peer::decode(bytes);
   }
   EXPECT_GT(parsed, 100);
@@ -109,40 +109,40 @@
           {"shards",
            {{{"shard", "req-1/3"}, {"try", 2}, {"phase", "running"}},
             {{"shard", "req-1/4"}, {"try", 3}, {"phase", "exited"}, {"cause", "no_room"}}}}};
-  auto r = parse_report(encode_cbor(v));
+  auto r = parse_heartbeat(encode_cbor(v));
   ASSERT_TRUE(r) << r.error();
   EXPECT_EQ(r->tasks[0].phase, TaskPhase::running);
-  EXPECT_EQ(r->tasks[1].cause, Cause::no_room);
-  EXPECT_DOUBLE_EQ(*r->reclaim_in_s, 7.5);
+  EXPECT_EQ(r->tasks[1].cause, ExitCause::no_room);
+  EXPECT_DOUBLE_EQ(*r->preemption_in_s, 7.5);
   v["shards"][0]["shard"] = "req-1";
-  EXPECT_FALSE(parse_report(encode_cbor(v)));
+  EXPECT_FALSE(parse_heartbeat(encode_cbor(v)));
   v["shards"] = 3;
-  EXPECT_FALSE(parse_report(encode_cbor(v)));
+  EXPECT_FALSE(parse_heartbeat(encode_cbor(v)));
   v["shards"] = {5};
-  EXPECT_FALSE(parse_report(encode_cbor(v)));
+  EXPECT_FALSE(parse_heartbeat(encode_cbor(v)));
   v["shards"] = nullptr;
   v["later"] = {{"shards", {{{"shard", "req-1/4"}, {"try", 3}}}}, {"host", 3}};
-  r = parse_report(encode_cbor(v));
+  r = parse_heartbeat(encode_cbor(v));
   ASSERT_TRUE(r) << "fields that are not known are passed over, however deep";
   EXPECT_TRUE(r->tasks.empty());
   EXPECT_EQ(r->host, "i-1");
   v["tenure"] = 0;
-  EXPECT_FALSE(parse_report(encode_cbor(v)));
+  EXPECT_FALSE(parse_heartbeat(encode_cbor(v)));
   v.erase("tenure");
-  EXPECT_FALSE(parse_report(encode_cbor(v)));
-  EXPECT_FALSE(parse_report(encode_cbor(Value::array({v}))));
-  EXPECT_FALSE(parse_report("\xa1\x64host"));
+  EXPECT_FALSE(parse_heartbeat(encode_cbor(v)));
+  EXPECT_FALSE(parse_heartbeat(encode_cbor(Value::array({v}))));
+  EXPECT_FALSE(parse_heartbeat("\xa1\x64host"));
 }
 
 TEST(Peer, FramesSurviveAndGarbageDoesNot) {
   peer::Frame f;
   f.node = "a";
-  f.token = ~std::uint64_t{0};
+  f.leader_fencing_token = ~std::uint64_t{0};
   f.body = std::string("\0\xff", 2);
   f.status = 503;
   auto back = peer::decode(peer::encode(f));
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->token, f.token);
+  EXPECT_EQ(back->leader_fencing_token, f.leader_fencing_token);
   EXPECT_EQ(back->body, f.body);
   EXPECT_FALSE(peer::decode("\xdd\xff\xff\xff\xff"));  // an array of four thousand million
   EXPECT_FALSE(peer::decode(""));
--- a/tests/world_hunt.cpp
+++ b/tests/world_hunt.cpp
@@ -4,7 +4,7 @@
 #include <cstring>
 #include <iostream>
 
-#include "emulator/simulated_cells.hpp"
+#include "simulation/simulated_cells.hpp"
 
 namespace {
 
@@ -12,7 +12,7 @@
   int broken = 0, unfinished = 0;
   std::size_t guests = 0;
   for (int seed = first; seed < first + count; ++seed) {
-    const auto day = wingtrail::emulator::play_cells(static_cast<std::uint64_t>(seed));
+    const auto day = wingtrail::simulation::play_cells(static_cast<std::uint64_t>(seed));
     for (const auto& b : day.broken)
       std::cout << b << " (cells, seed " << seed << ")\n";
     if (day.unfinished > 0)
@@ -36,10 +36,10 @@
     return hunt_cells(first, count);
   int broken = 0, unfinished = 0;
   for (int seed = first; seed < first + count; ++seed) {
-    wingtrail::emulator::Plan plan = wingtrail::emulator::plan_of(static_cast<std::uint64_t>(seed));
+    wingtrail::simulation::Plan plan = wingtrail::simulation::plan_of(static_cast<std::uint64_t>(seed));
     if (argc > 4)
       plan.fault_every_s = 0;
-    const auto v = wingtrail::emulator::SimulatedCluster(plan).run();
+    const auto v = wingtrail::simulation::SimulatedCluster(plan).run();
     for (const auto& b : v.broken)
       std::cout << b << "\n";
     if (v.unfinished > 0)
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -3,7 +3,7 @@
 
 #include "rides.hpp"
 
-namespace wingtrail::emulator {
+namespace wingtrail::simulation {
 namespace {
 
 class Seeds : public ::testing::TestWithParam<int> {
@@ -172,7 +172,7 @@
   wire::JobSpec s = job_of(0, 4, "red");
   s.shape = wire::Shape::service;
   s.priority = wire::Priority::production;
-  s.spread = true;
+  s.spread_zones = true;
   for (int i = 1; i <= 36; ++i) {  // eight cores each; most are soon cancelled
     s.ref = "req-" + std::to_string(i);
     world.user(s, 0, i % 4 == 0 ? -1 : 100);
@@ -274,8 +274,8 @@
   s.priority = wire::Priority::production;
   s.image = "live-" + std::to_string(image);
   s.image_gb = 2.2;  // not within two seconds
-  s.spread = true;
-  s.spot = false;
+  s.spread_zones = true;
+  s.allows_spot = false;
   return s;
 }
 
@@ -408,4 +408,4 @@
 }
 
 }  // namespace
-}  // namespace wingtrail::emulator
+}  // namespace wingtrail::simulation
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -1,85 +1,85 @@
 // The life of a zone against a plain reference, and the order in which services of a lost one go up.
-#include "zones/zones.hpp"
-
 #include <gtest/gtest.h>
 
 #include <cmath>
 #include <pcg_random.hpp>
 
+#include "zones/zone_tracker.hpp"
+
 namespace wingtrail::zones {
 namespace {
 
 constexpr Seconds kReport = 5, kLease = 27;
 
 // A zone with `workers` machines that were heard at `t`.
-Zones zone_heard(double t, int workers, bool whole = true) {
-  Zones z(kReport, kLease, whole);
-  z.begin(t);
-  z.expected(0, workers);
-  z.member(0, workers);
-  z.heard(0, t);
+ZoneTracker zone_heard(double t, int workers, bool whole = true) {
+  ZoneTracker z(kReport, kLease, whole);
+  z.begin_leadership(t);
+  z.set_expected(0, workers);
+  z.add_member(0, workers);
+  z.on_contact(0, t);
   return z;
 }
 
 TEST(Zones, GoesThroughItsWholeLife) {
-  Zones z = zone_heard(100, 200);
-  EXPECT_EQ(z.life(0, 100.2), Life::sound);
-  EXPECT_EQ(z.life(0, 100.5), Life::quiet);
-  EXPECT_EQ(z.life(0, 103), Life::cut);
-  z.lease_over(0, 128);
-  z.expected(0, -200);  // its workers' sessions are over, one after the other: it stays lost for all that
-  EXPECT_EQ(z.life(0, 130), Life::lost);
-  EXPECT_TRUE(z.cut(0, 130) && z.quiet(0, 130) && z.restless(130));
-  EXPECT_FALSE(z.scout(0)) << "its machines are kept, and say when it is back";
+  ZoneTracker z = zone_heard(100, 200);
+  EXPECT_EQ(z.state(0, 100.2), ZoneState::healthy);
+  EXPECT_EQ(z.state(0, 100.5), ZoneState::silent);
+  EXPECT_EQ(z.state(0, 103), ZoneState::unreachable);
+  z.on_lease_expired(0, 128);
+  z.set_expected(0, -200);  // its workers' sessions are over, one after the other: it stays lost for all that
+  EXPECT_EQ(z.state(0, 130), ZoneState::lost);
+  EXPECT_TRUE(z.is_unreachable(0, 130) && z.is_silent(0, 130) && z.any_unstable(130));
+  EXPECT_FALSE(z.choose_probe(0)) << "its machines are kept, and say when it is back";
   EXPECT_NEAR(z.lost_for(0, 150), 22, 1e-9);
-  EXPECT_TRUE(z.heard(0, 160));
-  EXPECT_EQ(z.life(0, 161), Life::returning);
-  EXPECT_TRUE(z.restless(161));
-  EXPECT_EQ(z.back_at(0), 160);
-  z.heard(0, 171);
-  EXPECT_EQ(z.life(0, 171.1), Life::sound) << "two rounds of reports later";
-  EXPECT_FALSE(z.restless(171.1));
+  EXPECT_TRUE(z.on_contact(0, 160));
+  EXPECT_EQ(z.state(0, 161), ZoneState::recovering);
+  EXPECT_TRUE(z.any_unstable(161));
+  EXPECT_EQ(z.returned_at(0), 160);
+  z.on_contact(0, 171);
+  EXPECT_EQ(z.state(0, 171.1), ZoneState::healthy) << "two rounds of reports later";
+  EXPECT_FALSE(z.any_unstable(171.1));
 }
 
 TEST(Zones, WithoutTheWholeLifeAZoneWhoseLeasesAreOverIsAsIfEmpty) {
-  Zones z = zone_heard(100, 200, false);
-  z.lease_over(0, 128);
-  EXPECT_EQ(z.life(0, 128), Life::cut);
-  z.expected(0, -200);
-  EXPECT_EQ(z.life(0, 130), Life::sound);
-  EXPECT_FALSE(z.restless(130));
+  ZoneTracker z = zone_heard(100, 200, false);
+  z.on_lease_expired(0, 128);
+  EXPECT_EQ(z.state(0, 128), ZoneState::unreachable);
+  z.set_expected(0, -200);
+  EXPECT_EQ(z.state(0, 130), ZoneState::healthy);
+  EXPECT_FALSE(z.any_unstable(130));
 }
 
 TEST(Zones, OneMachinesEndIsNotTheZones) {
-  Zones z = zone_heard(100, 200);
-  z.lease_over(0, 100.1);
-  EXPECT_EQ(z.life(0, 100.2), Life::sound);
+  ZoneTracker z = zone_heard(100, 200);
+  z.on_lease_expired(0, 100.1);
+  EXPECT_EQ(z.state(0, 100.2), ZoneState::healthy);
 }
 
 TEST(Zones, OneThatIsLostWithAllItsMachinesIsScouted) {
-  Zones z = zone_heard(100, 2);
-  z.lease_over(0, 300);
-  EXPECT_TRUE(z.lost(0));
-  EXPECT_FALSE(z.scout(0));
-  z.member(0, -2);
-  EXPECT_TRUE(z.scout(0));
-  z.member(0, 1);
-  EXPECT_FALSE(z.scout(0)) << "one at a time";
-  z.heard(0, 350);
-  EXPECT_FALSE(z.scout(0));
+  ZoneTracker z = zone_heard(100, 2);
+  z.on_lease_expired(0, 300);
+  EXPECT_TRUE(z.is_lost(0));
+  EXPECT_FALSE(z.choose_probe(0));
+  z.add_member(0, -2);
+  EXPECT_TRUE(z.choose_probe(0));
+  z.add_member(0, 1);
+  EXPECT_FALSE(z.choose_probe(0)) << "one at a time";
+  z.on_contact(0, 350);
+  EXPECT_FALSE(z.choose_probe(0));
 }
 
 // Each return without a rest before it doubles the time that the zone is given to settle, up to a lease.
 TEST(Zones, FlappingIsGivenLongerAndLonger) {
-  Zones z = zone_heard(0, 200);
+  ZoneTracker z = zone_heard(0, 200);
   double t = 10, last = 0;
   for (int flap = 1; flap <= 6; ++flap) {
-    ASSERT_TRUE(z.heard(0, t));
-    EXPECT_EQ(z.flaps(0), flap);
+    ASSERT_TRUE(z.on_contact(0, t));
+    EXPECT_EQ(z.flap_count(0), flap);
     double settled = t;
-    while (z.life(0, settled) == Life::returning) {
+    while (z.state(0, settled) == ZoneState::recovering) {
       settled += 0.1;
-      z.heard(0, settled);
+      z.on_contact(0, settled);
     }
     EXPECT_GE(settled - t, last - 0.2);
     EXPECT_LE(settled - t, kLease + 0.2);
@@ -88,9 +88,9 @@
   }
   EXPECT_GT(last, kLease - 1);
   for (double at = t - 3; at < t + 120; at += 0.1)
-    z.heard(0, at);  // a rest
-  ASSERT_TRUE(z.heard(0, t + 130));
-  EXPECT_EQ(z.flaps(0), 1);
+    z.on_contact(0, at);  // a rest
+  ASSERT_TRUE(z.on_contact(0, t + 130));
+  EXPECT_EQ(z.flap_count(0), 1);
 }
 
 // What the machine of states says, told again from the history of the zone alone.
@@ -101,7 +101,7 @@
       return a + (b - a) * std::ldexp(static_cast<double>(rng()), -32);
     };
     const int workers = 1 + static_cast<int>(rng(300));
-    Zones z = zone_heard(0, workers);
+    ZoneTracker z = zone_heard(0, workers);
     double t = 0, heard = 0, settles = -1;
     bool lost = false;
     for (int i = 0; i < 200; ++i) {
@@ -109,25 +109,25 @@
       const double silent = t - heard;
       const bool cut = lost || silent > std::max(2.0, 24 * kReport / workers);
       const bool quiet = lost || silent > std::max(0.3, 12 * kReport / workers);
-      const Life expected = lost          ? Life::lost
-                            : cut         ? Life::cut
-                            : quiet       ? Life::quiet
-                            : t < settles ? Life::returning
-                                          : Life::sound;
-      ASSERT_EQ(z.life(0, t), expected) << "seed " << seed << " at " << t;
-      ASSERT_EQ(z.cut(0, t), cut);
+      const ZoneState expected = lost          ? ZoneState::lost
+                                 : cut         ? ZoneState::unreachable
+                                 : quiet       ? ZoneState::silent
+                                 : t < settles ? ZoneState::recovering
+                                               : ZoneState::healthy;
+      ASSERT_EQ(z.state(0, t), expected) << "seed " << seed << " at " << t;
+      ASSERT_EQ(z.is_unreachable(0, t), cut);
       if (rng(3) == 0) {
-        z.lease_over(0, t);
+        z.on_lease_expired(0, t);
         lost |= cut;
       } else if (rng(2) == 0) {
-        ASSERT_EQ(z.heard(0, t), cut);
+        ASSERT_EQ(z.on_contact(0, t), cut);
         heard = t;
         lost = false;
         if (cut) {
           // It returns for at least two rounds of reports and at most a lease.
           double end = t;
-          while (z.life(0, end) == Life::returning)
-            end += 0.01, z.heard(0, end);
+          while (z.state(0, end) == ZoneState::recovering)
+            end += 0.01, z.on_contact(0, end);
           ASSERT_GE(end - t, 2 * kReport - 0.02);
           ASSERT_LE(end - t, kLease + 0.02);
           heard = t = end;
