--- a/tests/cells_world_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -1,6 +1,6 @@
 // Several cells with real controllers each: what spills over, what a hand-over survives, and what the
 // neighbour's own work loses.
-#include "rides.hpp"
+#include "scenarios.hpp"
 #include "simulation/simulated_cells.hpp"
 
 namespace wingtrail::simulation {
--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -4,7 +4,7 @@
 // step. COMBINED_FAULTS_WIDE=N plays N times as many seeds.
 #pragma once
 
-#include "rides.hpp"
+#include "scenarios.hpp"
 
 namespace wingtrail::simulation {
 
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -2,7 +2,7 @@
 // and after every step of the simulated cluster the rules.
 #include <gtest/gtest.h>
 
-#include "rides.hpp"
+#include "scenarios.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Shows that the checks can fail: breaks one guard at a time in a copy of the sources, and demands that the unit
-# tests notice, or the rides through cuts and outages, or world_hunt within a number of seeds. Usage: tests/mutants.sh [SEEDS [PATTERN]]
+# tests notice, or the rides through cuts and outages, or random_fault_search within a number of seeds. Usage: tests/mutants.sh [SEEDS [PATTERN]]
 # PATTERN limits the run to mutants whose name matches it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -24,7 +24,7 @@
     missed=$((missed + 1))
     return
   fi
-  cmake --build "$work/build" --target world_hunt world_tests unit_tests -j"$(nproc)" >"$work/build.log" 2>&1 || { echo "$1: does not build"; missed=$((missed + 1)); cp "$work/pristine/$2" "$file"; return; }
+  cmake --build "$work/build" --target random_fault_search simulation_tests unit_tests -j"$(nproc)" >"$work/build.log" 2>&1 || { echo "$1: does not build"; missed=$((missed + 1)); cp "$work/pristine/$2" "$file"; return; }
   if ! "$work/build/unit_tests" --gtest_filter='-Http*' >"$work/unit.log" 2>&1; then
     echo "$1: caught by $(grep -c '^\[  FAILED  \].*(' "$work/unit.log") unit tests"
     caught=$((caught + 1))
@@ -32,7 +32,7 @@
     return
   fi
   # What breaks no rule may still lose work that should have gone on.
-  if ! "$work/build/world_tests" --gtest_filter='SimulatedCluster.AZone*:SimulatedCluster.AnOutage*:Spread.*:AllNew.*:LostZone.*:Flood*:Cells.*:Each/HandOver*:CombinedFaults.*:LateMessages.*:Backlog.*' >"$work/rides.log" 2>&1; then
+  if ! "$work/build/simulation_tests" --gtest_filter='SimulatedCluster.AZone*:SimulatedCluster.AnOutage*:Spread.*:AllNew.*:LostZone.*:Flood*:Cells.*:Each/HandOver*:CombinedFaults.*:LateMessages.*:Backlog.*' >"$work/rides.log" 2>&1; then
     echo "$1: caught by the rides through cuts and outages, or the tests of load spread, floods and cells"
     caught=$((caught + 1))
     cp "$work/pristine/$2" "$file"
@@ -41,7 +41,7 @@
   local pids=() part=$((seeds / 6 + 1)) result=
   for i in 0 1 2 3 4 5; do
     # From a million on faults are combined, from two million on direct commands are late, too.
-    "$work/build/world_hunt" $((1 + i * part + i % 3 * 1000000)) "$part" >"$work/out.$i" 2>&1 &
+    "$work/build/random_fault_search" $((1 + i * part + i % 3 * 1000000)) "$part" >"$work/out.$i" 2>&1 &
     pids+=($!)
   done
   local ended=0
--- a/tests/flood_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,6 +1,6 @@
 // Floods of submissions on several controllers, with failures amid them: the rules, the sum of what all nodes
 // ask of the state service, and that who does not flood is admitted as on a calm day.
-#include "rides.hpp"
+#include "scenarios.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/cluster.cpp
+++ b/tests/process_cluster.cpp
@@ -1,7 +1,7 @@
 // Starts three controllers as processes of their own and plays the rest of the cluster over real sockets: the
 // state service, the cloud, the workers and the users of the simulated cluster, in real time and with the
 // same checks.
-//   cluster --program build/wingtrail [--former older/wingtrail] [--seconds S] [--seed N] [--troubles
+//   process_cluster --program build/wingtrail [--former older/wingtrail] [--seconds S] [--seed N] [--troubles
 //   SECONDS] [--end-one] [--tell] [--cells N]
 // With --cells, several such clusters beside each other, the first with more work than machines; what their
 // controllers say to each other goes through a relay here that refuses it for a while, and all controllers of
--- a/tests/world_hunt.cpp
+++ b/tests/random_fault_search.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-// world_hunt FIRST COUNT [LOG_LEVEL [quiet | cells]]
+// random_fault_search FIRST COUNT [LOG_LEVEL [quiet | cells]]
 int main(int argc, char** argv) {
   const int first = argc > 1 ? std::atoi(argv[1]) : 1, count = argc > 2 ? std::atoi(argv[2]) : 100;
   spdlog::set_level(argc > 3 ? spdlog::level::from_str(argv[3]) : spdlog::level::off);
--- a/tests/world_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "rides.hpp"
+#include "scenarios.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/upgrade.sh
+++ b/tests/upgrade.sh
@@ -2,7 +2,7 @@
 # Builds the version in production (deploy/service.toml) from the history and runs it beside the present one over real
 # sockets: an upgrade of three processes, with troubles. Usage: tests/upgrade.sh BUILD_FOLDER [SEEDS [SECONDS]]
 set -euo pipefail
-build=$(realpath "${1:?the folder that holds cluster and wingtrail}")
+build=$(realpath "${1:?the folder that holds process_cluster and wingtrail}")
 cd "$(dirname "$0")/.."
 commit=$(sed -n 's/^production = "\(.*\)"$/\1/p' deploy/service.toml)
 work=$(mktemp -d)
@@ -12,7 +12,7 @@
 cmake --build "$work/build" -j"$(nproc)" >/dev/null
 failed=0
 for ((seed = 1; seed <= ${2:-3}; ++seed)); do
-  "$build/cluster" --program "$build/wingtrail" --tunables deploy/tunables.yaml --former "$work/build/wingtrail" --seed "$seed" \
+  "$build/process_cluster" --program "$build/wingtrail" --tunables deploy/tunables.yaml --former "$work/build/wingtrail" --seed "$seed" \
     --seconds "${3:-180}" --troubles 12 || failed=$((failed + 1))
 done
 echo "$((${2:-3} - failed)) passed, $failed failed"
