--- a/src/simulation/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -11,7 +11,7 @@
 
 std::size_t SimulatedCluster::fail_machines(MachineFault what, std::size_t n, double for_s,
                                             const std::string& ref) {
-  fault_lasts(for_s);
+  extend_fault_period(for_s);
   std::vector<WorkerMachine*> up;
   for (auto& [name, h] : machines_) {
     if (!h->gone && !h->dead && h->up)
@@ -19,10 +19,10 @@
   }
   if (ref.empty()) {
     for (std::size_t k = up.size(); k > 1; --k)
-      std::swap(up[k - 1], up[pick(k)]);
+      std::swap(up[k - 1], up[random_index(k)]);
   } else {
     const auto has = [&ref](const WorkerMachine* h) {
-      return std::any_of(h->tasks.begin(), h->tasks.end(), [&ref](const TaskOn& x) {
+      return std::any_of(h->tasks.begin(), h->tasks.end(), [&ref](const WorkerTask& x) {
         return x.job && x.job->spec.ref == ref && x.phase != "exited";
       });
     };
@@ -30,8 +30,8 @@
   }
   up.resize(std::min(n, up.size()));
   for (WorkerMachine* h : up) {
-    const double until = t_ + for_s * between(0.95, 1.05);
-    spdlog::debug("{:.3f} {}: ails ({}) until {:.1f}", t_, h->name, static_cast<int>(what), until);
+    const double until = now_ + for_s * random_between(0.95, 1.05);
+    spdlog::debug("{:.3f} {}: ails ({}) until {:.1f}", now_, h->name, static_cast<int>(what), until);
     if (what == MachineFault::hung)
       h->hung_until = until;
     if (what == MachineFault::deaf)
@@ -46,64 +46,64 @@
   return up.size();
 }
 
-void SimulatedCluster::late_reports(double share, double for_s, CopyArrives when) {
-  fault_lasts(for_s);
-  late_report_share_ = share;
-  late_reports_until_ = t_ + for_s;
-  copies_arrive_ = when;
+void SimulatedCluster::duplicate_heartbeats_late(double share, double for_s, DuplicateArrival when) {
+  extend_fault_period(for_s);
+  late_heartbeat_share_ = share;
+  late_heartbeats_until_ = now_ + for_s;
+  duplicate_arrival_ = when;
 }
 
-void SimulatedCluster::late_commands(double share, double for_s) {
-  fault_lasts(for_s + 16);
+void SimulatedCluster::delay_commands(double share, double for_s) {
+  extend_fault_period(for_s + 16);
   late_command_share_ = share;
-  late_commands_until_ = t_ + for_s;
+  late_commands_until_ = now_ + for_s;
 }
 
 // To every node, the new leader among them: as it begins, and once it has acted.
-void SimulatedCluster::release_reports(std::size_t) {
-  fault_lasts(5);
-  for (controller::IncomingRequest& in : std::exchange(kept_reports_, {})) {
-    if (copies_arrive_ == CopyArrives::at_election) {
+void SimulatedCluster::release_held_heartbeats(std::size_t) {
+  extend_fault_period(5);
+  for (controller::IncomingRequest& in : std::exchange(held_heartbeats_, {})) {
+    if (duplicate_arrival_ == DuplicateArrival::at_election) {
       // Before the first answer of any worker; a worker's copies in no particular order.
-      later(between(0, 0.0005), [this, in] {
-        ++run_report_.kept_reports;
+      add_event_after(random_between(0, 0.0005), [this, in] {
+        ++run_report_.held_heartbeats;
         for (std::size_t i = 0; i < plan_.nodes; ++i)
           deliver(i, in, [](const ports::Answer&) {});
       });
       continue;
     }
-    later(odds(0.3) ? between(0, 0.2) : between(0.2, 5), [this, in] {
-      ++run_report_.kept_reports;
+    add_event_after(random_bool(0.3) ? random_between(0, 0.2) : random_between(0.2, 5), [this, in] {
+      ++run_report_.held_heartbeats;
       for (std::size_t i = 0; i < plan_.nodes; ++i)
         deliver(i, in, [](const ports::Answer&) {});
     });
   }
 }
 
-void SimulatedCluster::quick_boots(double for_s) {
-  quick_boots_until_ = t_ + for_s;
+void SimulatedCluster::boot_quickly(double for_s) {
+  quick_boots_until_ = now_ + for_s;
 }
 
-void SimulatedCluster::slow_links(double for_s) {
-  fault_lasts(for_s);
-  slow_links_until_ = t_ + for_s;
+void SimulatedCluster::slow_down_links(double for_s) {
+  extend_fault_period(for_s);
+  slow_links_until_ = now_ + for_s;
 }
 
 // ---------------------------------------------------------------- users
 
 void SimulatedCluster::cancel(const std::string& ref) {
   UserJob& job = *jobs_.at(ref);
-  job.want_abort = true;
-  abort(job);
+  job.cancellation_wanted = true;
+  cancel_job(job);
 }
 
-void SimulatedCluster::cancel_now(std::size_t n, double hang_s) {
+void SimulatedCluster::cancel_running_jobs(std::size_t n, double hang_s) {
   std::set<UserJob*> running;
   for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
-    for (const TaskOn& x : h->tasks) {
-      if (x.on() && x.job->accepted && !x.job->want_abort && !x.job->over())
+    for (const WorkerTask& x : h->tasks) {
+      if (x.occupies_machine() && x.job->accepted && !x.job->cancellation_wanted && !x.job->is_done())
         running.insert(x.job);
     }
   }
@@ -117,80 +117,80 @@
   some.resize(std::min(n, some.size()));
   std::size_t hung = 0;
   for (UserJob* job : some) {
-    ++run_report_.called_off;
-    later(between(0, 0.2), [this, job] {
-      job->want_abort = true;
-      abort(*job);
+    ++run_report_.cancelled_together;
+    add_event_after(random_between(0, 0.2), [this, job] {
+      job->cancellation_wanted = true;
+      cancel_job(*job);
     });
     if (hang_s > 0 && hung < 8)
       hung += fail_machines(MachineFault::hung, 1, hang_s, job->spec.ref);
   }
 }
 
-void SimulatedCluster::cancel_at_end(double share, double for_s) {
+void SimulatedCluster::cancel_at_completion(double share, double for_s) {
   cancel_at_end_share_ = share;
-  cancel_at_end_until_ = t_ + for_s;
+  cancel_at_end_until_ = now_ + for_s;
 }
 
-void SimulatedCluster::close_looks(double for_s) {
-  looks_until_ = t_ + for_s;
+void SimulatedCluster::poll_all_nodes(double for_s) {
+  close_polls_until_ = now_ + for_s;
 }
 
 // At all nodes, again and again within milliseconds; the submission too; some call the job off at once.
-void SimulatedCluster::look_closely(UserJob& job) {
+void SimulatedCluster::poll_every_node(UserJob& job) {
   for (std::size_t round = 0; round < 4; ++round) {
     for (std::size_t i = 0; i < plan_.nodes; ++i) {
-      ++run_report_.looks;
-      later(static_cast<double>(round) * between(0.001, 0.02) + between(0, 0.003),
-            [this, i, &job] { ask(job, i, "a close look"); });
+      ++run_report_.close_polls;
+      add_event_after(static_cast<double>(round) * random_between(0.001, 0.02) + random_between(0, 0.003),
+                      [this, i, &job] { query_at_node(job, i, "a close look"); });
     }
   }
   for (std::size_t i = 0; i < plan_.nodes; ++i) {
-    later(between(0, 0.02), [this, i, &job] { submit_at(job, t_ - 100, i); });
+    add_event_after(random_between(0, 0.02), [this, i, &job] { submit_at(job, now_ - 100, i); });
   }
-  if (job.want_abort || job.told_done || job.spec.shape == wire::Shape::service || !odds(0.2))
+  if (job.cancellation_wanted || job.told_done || job.spec.shape == wire::Shape::service || !random_bool(0.2))
     return;
-  later(between(0, 0.03), [this, &job] {
-    job.want_abort = true;
-    abort(job);
+  add_event_after(random_between(0, 0.03), [this, &job] {
+    job.cancellation_wanted = true;
+    cancel_job(job);
   });
 }
 
-void SimulatedCluster::odd_requests(double for_s) {
-  odd_until_ = t_ + for_s;
-  odd_request();
+void SimulatedCluster::send_malformed_requests(double for_s) {
+  malformed_requests_until_ = now_ + for_s;
+  send_malformed_request();
 }
 
-void SimulatedCluster::odd_request() {
-  if (t_ > odd_until_)
+void SimulatedCluster::send_malformed_request() {
+  if (now_ > malformed_requests_until_)
     return;
-  later(between(0.1, 1), [this] { odd_request(); });
-  const std::size_t i = pick(plan_.nodes);
+  add_event_after(random_between(0.1, 1), [this] { send_malformed_request(); });
+  const std::size_t i = random_index(plan_.nodes);
   std::vector<UserJob*> open, done;
   for (auto& [ref, job] : jobs_) {
-    if (job->accepted && !job->told_done && job->told_cancelled < 0)
+    if (job->accepted && !job->told_done && job->told_cancelled_at < 0)
       open.push_back(job.get());
     if (job->told_done)
       done.push_back(job.get());
   }
-  const auto kind = pick(4);
+  const auto kind = random_index(4);
   if (kind == 0 && !open.empty()) {
-    ++run_report_.odd_answers;
-    return submit_at(*open[pick(open.size())], t_ - 100, i);
+    ++run_report_.malformed_requests;
+    return submit_at(*open[random_index(open.size())], now_ - 100, i);
   }
   if (kind == 1 && !done.empty()) {
-    ++run_report_.odd_answers;
-    return abort_at(*done[pick(done.size())], i);
+    ++run_report_.malformed_requests;
+    return cancel_at_node(*done[random_index(done.size())], i);
   }
   if (jobs_.empty() || kind < 2)
     return;
   // Of one that can't run, or lacks a field, no node may take charge, and none may know it later.
   wire::JobSpec s = jobs_.begin()->second->spec;
-  s.ref = "req-6" + std::to_string(1'000'000 + ++odd_made_);
+  s.ref = "req-6" + std::to_string(1'000'000 + ++malformed_requests_made_);
   s.depends_on.clear();
   Value body = wire::job_value(s);
   if (kind == 2) {
-    const auto what = pick(4);
+    const auto what = random_index(4);
     if (what == 0)
       body["cores"] = 1000.0;
     if (what == 1)
@@ -203,7 +203,7 @@
     static constexpr const char* kNeeded[] = {
         "jobclass", "owner",     "shape", "urgency",   "shards",         "cores",        "memGb",  "bundle",
         "sizeGb",   "samePlace", "apart", "expectedS", "snapshotEveryS", "accelerators", "standby"};
-    body.erase(kNeeded[pick(std::size(kNeeded))]);
+    body.erase(kNeeded[random_index(std::size(kNeeded))]);
   }
   controller::IncomingRequest in;
   in.method = "POST";
@@ -211,28 +211,29 @@
   in.body = wire::encode_cbor(body);
   send("users", node_name(i), [this, in, i, ref = s.ref, kind] {
     deliver(i, in, [this, ref, kind](const ports::Answer& a) {
-      ++run_report_.odd_answers;
-      if (a.status < 300 || plan_.sabotage == "odd_accepted" || (kind == 3 && a.status != 400))
-        broke("accepted_odd", ref + " got " + std::to_string(a.status));
+      ++run_report_.malformed_requests;
+      if (a.status < 300 || plan_.planted_fault == "odd_accepted" || (kind == 3 && a.status != 400))
+        report_violation("accepted_odd", ref + " got " + std::to_string(a.status));
     });
   });
-  later(between(0.01, 3), [this, ref = s.ref, k = pick(plan_.nodes)] {
+  add_event_after(random_between(0.01, 3), [this, ref = s.ref, k = random_index(plan_.nodes)] {
     controller::IncomingRequest question;
     question.method = "GET";
     question.path = std::string(wire::kJobsPath) + "/" + ref;
     deliver(k, question, [this, ref](const ports::Answer& a) {
       if (a.status == 200)
-        broke("invented", ref);
+        report_violation("invented", ref);
     });
   });
 }
 
 // A planted fault: an order of nobody's brings a task of it to some machine.
-void SimulatedCluster::start_anywhere(const UserJob& job) {
+void SimulatedCluster::start_stray_copy(const UserJob& job) {
   for (auto& [name, h] : machines_) {
     if (h->gone || h->dead || !h->up)
       continue;
-    return order(*h, {{"verb", "start"}, {"shard", job.spec.ref + "/0"}, {"try", std::uint64_t{1} << 60}});
+    return execute_command(
+        *h, {{"verb", "start"}, {"shard", job.spec.ref + "/0"}, {"try", std::uint64_t{1} << 60}});
   }
 }
 
@@ -243,12 +244,12 @@
 }
 
 double SimulatedCluster::cancelled_at(const std::string& ref) const {
-  return jobs_.at(ref)->told_cancelled;
+  return jobs_.at(ref)->told_cancelled_at;
 }
 
-std::size_t SimulatedCluster::cancellations_open() const {
+std::size_t SimulatedCluster::open_cancellations() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
-    return j.second->want_abort && j.second->accepted && !j.second->told_done && j.second->told_cancelled < 0;
+    return j.second->cancellation_wanted && j.second->accepted && !j.second->told_done && j.second->told_cancelled_at < 0;
   }));
 }
 bool SimulatedCluster::told_done(const std::string& ref) const {
@@ -261,11 +262,12 @@
 std::size_t SimulatedCluster::on_machines(const std::string& ref) const {
   std::size_t n = 0;
   for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+    if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
       continue;
-    n += static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(), [&ref](const TaskOn& x) {
-      return x.job && x.job->spec.ref == ref && x.phase != "exited";
-    }));
+    n +=
+        static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(), [&ref](const WorkerTask& x) {
+          return x.job && x.job->spec.ref == ref && x.phase != "exited";
+        }));
   }
   return n;
 }
--- a/src/simulation/controllers.cpp
+++ b/src/simulation/controllers.cpp
@@ -9,153 +9,154 @@
 namespace wingtrail::simulation {
 
 void SimulatedCluster::freeze(std::size_t i, double for_s) {
-  fault_lasts(for_s);
-  controllers_[i]->paused_until = t_ + for_s;
+  extend_fault_period(for_s);
+  controllers_[i]->paused_until = now_ + for_s;
 }
 
 void SimulatedCluster::boot(std::size_t i) {
-  if (outside_.boot)
-    return outside_.boot(i);
-  Controller& c = *controllers_[i];
-  if (c.node)
+  if (external_processes_.boot)
+    return external_processes_.boot(i);
+  SimulatedController& c = *controllers_[i];
+  if (c.controller)
     return;
-  settings::Settings s = c.former ? former_ : settings_;
-  if (plan_.one_fixed && i + 1 == plan_.nodes)
+  settings::Settings s = c.runs_former_version ? settings_before_upgrade_ : settings_;
+  if (plan_.one_without_shares && i + 1 == plan_.nodes)
     s.tunables.fair_admission = 0;
   s.node = node_name(i);
-  s.zone = settings_.zones[i % plan_.zones];
+  s.zone = settings_.zones[i % plan_.zone_tracking];
   for (std::size_t p = 0; p < plan_.nodes; ++p) {
     if (p != i)
-      s.peers.push_back({node_name(p), settings_.zones[p % plan_.zones], {}});
+      s.peers.push_back({node_name(p), settings_.zones[p % plan_.zone_tracking], {}});
   }
-  ++c.life;
-  c.open.clear();
-  c.wake = -1;
-  c.node = std::make_unique<controller::Controller>(s, rng_());
-  c.node->set_day_offset(1e9 + t_ + between(-0.2, 0.2) - node_time(c));
-  c.node->start(node_time(c));
-  act(i);
+  ++c.process_number;
+  c.open_requests.clear();
+  c.wake_at = -1;
+  c.controller = std::make_unique<controller::Controller>(s, rng_());
+  c.controller->set_day_offset(1e9 + now_ + random_between(-0.2, 0.2) - node_time(c));
+  c.controller->start(node_time(c));
+  run_controller(i);
 }
 
 void SimulatedCluster::crash(std::size_t i) {
-  Controller& c = *controllers_[i];
-  if (outside_.crash)
-    outside_.crash(i);
-  if (!c.node && !outside_.crash)
+  SimulatedController& c = *controllers_[i];
+  if (external_processes_.crash)
+    external_processes_.crash(i);
+  if (!c.controller && !external_processes_.crash)
     return;
-  spdlog::debug("{:.3f} {} ends", t_, node_name(i));
-  fault_lasts(plan_.back_to);
-  c.node.reset();
-  ++c.life;
-  c.open.clear();
-  later(between(plan_.back_from, plan_.back_to), [this, i] { boot(i); });
+  spdlog::debug("{:.3f} {} ends", now_, node_name(i));
+  extend_fault_period(plan_.back_to);
+  c.controller.reset();
+  ++c.process_number;
+  c.open_requests.clear();
+  add_event_after(random_between(plan_.back_from, plan_.back_to), [this, i] { boot(i); });
 }
 
-void SimulatedCluster::act(std::size_t i) {
-  Controller& c = *controllers_[i];
-  if (!c.node)
+void SimulatedCluster::run_controller(std::size_t i) {
+  SimulatedController& c = *controllers_[i];
+  if (!c.controller)
     return;
-  for (auto actions = c.node->drain(); !actions.empty(); actions = c.node->drain()) {
+  for (auto actions = c.controller->drain(); !actions.empty(); actions = c.controller->drain()) {
     for (auto& action : actions) {
       if (auto* call = std::get_if<ports::Call>(&action)) {
-        carry_out(i, *call);
+        execute_call(i, *call);
       } else {
         auto& answer = std::get<ports::Answer>(action);
-        auto node = c.open.extract(answer.request);
+        auto node = c.open_requests.extract(answer.request);
         if (!node.empty())
           node.mapped()(answer);
       }
     }
   }
-  if (c.node->is_active_leader() != c.led) {
-    c.led = c.node->is_active_leader();
-    run_report_.elections += c.led;
-    if (c.led && !kept_reports_.empty())
-      release_reports(i);
+  if (c.controller->is_active_leader() != c.was_leader) {
+    c.was_leader = c.controller->is_active_leader();
+    run_report_.elections += c.was_leader;
+    if (c.was_leader && !held_heartbeats_.empty())
+      release_held_heartbeats(i);
   }
   // Two nodes that may both give orders would break everything else.
   std::size_t entitled = 0;
   for (auto& other : controllers_)
-    entitled += other->node && node_time(*other) < other->node->leader_lease_expires_at();
+    entitled += other->controller && node_time(*other) < other->controller->leader_lease_expires_at();
   if (entitled > 1)
-    broke("two_leaders", node_name(i) + " acts beside another");
-  poke(i);
+    report_violation("two_leaders", node_name(i) + " acts beside another");
+  wake_controller(i);
 }
 
-void SimulatedCluster::poke(std::size_t i) {
-  Controller& c = *controllers_[i];
-  const double wake = (c.node->next_wake() - 1000) / c.rate;
-  if (!std::isfinite(wake) || (c.wake >= t_ && c.wake <= wake + 1e-9))
+void SimulatedCluster::wake_controller(std::size_t i) {
+  SimulatedController& c = *controllers_[i];
+  const double wake = (c.controller->next_wake() - 1000) / c.clock_rate;
+  if (!std::isfinite(wake) || (c.wake_at >= now_ && c.wake_at <= wake + 1e-9))
     return;
-  c.wake = std::max(wake, t_) + 1e-6;
-  at(c.wake, [this, i, life = c.life, due = c.wake] {
-    Controller& ctl = *controllers_[i];
-    if (!ctl.node || ctl.life != life || ctl.wake != due)
+  c.wake_at = std::max(wake, now_) + 1e-6;
+  add_event(c.wake_at, [this, i, life = c.process_number, due = c.wake_at] {
+    SimulatedController& ctl = *controllers_[i];
+    if (!ctl.controller || ctl.process_number != life || ctl.wake_at != due)
       return;
-    ctl.wake = -1;
-    if (t_ < ctl.paused_until) {  // a stalled process: its timers fire when it goes on
-      ctl.wake = ctl.paused_until;
-      return at(ctl.paused_until, [this, i, life] {
-        Controller& again = *controllers_[i];
-        if (!again.node || again.life != life)
+    ctl.wake_at = -1;
+    if (now_ < ctl.paused_until) {  // a stalled process: its timers fire when it goes on
+      ctl.wake_at = ctl.paused_until;
+      return add_event(ctl.paused_until, [this, i, life] {
+        SimulatedController& again = *controllers_[i];
+        if (!again.controller || again.process_number != life)
           return;
-        again.wake = -1;
-        again.node->tick(node_time(again));
-        act(i);
+        again.wake_at = -1;
+        again.controller->tick(node_time(again));
+        run_controller(i);
       });
     }
-    ctl.node->tick(node_time(ctl));
-    act(i);
+    ctl.controller->tick(node_time(ctl));
+    run_controller(i);
   });
 }
 
-void SimulatedCluster::carry_out(std::size_t i, const ports::Call& call) {
-  Controller& c = *controllers_[i];
-  if (plan_.sabotage != "no_authority_check" && node_time(c) >= call.not_after) {
-    later(0, [this, i, life = c.life, id = call.id] {
-      if (!controllers_[i]->node || controllers_[i]->life != life)
+void SimulatedCluster::execute_call(std::size_t i, const ports::Call& call) {
+  SimulatedController& c = *controllers_[i];
+  if (plan_.planted_fault != "no_authority_check" && node_time(c) >= call.not_after) {
+    add_event_after(0, [this, i, life = c.process_number, id = call.id] {
+      if (!controllers_[i]->controller || controllers_[i]->process_number != life)
         return;
       ports::Reply none;
       none.delivered = false;
-      controllers_[i]->node->reply(node_time(*controllers_[i]), id, none);
-      act(i);
+      controllers_[i]->controller->reply(node_time(*controllers_[i]), id, none);
+      run_controller(i);
     });
     return;
   }
   auto answered = std::make_shared<bool>(false);
-  auto finish = [this, i, life = c.life, id = call.id, answered](const ports::Reply& r) {
+  auto finish = [this, i, life = c.process_number, id = call.id, answered](const ports::Reply& r) {
     if (*answered)
       return;
     *answered = true;
-    Controller& ctl = *controllers_[i];
-    if (!ctl.node || ctl.life != life)
+    SimulatedController& ctl = *controllers_[i];
+    if (!ctl.controller || ctl.process_number != life)
       return;
-    if (t_ < ctl.paused_until) {
-      at(ctl.paused_until, [this, i, life, id, r] {
-        Controller& again = *controllers_[i];
-        if (!again.node || again.life != life)
+    if (now_ < ctl.paused_until) {
+      add_event(ctl.paused_until, [this, i, life, id, r] {
+        SimulatedController& again = *controllers_[i];
+        if (!again.controller || again.process_number != life)
           return;
-        again.node->reply(node_time(again), id, r);
-        act(i);
+        again.controller->reply(node_time(again), id, r);
+        run_controller(i);
       });
       return;
     }
-    ctl.node->reply(node_time(ctl), id, r);
-    act(i);
+    ctl.controller->reply(node_time(ctl), id, r);
+    run_controller(i);
   };
   if (call.target == ports::Target::cell) {
     const std::size_t cell = call.cell < plan_.cell ? call.cell : call.cell + 1;
-    reach_->send(plan_.cell, cell, [this, call, cell, finish] {
-      reach_->cells[cell]->frame(call.peer, *call.frame, [this, cell, finish](const ports::Answer& a) {
-        reach_->send(cell, plan_.cell, [finish, a] {
-          ports::Reply r;
-          r.status = a.status;
-          r.frame = a.frame;
-          finish(r);
-        });
-      });
+    cell_network_->send(plan_.cell, cell, [this, call, cell, finish] {
+      cell_network_->cells[cell]->deliver_frame(call.peer, *call.frame,
+                                                [this, cell, finish](const ports::Answer& a) {
+                                                  cell_network_->send(cell, plan_.cell, [finish, a] {
+                                                    ports::Reply r;
+                                                    r.status = a.status;
+                                                    r.frame = a.frame;
+                                                    finish(r);
+                                                  });
+                                                });
     });
-    return at(t_ + call.timeout_s, [finish] { finish(ports::Reply{}); });
+    return add_event(now_ + call.timeout_s, [finish] { finish(ports::Reply{}); });
   }
   const std::string me = node_name(i);
   std::string to = call.target == ports::Target::state   ? "state"
@@ -168,7 +169,7 @@
     to = node_name(peer);
   } else if (call.target == ports::Target::worker) {
     for (auto& [name, h] : machines_) {
-      if (h->addr == call.address)
+      if (h->address == call.address)
         host = h.get();
     }
     to = host ? host->name : "nowhere";
@@ -186,24 +187,24 @@
       finish(r);
     });
   };
-  const bool sent = send(me, to, [this, i, peer, host, call, back, me, to, finish, life = c.life] {
+  const bool sent = send(me, to, [this, i, peer, host, call, back, me, to, finish, life = c.process_number] {
     switch (call.target) {
       case ports::Target::cell:
         return;
       case ports::Target::state:
         // Of a process that has ended since, and may have known of other limits.
-        carried_out_late_ = life != controllers_[i]->life;
-        state(i, call.method, call.path, call.body, back);
-        carried_out_late_ = false;
+        writing_late_ = life != controllers_[i]->process_number;
+        state_service_request(i, call.method, call.path, call.body, back);
+        writing_late_ = false;
         return;
       case ports::Target::cloud:
-        return cloud(call.method, call.path, call.body, back);
+        return cloud_request(call.method, call.path, call.body, back);
       case ports::Target::peer: {
-        Controller& other = *controllers_[peer];
-        if (!other.node || t_ < other.paused_until)
+        SimulatedController& other = *controllers_[peer];
+        if (!other.controller || now_ < other.paused_until)
           return;
         const std::uint64_t id = ++other.requests;
-        other.open[id] = [this, me, to, finish](const ports::Answer& a) {
+        other.open_requests[id] = [this, me, to, finish](const ports::Answer& a) {
           send(to, me, [finish, a] {
             ports::Reply r;
             r.status = a.status;
@@ -211,65 +212,65 @@
             finish(r);
           });
         };
-        other.node->peer(node_time(other), id, *peer::decode(peer::encode(*call.frame)));
-        return act(peer);
+        other.controller->peer(node_time(other), id, *peer::decode(peer::encode(*call.frame)));
+        return run_controller(peer);
       }
       case ports::Target::worker: {
         if (!host || host->gone || host->dead || !host->up)
           return;
-        if (t_ < host->deaf_until)
-          return void(++run_report_.unheard);
+        if (now_ < host->deaf_until)
+          return void(++run_report_.undelivered);
         const std::string name = host->name;
         auto arrive = [this, name, call, back] {
           WorkerMachine& h = *machines_.at(name);
           if (h.gone || h.dead || !h.up)
             return;
           check_lease(h);
-          const int status = execute(h, call.body, true);
-          back(status, status == 400 ? Value::object() : report_value(h));
+          const int status = execute_commands(h, call.body, true);
+          back(status, status == 400 ? Value::object() : heartbeat_value(h));
         };
-        if (hold_up(*host, call.body))
+        if (delay_command(*host, call.body))
           return;
-        if (t_ < host->hung_until)
-          return at(host->hung_until + 1e-6, arrive);
+        if (now_ < host->hung_until)
+          return add_event(host->hung_until + 1e-6, arrive);
         return arrive();
       }
     }
   });
-  at(t_ + call.timeout_s, [finish, sent] {
+  add_event(now_ + call.timeout_s, [finish, sent] {
     ports::Reply r;
     r.delivered = sent;
     finish(r);
   });
 }
 
-void SimulatedCluster::frame(std::size_t node, const peer::Frame& frame, OnAnswer then) {
-  Controller& c = *controllers_[node];
-  if (!c.node || t_ < c.paused_until)
+void SimulatedCluster::deliver_frame(std::size_t node, const peer::Frame& frame, AnswerCallback then) {
+  SimulatedController& c = *controllers_[node];
+  if (!c.controller || now_ < c.paused_until)
     return;
   const std::uint64_t id = ++c.requests;
-  c.open[id] = std::move(then);
-  c.node->peer(node_time(c), id, *peer::decode(peer::encode(frame)));
-  act(node);
+  c.open_requests[id] = std::move(then);
+  c.controller->peer(node_time(c), id, *peer::decode(peer::encode(frame)));
+  run_controller(node);
 }
 
-void SimulatedCluster::deliver(std::size_t i, controller::IncomingRequest in, OnAnswer then) {
-  if (outside_.deliver)
-    return outside_.deliver(i, std::move(in), std::move(then));
-  Controller& c = *controllers_[i];
-  if (!c.node)
+void SimulatedCluster::deliver(std::size_t i, controller::IncomingRequest in, AnswerCallback then) {
+  if (external_processes_.deliver)
+    return external_processes_.deliver(i, std::move(in), std::move(then));
+  SimulatedController& c = *controllers_[i];
+  if (!c.controller)
     return;
-  if (t_ < c.paused_until) {
-    at(c.paused_until, [this, i, in, then, life = c.life] {
-      if (controllers_[i]->life == life)
+  if (now_ < c.paused_until) {
+    add_event(c.paused_until, [this, i, in, then, life = c.process_number] {
+      if (controllers_[i]->process_number == life)
         deliver(i, in, then);
     });
     return;
   }
   in.id = ++c.requests;
-  c.open[in.id] = std::move(then);
-  c.node->request(node_time(c), in);
-  act(i);
+  c.open_requests[in.id] = std::move(then);
+  c.controller->request(node_time(c), in);
+  run_controller(i);
 }
 
 void SimulatedCluster::restart_with(const std::function<void(settings::Settings&)>& change,
--- a/src/simulation/history.cpp
+++ b/src/simulation/history.cpp
@@ -5,79 +5,81 @@
 
 namespace wingtrail::simulation {
 
-std::size_t SimulatedCluster::undone() const {
+std::size_t SimulatedCluster::unfinished_jobs() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [this](const auto& j) {
     const UserJob& job = *j.second;
-    return job.accepted && job.spec.shape != wire::Shape::service && !job.over() && !hopeless(job);
+    return job.accepted && job.spec.shape != wire::Shape::service && !job.is_done() && !hopeless(job);
   }));
 }
 
-std::size_t SimulatedCluster::held_at_home() const {
+std::size_t SimulatedCluster::startable_here() const {
   const auto i = leader();
   if (!i)
-    return jobs_waiting();
+    return unstarted_jobs();
   std::size_t n = 0;
-  controllers_[*i]->node->registry().for_each([&n](const jobs::Job& job) {
+  controllers_[*i]->controller->registry().for_each([&n](const jobs::Job& job) {
     n += job.is_open() && !job.is_held() && !job.is_service() && job.placed_tasks == 0 && job.done_tasks == 0;
   });
   return n;
 }
 
-std::size_t SimulatedCluster::jobs_over() const {
+std::size_t SimulatedCluster::completed_jobs() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
-    return j.second->accepted && !j.second->want_abort && j.second->over();
+    return j.second->accepted && !j.second->cancellation_wanted && j.second->is_done();
   }));
 }
 
-std::size_t SimulatedCluster::unrecorded_ends() const {
+std::size_t SimulatedCluster::unrecorded_final_states() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [this](const auto& j) {
-    return j.second->accepted && j.second->over() && !store_.contains(jobs::kFinalStatePrefix + j.first);
+    return j.second->accepted && j.second->is_done() && !store_.contains(jobs::kFinalStatePrefix + j.first);
   }));
 }
 
-std::size_t SimulatedCluster::jobs_waiting() const {
+std::size_t SimulatedCluster::unstarted_jobs() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
     const UserJob& job = *j.second;
-    return job.accepted && !job.want_abort && job.begun.empty() && !job.over() &&
+    return job.accepted && !job.cancellation_wanted && job.begun_tasks.empty() && !job.is_done() &&
            job.spec.shape != wire::Shape::service;
   }));
 }
 
-double SimulatedCluster::over_within(const std::string& job_class, double s, double from, double to) const {
+double SimulatedCluster::completed_within_share(const std::string& job_class, double s, double from,
+                                                double to) const {
   double came = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
-    if (job->spec.job_class != job_class || job->came < from || job->came >= to || job->want_abort)
+    if (job->spec.job_class != job_class || job->submitted_at < from || job->submitted_at >= to ||
+        job->cancellation_wanted)
       continue;
     ++came;
-    in_time += job->over_at >= 0 && job->over_at <= job->came + s;
+    in_time += job->done_at >= 0 && job->done_at <= job->submitted_at + s;
   }
   return came > 0 ? in_time / came : 1;
 }
 
-bool SimulatedCluster::over(const std::string& ref) const {
-  return jobs_.at(ref)->over();
+bool SimulatedCluster::is_done(const std::string& ref) const {
+  return jobs_.at(ref)->is_done();
 }
 
-double SimulatedCluster::served(const std::string& team, double older_than) const {
+double SimulatedCluster::served_share(const std::string& team, double older_than) const {
   double came = 0, over = 0;
   for (const auto& [ref, job] : jobs_) {
-    if (job->spec.team != team || job->spec.shape == wire::Shape::service || job->want_abort ||
-        !job->accepted || t_ - job->came < older_than)
+    if (job->spec.team != team || job->spec.shape == wire::Shape::service || job->cancellation_wanted ||
+        !job->accepted || now_ - job->submitted_at < older_than)
       continue;
     ++came;
-    over += job->over();
+    over += job->is_done();
   }
   return came > 0 ? over / came : 1;
 }
 
-double SimulatedCluster::accepted_within(const std::string& job_class, double s, double from,
-                                         double to) const {
+double SimulatedCluster::accepted_within_share(const std::string& job_class, double s, double from,
+                                               double to) const {
   double came = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
-    if (job->spec.job_class != job_class || job->came < from || job->came >= to)
+    if (job->spec.job_class != job_class || job->submitted_at < from || job->submitted_at >= to)
       continue;
     ++came;
-    in_time += job->accepted && job->accepted_at <= job->came + s;
+    in_time += job->accepted && job->accepted_at <= job->submitted_at + s;
   }
   return came > 0 ? in_time / came : 1;
 }
@@ -87,26 +89,26 @@
   for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
-    for (const TaskOn& x : h->tasks)
-      up += x.job && x.job->spec.ref == ref && x.on();
+    for (const WorkerTask& x : h->tasks)
+      up += x.job && x.job->spec.ref == ref && x.occupies_machine();
   }
   return up;
 }
 
-std::size_t SimulatedCluster::machines_in(std::size_t zone) const {
+std::size_t SimulatedCluster::machines_in_zone(std::size_t zone) const {
   std::size_t n = 0;
   for (const auto& [name, h] : machines_)
     n += h->zone == zone && !h->gone && !h->dead;
   return n;
 }
 
-std::size_t SimulatedCluster::slow_and_running(double factor) const {
+std::size_t SimulatedCluster::tasks_on_slow_machines(double factor) const {
   std::size_t n = 0;
   for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead || h->slow < factor)
+    if (h->gone || h->dead || h->slowdown < factor)
       continue;
-    n += static_cast<std::size_t>(
-        std::count_if(h->tasks.begin(), h->tasks.end(), [](const TaskOn& x) { return x.on(); }));
+    n += static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(),
+                                                [](const WorkerTask& x) { return x.occupies_machine(); }));
   }
   return n;
 }
--- a/src/simulation/random_faults.cpp
+++ b/src/simulation/random_faults.cpp
@@ -20,7 +20,7 @@
       return;
     if (h->gone || h->dead || !h->up)
       continue;
-    h->slow = factor;
+    h->slowdown = factor;
     --n;
   }
 }
@@ -51,85 +51,87 @@
 
 // One of the faults that are asked for by name elsewhere (combined_faults.cpp), often beside another.
 void SimulatedCluster::combined_fault() {
-  const double span = between(5, 40);
-  const auto kind = pick(plan_.late_commands ? 15 : 12);
-  const std::size_t i = pick(plan_.nodes), on = leader().value_or(i);
-  spdlog::debug("{:.3f} meeting {} for {:.1f} s", t_, kind, span);
+  const double span = random_between(5, 40);
+  const auto kind = random_index(plan_.late_commands ? 15 : 12);
+  const std::size_t i = random_index(plan_.nodes), on = leader().value_or(i);
+  spdlog::debug("{:.3f} meeting {} for {:.1f} s", now_, kind, span);
   switch (kind) {
     case 0:
     case 1:
-      return late_writes(between(0.1, 0.6), span, kind == 0);
+      return delay_writes(random_between(0.1, 0.6), span, kind == 0);
     case 2:
     case 3:
-      return late_reports(between(0.1, 0.5), span,
-                          kind == 3 ? CopyArrives::after_election : CopyArrives::later);
+      return duplicate_heartbeats_late(
+          random_between(0.1, 0.5), span,
+          kind == 3 ? DuplicateArrival::after_election : DuplicateArrival::later);
     case 4:
-      return void(fail_machines(odds(0.5) ? MachineFault::deaf : MachineFault::mute, 1 + pick(4), span));
+      return void(fail_machines(random_bool(0.5) ? MachineFault::deaf : MachineFault::mute,
+                                1 + random_index(4), span));
     case 5:  // the leader alone, then everybody
-      state_refuses(on, between(3, 15));
-      if (odds(0.5))
-        later(between(0, 8), [this, span] { state_outage(1.5 * span); });
+      refuse_state_service(on, random_between(3, 15));
+      if (random_bool(0.5))
+        add_event_after(random_between(0, 8), [this, span] { state_outage(1.5 * span); });
       return;
     case 6:
-      return cut_node(on, true, true, span, odds(0.5));
+      return cut_node(on, true, true, span, random_bool(0.5));
     case 7:
-      cancel_now(1 + pick(6), odds(0.5) ? between(2, 35) : 0);
-      if (odds(0.5))
-        later(between(0, 3), [this] { crash(leader().value_or(0)); });
+      cancel_running_jobs(1 + random_index(6), random_bool(0.5) ? random_between(2, 35) : 0);
+      if (random_bool(0.5))
+        add_event_after(random_between(0, 3), [this] { crash(leader().value_or(0)); });
       return;
     case 8:
-      return cancel_at_end(0.5, span);
+      return cancel_at_completion(0.5, span);
     case 9:
-      odd_requests(span);
-      return close_looks(span);
+      send_malformed_requests(span);
+      return poll_all_nodes(span);
     case 10:
-      quick_boots(span);
-      return late_writes(between(0.1, 0.5), span, odds(0.5));
+      boot_quickly(span);
+      return delay_writes(random_between(0.1, 0.5), span, random_bool(0.5));
     case 12:
-      return late_commands(between(0.1, 0.6), span);
+      return delay_commands(random_between(0.1, 0.6), span);
     case 13:  // amid all that a new leader has to find out
-      late_reports(between(0.2, 0.8), 2 * span, CopyArrives::at_election);
-      late_commands(between(0.1, 0.6), 2 * span);
-      return later(between(0, span), [this] { crash(leader().value_or(0)); });
+      duplicate_heartbeats_late(random_between(0.2, 0.8), 2 * span, DuplicateArrival::at_election);
+      delay_commands(random_between(0.1, 0.6), 2 * span);
+      return add_event_after(random_between(0, span), [this] { crash(leader().value_or(0)); });
     case 14:
-      late_commands(between(0.2, 0.6), span + 10);
-      fail_machines(MachineFault::hung, 1 + pick(3), span);
-      return later(between(0, 5), [this] { crash(leader().value_or(0)); });
+      delay_commands(random_between(0.2, 0.6), span + 10);
+      fail_machines(MachineFault::hung, 1 + random_index(3), span);
+      return add_event_after(random_between(0, 5), [this] { crash(leader().value_or(0)); });
     default:
-      return slow_links(std::min(span, 15.0));
+      return slow_down_links(std::min(span, 15.0));
   }
 }
 
 void SimulatedCluster::random_fault() {
-  if (t_ > plan_.duration_s)
+  if (now_ > plan_.duration_s)
     return;
-  later(between(0, 2 * plan_.fault_every_s), [this] { random_fault(); });
-  fault_lasts(40);  // what is not said more exactly below
+  add_event_after(random_between(0, 2 * plan_.fault_every_s), [this] { random_fault(); });
+  extend_fault_period(40);  // what is not said more exactly below
   std::vector<WorkerMachine*> live;
   for (auto& [n, h] : machines_) {
     if (!h->gone && !h->dead && h->up)
       live.push_back(h.get());
   }
-  const std::size_t i = pick(plan_.nodes);
-  const bool hold = odds(0.5);
-  const double span = between(1, 25);
-  if (plan_.combined_faults && odds(0.5))
+  const std::size_t i = random_index(plan_.nodes);
+  const bool hold = random_bool(0.5);
+  const double span = random_between(1, 25);
+  if (plan_.combined_faults && random_bool(0.5))
     return combined_fault();
-  const auto kind = pick(plan_.cuts ? 18 : 13);
-  spdlog::debug("{:.3f} trouble {} for {:.1f} s, node {}", t_, kind, span, i);
+  const auto kind = random_index(plan_.cuts ? 18 : 13);
+  spdlog::debug("{:.3f} trouble {} for {:.1f} s, node {}", now_, kind, span, i);
   switch (kind) {
     case 0:
       return crash(i);
     case 1:
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
-        if (odds(0.8))
+        if (random_bool(0.8))
           crash(k);
       }
       return;
     case 2:
       return state_outage(span);
     case 3:
-      return state_refuses(i, span);
+      return refuse_state_service(i, span);
     case 4:
       return cut(node_name(i), "state", span, hold);
     case 5:
@@ -153,30 +155,30 @@
       cut(node_name(i), "users", span, hold);
       return;
     case 8:
-      controllers_[i]->paused_until = t_ + between(0.2, 8);
+      controllers_[i]->paused_until = now_ + random_between(0.2, 8);
       return;
     case 9:
-      cloud_down_until_ = t_ + span;
+      cloud_down_until_ = now_ + span;
       return;
     case 10:
-      no_capacity_until_ = t_ + span;
+      no_capacity_until_ = now_ + span;
       return;
     case 13:
     case 14:
-      return cut_zone(pick(plan_.zones), between(2, 90), hold);
+      return cut_zone(random_index(plan_.zone_tracking), random_between(2, 90), hold);
     case 15:
-      return state_outage(between(5, 50));
+      return state_outage(random_between(5, 50));
     case 16:
-      controllers_[i]->paused_until = t_ + between(5, 40);
+      controllers_[i]->paused_until = now_ + random_between(5, 40);
       return;
     case 17:
-      if (odds(0.5)) {
-        state_slow_until_ = t_ + span;
+      if (random_bool(0.5)) {
+        state_slow_until_ = now_ + span;
         return;
       }
       for (WorkerMachine* h : live) {
-        if (odds(0.5))
-          h->hung_until = t_ + span * between(0.9, 1.1);
+        if (random_bool(0.5))
+          h->hung_until = now_ + span * random_between(0.9, 1.1);
       }
       return;
     default:
@@ -184,22 +186,22 @@
   }
   if (live.empty())
     return;
-  WorkerMachine& h = *live[pick(live.size())];
-  const auto harm = pick(5);
-  spdlog::debug("{:.3f} {}: trouble {}", t_, h.name, harm);
+  WorkerMachine& h = *live[random_index(live.size())];
+  const auto harm = random_index(5);
+  spdlog::debug("{:.3f} {}: trouble {}", now_, h.name, harm);
   switch (harm) {
     case 0:
-      h.hung_until = t_ + between(1, 35);
+      h.hung_until = now_ + random_between(1, 35);
       return;
     case 1:
       h.dead = true;
       h.tasks.clear();
       return;
     case 2:
-      h.sick = true;
+      h.fails_tasks = true;
       return;
     case 3:
-      h.slow = 3;
+      h.slowdown = 3;
       return;
     default:
       for (std::size_t k = 0; k < plan_.nodes; ++k)
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -9,32 +9,32 @@
 namespace wingtrail::simulation {
 
 // What the leader takes for used on a machine is what its tasks there need, once no move is under way.
-void SimulatedCluster::check_rooms() {
+void SimulatedCluster::check_capacity() {
   for (const auto& c : controllers_) {
-    if (!c->node || !c->node->is_active_leader())
+    if (!c->controller || !c->controller->is_active_leader())
       continue;
-    const controller::Stats stats = c->node->stats();
+    const controller::Stats stats = c->controller->stats();
     if (stats.moves_begun > stats.moves_done + stats.moves_failed)
       continue;
-    for (const workers::Machine& m : c->node->workers().machines()) {
+    for (const workers::Machine& m : c->controller->workers().machines()) {
       if (m.gone)
         continue;
       double cpus = 0;
       for (const workers::Allocation& s : m.allocations)
         cpus += s.occupies_machine && !s.stops_immediately() ? s.resources.cpus : 0;
       if (std::abs(cpus - m.used.cpus) > 1e-6)
-        broke("room",
-              m.host + ": " + std::to_string(m.used.cpus) + " used, " + std::to_string(cpus) + " held");
+        report_violation(
+            "room", m.host + ": " + std::to_string(m.used.cpus) + " used, " + std::to_string(cpus) + " held");
     }
   }
 }
 
-SimulatedCluster::UserJob* SimulatedCluster::described(const std::string& ref) {
+SimulatedCluster::UserJob* SimulatedCluster::find_job_in_any_cell(const std::string& ref) {
   if (const auto job = jobs_.find(ref); job != jobs_.end())
     return job->second.get();
-  if (!reach_)
+  if (!cell_network_)
     return nullptr;
-  for (SimulatedCluster* other : reach_->cells) {
+  for (SimulatedCluster* other : cell_network_->cells) {
     if (const auto job = other->jobs_.find(ref); job != other->jobs_.end())
       return job->second.get();
   }
@@ -42,32 +42,32 @@
 }
 
 // A job has one holder among cells: nothing of it is on a machine of another.
-void SimulatedCluster::check_other_cells(const TaskOn& task, const UserJob& job) {
-  if (!reach_)
+void SimulatedCluster::check_other_cells(const WorkerTask& task, const UserJob& job) {
+  if (!cell_network_)
     return;
-  run_report_.guests_started += !jobs_.contains(job.spec.ref);
-  for (SimulatedCluster* other : reach_->cells) {
+  run_report_.remote_tasks_started += !jobs_.contains(job.spec.ref);
+  for (SimulatedCluster* other : cell_network_->cells) {
     if (other == this)
       continue;
     for (const auto& [name, h] : other->machines_) {
-      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+      if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
         continue;
-      for (const TaskOn& x : h->tasks) {
-        if (x.job != &job || !x.on())
+      for (const WorkerTask& x : h->tasks) {
+        if (x.job != &job || !x.occupies_machine())
           continue;
-        broke(x.index == task.index ? "ran_twice" : "two_holders",
-              task.name + " begins in " + settings_.cells.name + ", " + x.name + " is on " + name + " of " +
-                  other->settings_.cells.name);
+        report_violation(x.index == task.index ? "ran_twice" : "two_holders",
+                         task.name + " begins in " + settings_.cells.name + ", " + x.name + " is on " + name +
+                             " of " + other->settings_.cells.name);
       }
     }
   }
 }
 
-void SimulatedCluster::check_start(WorkerMachine& h, TaskOn& task, UserJob& job) {
+void SimulatedCluster::check_start(WorkerMachine& h, WorkerTask& task, UserJob& job) {
   ++run_report_.started;
   if (job.began_at < 0)
-    job.began_at = t_;
-  run_report_.started_again += !job.begun.insert(task.index).second;
+    job.began_at = now_;
+  run_report_.started_again += !job.begun_tasks.insert(task.index).second;
   check_after_done(task, job);
   check_other_cells(task, job);
   const wire::JobSpec& s = job.spec;
@@ -77,10 +77,10 @@
     if (other->gone || other->dead)
       continue;
     // Beyond its lease a hanging worker's tasks are over: it kills them before it does anything else.
-    if ((t_ - other->lease_from) * other->rate > kLease)
+    if ((now_ - other->lease_renewed_at) * other->clock_rate > kWorkerLease)
       continue;
-    for (const TaskOn& x : other->tasks) {
-      if (!x.on())
+    for (const WorkerTask& x : other->tasks) {
+      if (!x.occupies_machine())
         continue;
       if (x.job->spec.team == s.team)
         team += x.job->spec.task_resources.cpus;
@@ -89,171 +89,174 @@
       if (&x == &task)
         continue;
       if (x.index == task.index)
-        broke("ran_twice", task.name + " on " + h.name + " and on " + name);
+        report_violation("ran_twice", task.name + " on " + h.name + " and on " + name);
       ++zones[other->zone];
     }
   }
   for (const auto& t : settings_.teams) {
     if (t.name == s.team && t.cpus_max > 0 && team > t.cpus_max + 1e-6) {
-      broke("quota", s.team + " uses " + std::to_string(team));
+      report_violation("quota", s.team + " uses " + std::to_string(team));
     }
   }
   if (h.spot && !s.allows_spot)
-    broke("wrong_place", task.name + " on spot");
+    report_violation("wrong_place", task.name + " on spot");
   if (s.zone && *s.zone != settings_.zones[h.zone])
-    broke("wrong_place", task.name + " in a zone it may not be in");
+    report_violation("wrong_place", task.name + " in a zone it may not be in");
   if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end()) {
-    broke("wrong_place", task.name + " on a type it may not be on");
+    report_violation("wrong_place", task.name + " on a type it may not be on");
   }
   if (s.spread_zones && zones[h.zone] + 1 > static_cast<int>((s.tasks + 1) / 2))
-    broke("wrong_place", task.name + " spread");
+    report_violation("wrong_place", task.name + " spread");
   if (s.same_zone) {
     for (const auto& [zone, n] : zones) {
       if (zone != h.zone && n > 0)
-        broke("wrong_place", task.name + " away from its zone");
+        report_violation("wrong_place", task.name + " away from its zone");
     }
   }
-  if (job.doomed_at >= 0 && t_ > job.doomed_at + kCancel)
-    broke("ran_cancelled", task.name + " started");
+  if (job.doomed_since >= 0 && now_ > job.doomed_since + kCancellationLimit)
+    report_violation("ran_cancelled", task.name + " started");
   // From the answer on nothing of it may start, however soon.
-  if (job.told_cancelled >= 0)
-    broke("started_cancelled", task.name + " on " + h.name);
-  for (const UserJob* need : job.needs) {
-    if (!need->over())
-      broke("too_early", task.name + " before " + need->spec.ref);
+  if (job.told_cancelled_at >= 0)
+    report_violation("started_cancelled", task.name + " on " + h.name);
+  for (const UserJob* need : job.dependencies) {
+    if (!need->is_done())
+      report_violation("too_early", task.name + " before " + need->spec.ref);
   }
 }
 
 // Whatever a leader decides next may start what is free to start, so this fails before `ran_twice` does.
 void SimulatedCluster::check_free_to_start() {
-  if (t_ < free_checked_at_ + kFreeCheckEvery)
+  if (now_ < free_to_start_checked_at_ + kFreeCheckEvery)
     return;
-  free_checked_at_ = t_;
+  free_to_start_checked_at_ = now_;
   for (const auto& c : controllers_) {
-    if (!c->node || !c->node->is_active_leader() || node_time(*c) >= c->node->leader_lease_expires_at())
+    if (!c->controller || !c->controller->is_active_leader() ||
+        node_time(*c) >= c->controller->leader_lease_expires_at())
       continue;
     for (const auto& [name, h] : machines_) {
-      if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+      if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
         continue;
-      for (const TaskOn& x : h->tasks) {
+      for (const WorkerTask& x : h->tasks) {
         if (!x.job || x.phase == "exited")
           continue;
-        const jobs::Job* job = c->node->registry().find(x.job->spec.ref);
+        const jobs::Job* job = c->controller->registry().find(x.job->spec.ref);
         if (!job || x.index >= job->tasks.size() || job->tasks[x.index].state != jobs::TaskState::pending)
           continue;
-        if (c->node->scheduler().filters().admits(*job))
-          return broke("free_to_start", x.name + " is on " + name);
+        if (c->controller->scheduler().filters().admits(*job))
+          return report_violation("free_to_start", x.name + " is on " + name);
       }
     }
   }
 }
 
-void SimulatedCluster::done_heard(WorkerMachine& h, const Value& report, const ports::Answer& answer) {
+void SimulatedCluster::record_done_seen(WorkerMachine& h, const Value& report, const ports::Answer& answer) {
   const std::uint64_t token = wire::count(answer.body, "mandate").value_or(0);
   for (const Value& shown : report["shards"]) {
     if (!shown.contains("cause") || shown["cause"] != "done")
       continue;
     const auto parsed = wire::parse_task_name(shown["shard"].get<std::string>());
-    UserJob* job = parsed ? described(parsed->ref) : nullptr;
-    if (!job || !job->done_heard.emplace(parsed->task, token).second)
+    UserJob* job = parsed ? find_job_in_any_cell(parsed->ref) : nullptr;
+    if (!job || !job->done_seen_by_token.emplace(parsed->task, token).second)
       continue;
-    if (plan_.sabotage == "again_after_done") {
+    if (plan_.planted_fault == "again_after_done") {
       const std::uint64_t attempt = shown["try"].get<std::uint64_t>() + (std::uint64_t{1} << 20);
-      order(h, {{"verb", "start"}, {"shard", shown["shard"]}, {"try", attempt}});
+      execute_command(h, {{"verb", "start"}, {"shard", shown["shard"]}, {"try", attempt}});
     }
   }
 }
 
 // A leader never starts what it was told is done. A later one may, if the result was not recorded before the
 // earlier one ended.
-void SimulatedCluster::check_after_done(const TaskOn& task, const UserJob& job) {
-  const auto heard = job.done_heard.find(task.index);
-  if (heard == job.done_heard.end())
+void SimulatedCluster::check_after_done(const WorkerTask& task, const UserJob& job) {
+  const auto heard = job.done_seen_by_token.find(task.index);
+  if (heard == job.done_seen_by_token.end())
     return;
   ++run_report_.again_after_done;
   const std::uint64_t started_by =
       (task.attempt & ~delegation::kStrictCancellationFlag) >> delegation::kFencingTokenShift;
   if (started_by == heard->second)
-    broke("again_after_done",
-          task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
+    report_violation("again_after_done",
+                     task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
 }
 
 void SimulatedCluster::check_cancelled() {
   check_free_to_start();
   // A walk over all machines after each step would be most of a large world's time; what it looks for lasts.
-  if (plan_.machines > 100 && t_ < checked_at_ + 0.5)
+  if (plan_.machines > 100 && now_ < checked_at_ + 0.5)
     return;
-  checked_at_ = t_;
+  checked_at_ = now_;
   // What waits for others takes nothing: neither room nor a part of its team's limit.
   for (auto& c : controllers_) {
-    if (!c->node || !c->node->is_active_leader() || !plan_.chains)
+    if (!c->controller || !c->controller->is_active_leader() || !plan_.dependencies)
       continue;
-    c->node->registry().for_each([this](const jobs::Job& job) {
-      const UserJob& real = *described(job.spec.ref);
-      const bool waits =
-          std::any_of(real.needs.begin(), real.needs.end(), [](const UserJob* n) { return !n->over(); });
+    c->controller->registry().for_each([this](const jobs::Job& job) {
+      const UserJob& real = *find_job_in_any_cell(job.spec.ref);
+      const bool waits = std::any_of(real.dependencies.begin(), real.dependencies.end(),
+                                     [](const UserJob* n) { return !n->is_done(); });
       if (waits && job.placed_tasks > 0)
-        broke("waiting_placed", job.spec.ref);
+        report_violation("waiting_placed", job.spec.ref);
     });
   }
   for (auto& [name, h] : machines_) {
-    if (h->gone || h->dead || (t_ - h->lease_from) * h->rate > kLease)
+    if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
       continue;
-    for (const TaskOn& x : h->tasks) {
-      if (x.on() && x.job->doomed_at >= 0 && t_ > x.job->doomed_at + kCancel) {
-        return broke("ran_cancelled", x.name + " on " + name);
+    for (const WorkerTask& x : h->tasks) {
+      if (x.occupies_machine() && x.job->doomed_since >= 0 &&
+          now_ > x.job->doomed_since + kCancellationLimit) {
+        return report_violation("ran_cancelled", x.name + " on " + name);
       }
     }
   }
 }
 
 // From when it and all that need it are cancelled, as far as their users know.
-void SimulatedCluster::doom(UserJob& job, double since) {
+void SimulatedCluster::mark_doomed(UserJob& job, double since) {
   // One that is still being submitted is accepted all the same, and counts from then (seed 700681: it took
   // its user 40 s of retries).
-  if (job.doomed_at >= 0 || !job.accepted)
+  if (job.doomed_since >= 0 || !job.accepted)
     return;
-  job.doomed_at = since;
-  for (UserJob* next : job.needed_by)
-    doom(*next, since);
+  job.doomed_since = since;
+  for (UserJob* next : job.dependents)
+    mark_doomed(*next, since);
 }
 
 bool SimulatedCluster::may_be_cancelled(const UserJob& job) const {
-  if (job.told_done || (job.over() && job.spec.shape != wire::Shape::service && !job.want_abort))
+  if (job.told_done || (job.is_done() && job.spec.shape != wire::Shape::service && !job.cancellation_wanted))
     return false;
-  return job.want_abort || std::any_of(job.needs.begin(), job.needs.end(),
-                                       [this](const UserJob* n) { return may_be_cancelled(*n); });
+  return job.cancellation_wanted || std::any_of(job.dependencies.begin(), job.dependencies.end(),
+                                                [this](const UserJob* n) { return may_be_cancelled(*n); });
 }
 
 // Neither done nor bound to be: cancelled, submitted with a mistake, or in need of one that is.
 bool SimulatedCluster::hopeless(const UserJob& job) const {
-  if (job.bad || job.told_cancelled >= 0 || job.doomed_at >= 0)
+  if (job.always_fails || job.told_cancelled_at >= 0 || job.doomed_since >= 0)
     return true;
-  return std::any_of(job.needs.begin(), job.needs.end(),
-                     [this](const UserJob* n) { return !n->over() && (n->want_abort || hopeless(*n)); });
+  return std::any_of(job.dependencies.begin(), job.dependencies.end(), [this](const UserJob* n) {
+    return !n->is_done() && (n->cancellation_wanted || hopeless(*n));
+  });
 }
 
-void SimulatedCluster::fault_lasts(double for_s) {
-  faults_until_ = std::max(faults_until_, t_ + for_s);
+void SimulatedCluster::extend_fault_period(double for_s) {
+  faults_until_ = std::max(faults_until_, now_ + for_s);
 }
 
-double SimulatedCluster::calm_at() const {
+double SimulatedCluster::faults_end_at() const {
   return std::max(faults_until_, plan_.fault_every_s > 0 ? plan_.duration_s : 0.0);
 }
 
-void SimulatedCluster::asked() {
-  asked_at_.push_back(t_);
+void SimulatedCluster::record_question() {
+  asked_at_.push_back(now_);
 }
 
-void SimulatedCluster::answered(UserJob& job) {
-  job.answered_at = t_;
-  answered_at_.push_back(t_);
+void SimulatedCluster::record_answer(UserJob& job) {
+  job.answered_at = now_;
+  answered_at_.push_back(now_);
 }
 
 // Of the questions within the time after which a job counts as forgotten.
 bool SimulatedCluster::most_are_answered() {
   for (auto* times : {&asked_at_, &answered_at_}) {
-    while (!times->empty() && times->front() < t_ - kForgotten)
+    while (!times->empty() && times->front() < now_ - kForgottenLimit)
       times->pop_front();
   }
   return 2 * answered_at_.size() > asked_at_.size();
@@ -261,32 +264,33 @@
 
 // Faults being over, an accepted job about which nobody gets an answer counts as forgotten.
 void SimulatedCluster::check_answered(UserJob& job) {
-  if (!job.accepted || job.told_done || job.told_cancelled >= 0)
+  if (!job.accepted || job.told_done || job.told_cancelled_at >= 0)
     return;
-  const double spell = t_ - std::max({job.answered_at, job.accepted_at, calm_at()});
+  const double spell = now_ - std::max({job.answered_at, job.accepted_at, faults_end_at()});
   run_report_.longest_unanswered = std::max(run_report_.longest_unanswered, spell);
-  if (spell > kUnanswered)
-    broke("unanswered", job.spec.ref + ": no answer for " + std::to_string(spell) + " s, all being calm");
-  const double silence = t_ - std::max(job.answered_at, job.accepted_at);
+  if (spell > kUnansweredLimit)
+    report_violation("unanswered",
+                     job.spec.ref + ": no answer for " + std::to_string(spell) + " s, all being calm");
+  const double silence = now_ - std::max(job.answered_at, job.accepted_at);
   if (silence <= run_report_.longest_unanswered_alone || !most_are_answered())
     return;
   run_report_.longest_unanswered_alone = silence;
-  if (silence > kUnanswered)
-    spdlog::debug("{:.3f} {}: no answer for {:.1f} s, others have theirs", t_, job.spec.ref, silence);
-  if (silence > kForgotten)
-    broke("forgotten",
-          job.spec.ref + ": no answer for " + std::to_string(silence) + " s, others have theirs");
+  if (silence > kUnansweredLimit)
+    spdlog::debug("{:.3f} {}: no answer for {:.1f} s, others have theirs", now_, job.spec.ref, silence);
+  if (silence > kForgottenLimit)
+    report_violation("forgotten",
+                     job.spec.ref + ": no answer for " + std::to_string(silence) + " s, others have theirs");
 }
 
 // Whether a sound machine has room for one more task of the job, and its team's limit too.
-bool SimulatedCluster::room_beside(const UserJob& job) const {
+bool SimulatedCluster::has_capacity_beside(const UserJob& job) const {
   const wire::JobSpec& s = job.spec;
   double team = 0;
   std::map<std::size_t, std::uint32_t> zones;
   for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
-    for (const TaskOn& x : h->tasks) {
+    for (const WorkerTask& x : h->tasks) {
       if (x.phase == "exited" || !x.job)
         continue;
       if (x.job->spec.team == s.team)
@@ -300,8 +304,8 @@
   }
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const WorkerMachine& h = *entry.second;
-    if (h.gone || h.dead || !h.up || h.sick || h.slow > 1 ||
-        t_ < std::max({h.hung_until, h.deaf_until, h.mute_until}))
+    if (h.gone || h.dead || !h.up || h.fails_tasks || h.slowdown > 1 ||
+        now_ < std::max({h.hung_until, h.deaf_until, h.mute_until}))
       return false;
     if ((h.spot && !s.allows_spot) || (s.zone && *s.zone != settings_.zones[h.zone]))
       return false;
@@ -314,7 +318,7 @@
                                    [&h](const auto& z) { return z.second > 0 && z.first != h.zone; }))
       return false;
     double cpus = s.task_resources.cpus, memory = s.task_resources.memory_gb;
-    for (const TaskOn& x : h.tasks) {
+    for (const WorkerTask& x : h.tasks) {
       if (x.phase == "exited" || !x.job)
         continue;
       cpus += x.job->spec.task_resources.cpus;
@@ -327,36 +331,37 @@
 // Faults being over, nothing waits for long beside room for it. Gangs need room for all, and what fails
 // everywhere backs off.
 void SimulatedCluster::check_waiting() {
-  later(5, [this] { check_waiting(); });
-  if (t_ < calm_at())
+  add_event_after(5, [this] { check_waiting(); });
+  if (now_ < faults_end_at())
     return;
   std::map<const UserJob*, std::set<std::uint32_t>> on_machines;
   for (const auto& [name, h] : machines_) {
     if (h->gone || h->dead)
       continue;
-    for (const TaskOn& x : h->tasks) {
+    for (const WorkerTask& x : h->tasks) {
       if (x.job && x.phase != "exited")
         on_machines[x.job].insert(x.index);
     }
   }
   for (auto& [ref, job] : jobs_) {
     UserJob& j = *job;
-    std::set<std::uint32_t> there = j.done;
+    std::set<std::uint32_t> there = j.done_tasks;
     if (const auto found = on_machines.find(&j); found != on_machines.end())
       there.insert(found->second.begin(), found->second.end());
-    const bool waits =
-        j.accepted && !j.want_abort && !j.bad && j.spec.shape != wire::Shape::gang && !hopeless(j) &&
-        there.size() < j.spec.tasks &&
-        std::all_of(j.needs.begin(), j.needs.end(), [](const UserJob* n) { return n->over(); });
-    if (!waits || !room_beside(j)) {
-      j.beside_room_since = -1;
+    const bool waits = j.accepted && !j.cancellation_wanted && !j.always_fails &&
+                       j.spec.shape != wire::Shape::gang && !hopeless(j) && there.size() < j.spec.tasks &&
+                       std::all_of(j.dependencies.begin(), j.dependencies.end(),
+                                   [](const UserJob* n) { return n->is_done(); });
+    if (!waits || !has_capacity_beside(j)) {
+      j.waiting_beside_capacity_since = -1;
       continue;
     }
-    if (j.beside_room_since < 0)
-      j.beside_room_since = t_;
-    if (t_ - j.beside_room_since > run_report_.longest_beside_room)
-      spdlog::debug("{:.3f} {} waits beside room since {:.1f}", t_, ref, j.beside_room_since);
-    run_report_.longest_beside_room = std::max(run_report_.longest_beside_room, t_ - j.beside_room_since);
+    if (j.waiting_beside_capacity_since < 0)
+      j.waiting_beside_capacity_since = now_;
+    if (now_ - j.waiting_beside_capacity_since > run_report_.longest_wait_beside_capacity)
+      spdlog::debug("{:.3f} {} waits beside room since {:.1f}", now_, ref, j.waiting_beside_capacity_since);
+    run_report_.longest_wait_beside_capacity =
+        std::max(run_report_.longest_wait_beside_capacity, now_ - j.waiting_beside_capacity_since);
   }
 }
 
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -7,26 +7,26 @@
 
 namespace wingtrail::simulation {
 
-Plan plan_of(std::uint64_t seed) {
-  Plan plan;
+SimulationPlan plan_of(std::uint64_t seed) {
+  SimulationPlan plan;
   plan.seed = seed;
-  plan.limits = seed % 4 != 0;
-  plan.chains = seed % 2 != 0;
+  plan.budget_limits = seed % 4 != 0;
+  plan.dependencies = seed % 2 != 0;
   // Stage after stage on a machine that is three times slower takes longer than any one job (seed 21279).
-  if (plan.chains)
+  if (plan.dependencies)
     plan.settle_s = 1500;
   plan.upgrade = seed % 3 == 0;
   plan.cuts = seed % 5 < 2;
-  plan.spread = seed / 2 % 2 == 0;
-  plan.lives = seed / 3 % 2 == 0;
-  plan.agreed = seed / 4 % 2 == 0;
-  if (plan.agreed)
-    plan.custody_leases = 4;
+  plan.load_balancing = seed / 2 % 2 == 0;
+  plan.short_lived_processes = seed / 3 % 2 == 0;
+  plan.peer_agreement = seed / 4 % 2 == 0;
+  if (plan.peer_agreement)
+    plan.delegation_leases = 4;
   if (seed % 7 < 3)
     plan.back_from = 0.05, plan.back_to = 0.3;
   if (seed % 6 == 1)
-    plan.zones = 3;
-  plan.admission = seed / 5 % 2 == 0;
+    plan.zone_tracking = 3;
+  plan.fair_admission = seed / 5 % 2 == 0;
   plan.combined_faults = seed >= 1'000'000;
   plan.late_commands = seed >= 2'000'000;
   // A team's limit lets large tasks through a few at a time (seed 2000174: 102 of them, 12 at a time).
@@ -35,14 +35,15 @@
   return plan;
 }
 
-SimulatedCluster::SimulatedCluster(Plan plan, Outside outside)
-    : plan_(std::move(plan)), outside_(std::move(outside)), rng_(plan_.seed) {
-  for (std::size_t z = 0; z < plan_.zones; ++z)
+SimulatedCluster::SimulatedCluster(SimulationPlan plan, ExternalProcesses outside)
+    : plan_(std::move(plan)), external_processes_(std::move(outside)), rng_(plan_.seed) {
+  for (std::size_t z = 0; z < plan_.zone_tracking; ++z)
     settings_.zones.push_back(std::string("z").append(std::to_string(z)));
-  settings_.teams = {{"red", 32, plan_.limits ? 64.0 : 0, 0, 0}, {"blue", 16, plan_.limits ? 48.0 : 0, 0, 0}};
-  settings_.heartbeat_interval_s = kReport;
-  settings_.worker_lease_s = kLease;
-  settings_.cancellation_limit_s = kCancel;
+  settings_.teams = {{"red", 32, plan_.budget_limits ? 64.0 : 0, 0, 0},
+                     {"blue", 16, plan_.budget_limits ? 48.0 : 0, 0, 0}};
+  settings_.heartbeat_interval_s = kHeartbeatInterval;
+  settings_.worker_lease_s = kWorkerLease;
+  settings_.cancellation_limit_s = kCancellationLimit;
   settings_.state_requests_per_s = 150;
   settings_.state_writes_per_s = 60;
   settings_.cloud_list_lag_s = 3;
@@ -52,11 +53,11 @@
   wire::MachineType b{"small", 8, 0, 32, 50, 1.0, 0.6, 0.2, 8, settings_.zones};
   settings_.tunables.headroom = plan_.headroom;
   settings_.tunables.begin_within_s = plan_.begin_within_s;
-  settings_.tunables.load_balancing = plan_.spread;
-  settings_.tunables.zone_tracking = plan_.lives;
-  settings_.tunables.fair_admission = plan_.admission;
-  settings_.tunables.peer_agreement = plan_.agreed;
-  settings_.tunables.delegation_leases = plan_.custody_leases;
+  settings_.tunables.load_balancing = plan_.load_balancing;
+  settings_.tunables.zone_tracking = plan_.short_lived_processes;
+  settings_.tunables.fair_admission = plan_.fair_admission;
+  settings_.tunables.peer_agreement = plan_.peer_agreement;
+  settings_.tunables.delegation_leases = plan_.delegation_leases;
   settings_.objectives = plan_.objectives;
   if (plan_.cells > 1) {
     settings_.cells.name = std::string("c").append(std::to_string(plan_.cell));
@@ -71,8 +72,8 @@
   catalog_ = {a, b};
   zone_cuts_.resize(settings_.zones.size());
   for (std::size_t i = 0; i < plan_.nodes; ++i) {
-    controllers_.push_back(std::make_unique<Controller>());
-    controllers_[i]->rate = 1 + between(-0.0005, 0.0005);
+    controllers_.push_back(std::make_unique<SimulatedController>());
+    controllers_[i]->clock_rate = 1 + random_between(-0.0005, 0.0005);
   }
   if (plan_.machines > 100) {  // budgets as of a large deployment
     settings_.max_connections = 2 * plan_.machines;
@@ -80,24 +81,25 @@
   }
   if (plan_.write_rps > 0)
     settings_.state_writes_per_s = plan_.write_rps;
-  former_ = settings_;
+  settings_before_upgrade_ = settings_;
   if (plan_.upgrade) {
     settings_.state_value_kb = 2;
     settings_.max_transaction_changes = 4;
     settings_.state_writes_per_s *= 0.7;
     for (auto& c : controllers_)
-      c->former = true;
-    former_.tunables.fair_admission = 0;  // of a version that does not know them
+      c->runs_former_version = true;
+    settings_before_upgrade_.tunables.fair_admission = 0;  // of a version that does not know them
   }
-  state_level_ = settings_.state_requests_per_s, write_level_ = former_.state_writes_per_s;
+  state_level_ = settings_.state_requests_per_s, write_level_ = settings_before_upgrade_.state_writes_per_s;
   for (int i = 0; i < plan_.machines; ++i)
-    add_host(static_cast<std::size_t>(i % 2), static_cast<std::size_t>(i / 2) % plan_.zones, false, 0);
+    add_machine(static_cast<std::size_t>(i % 2), static_cast<std::size_t>(i / 2) % plan_.zone_tracking, false,
+                0);
 }
 
 SimulatedCluster::~SimulatedCluster() = default;
 
-void SimulatedCluster::at(double when, std::function<void()> fn) {
-  events_.emplace(std::max(when, t_), std::move(fn));
+void SimulatedCluster::add_event(double when, std::function<void()> fn) {
+  events_.emplace(std::max(when, now_), std::move(fn));
 }
 
 RunReport SimulatedCluster::run() {
@@ -108,55 +110,56 @@
 
 void SimulatedCluster::begin() {
   for (std::size_t i = 0; i < plan_.nodes; ++i)
-    at(between(0, 0.2), [this, i] { boot(i); });
-  if (!plan_.script)
-    at(1, [this] { submit_some(); });
+    add_event(random_between(0, 0.2), [this, i] { boot(i); });
+  if (!plan_.scripted)
+    add_event(1, [this] { schedule_submissions(); });
   if (plan_.fault_every_s > 0)
-    at(plan_.fault_every_s, [this] { random_fault(); });
-  at(0, [this] { keep_listing(); });
-  at(0, [this] { check_waiting(); });
+    add_event(plan_.fault_every_s, [this] { random_fault(); });
+  add_event(0, [this] { keep_listing(); });
+  add_event(0, [this] { check_waiting(); });
   if (!plan_.upgrade)
     return;
   // One after the other, whatever else goes on; a node that dies before its turn comes back as it was.
-  double when = between(15, 60);
-  for (std::size_t i = 0; i < plan_.nodes; ++i, when += between(4, 20)) {
-    at(when, [this, i] {
-      controllers_[i]->former = false;
-      if (controllers_[i]->node || outside_.crash)
+  double when = random_between(15, 60);
+  for (std::size_t i = 0; i < plan_.nodes; ++i, when += random_between(4, 20)) {
+    add_event(when, [this, i] {
+      controllers_[i]->runs_former_version = false;
+      if (controllers_[i]->controller || external_processes_.crash)
         crash(i);
     });
   }
-  if (outside_.boot)
-    chains_from_ = when;
-  at(when + between(0, 40), [this] {
-    spdlog::debug("{:.3f} the state service lowers its limits", t_);
-    lowered_ = true;
+  if (external_processes_.boot)
+    dependencies_from_ = when;
+  add_event(when + random_between(0, 40), [this] {
+    spdlog::debug("{:.3f} the state service lowers its limits", now_);
+    limits_lowered_ = true;
   });
 }
 
 void SimulatedCluster::step(double until) {
-  while (!events_.empty() && events_.begin()->first < until && run_report_.broken.empty()) {
+  while (!events_.empty() && events_.begin()->first < until && run_report_.broken_rules.empty()) {
     auto node = events_.extract(events_.begin());
-    t_ = node.key();
+    now_ = node.key();
     node.mapped()();
     expire_leases();
     check_cancelled();
   }
-  if (outside_.deliver)
-    t_ = std::max(t_, until);
+  if (external_processes_.deliver)
+    now_ = std::max(now_, until);
 }
 
 const RunReport& SimulatedCluster::close() {
-  check_rooms();
+  check_capacity();
   for (auto& [ref, job] : jobs_) {
-    if (!job->accepted || job->spec.shape == wire::Shape::service || job->over() || hopeless(*job))
+    if (!job->accepted || job->spec.shape == wire::Shape::service || job->is_done() || hopeless(*job))
       continue;
     ++run_report_.unfinished;
-    spdlog::debug("unfinished: {} {} of {}: {}", ref, job->done.size(), job->spec.tasks, job->body.dump());
+    spdlog::debug("unfinished: {} {} of {}: {}", ref, job->done_tasks.size(), job->spec.tasks,
+                  job->body.dump());
     for (auto& c : controllers_) {
-      if (!c->node || !c->node->is_active_leader())
+      if (!c->controller || !c->controller->is_active_leader())
         continue;
-      jobs::Job* known = c->node->registry().find(ref);
+      jobs::Job* known = c->controller->registry().find(ref);
       spdlog::debug("  leader: known {}, pending {}, placed {}, failed on {} machines", known != nullptr,
                     known ? known->pending_tasks.size() : 0, known ? known->placed_tasks : 0,
                     known ? known->failed_machines.size() : 0);
@@ -164,7 +167,7 @@
         spdlog::debug("  unmet {}, orphan {}, closing {}, away {}, aborting {}, not before {:.1f} s",
                       known->unmet_dependencies, known->orphaned, known->final_state_pending,
                       known->placed_remotely, known->cancelling, known->not_before - node_time(*c));
-      for (auto& m : c->node->workers().machines()) {
+      for (auto& m : c->controller->workers().machines()) {
         if (m.gone)
           continue;
         spdlog::debug(
@@ -173,7 +176,7 @@
             "draining {} returning {} may_start {}",
             m.host, m.type, m.zone, m.spot, m.used.cpus, m.cpus, m.has_incarnation, m.fenced, m.in_inventory,
             static_cast<int>(m.health), m.unsized_allocations, m.draining, m.being_returned,
-            c->node->workers().accepts_tasks(m));
+            c->controller->workers().accepts_tasks(m));
       }
     }
   }
@@ -182,31 +185,31 @@
 
 std::optional<controller::Stats> SimulatedCluster::leader_stats() const {
   for (const auto& c : controllers_) {
-    if (c->node && c->node->is_active_leader())
-      return c->node->stats();
+    if (c->controller && c->controller->is_active_leader())
+      return c->controller->stats();
   }
   return std::nullopt;
 }
 
-void SimulatedCluster::broke(const std::string& rule, const std::string& how) {
-  run_report_.broken.push_back(rule + " at " + std::to_string(t_) + " (seed " + std::to_string(plan_.seed) +
-                               "): " + how);
+void SimulatedCluster::report_violation(const std::string& rule, const std::string& how) {
+  run_report_.broken_rules.push_back(rule + " at " + std::to_string(now_) + " (seed " +
+                                     std::to_string(plan_.seed) + "): " + how);
 }
 
 std::optional<std::size_t> SimulatedCluster::leader() const {
   for (std::size_t i = 0; i < controllers_.size(); ++i) {
-    if (controllers_[i]->node && controllers_[i]->node->is_active_leader())
+    if (controllers_[i]->controller && controllers_[i]->controller->is_active_leader())
       return i;
   }
   return std::nullopt;
 }
 
-bool SimulatedCluster::former(std::size_t node) const {
-  return controllers_[node]->former;
+bool SimulatedCluster::runs_former_version(std::size_t node) const {
+  return controllers_[node]->runs_former_version;
 }
 
-double SimulatedCluster::node_time(const Controller& c) const {
-  return 1000 + t_ * c.rate;
+double SimulatedCluster::node_time(const SimulatedController& c) const {
+  return 1000 + now_ * c.clock_rate;
 }
 
 }  // namespace wingtrail::simulation
--- a/src/simulation/state_service.cpp
+++ b/src/simulation/state_service.cpp
@@ -7,65 +7,65 @@
 
 namespace wingtrail::simulation {
 
-void SimulatedCluster::state_refuses(std::size_t node, double for_s) {
-  fault_lasts(for_s);
-  state_refuses_[node] = t_ + for_s;
+void SimulatedCluster::refuse_state_service(std::size_t node, double for_s) {
+  extend_fault_period(for_s);
+  state_refuses_[node] = now_ + for_s;
 }
 
-void SimulatedCluster::late_writes(double share, double for_s, bool at_once) {
-  fault_lasts(for_s);
+void SimulatedCluster::delay_writes(double share, double for_s, bool at_once) {
+  extend_fault_period(for_s);
   late_write_share_ = share;
-  late_writes_until_ = t_ + for_s;
+  late_writes_until_ = now_ + for_s;
   late_at_once_ = at_once;
 }
 
-std::optional<std::size_t> SimulatedCluster::key_holder() const {
+std::optional<std::size_t> SimulatedCluster::leader_key_holder() const {
   const auto key = store_.find(leadership::kLeaderKey);
   const auto name = key == store_.end() ? std::nullopt : wire::text(key->second.value, "node");
   return name ? std::optional(static_cast<std::size_t>(name->back() - '0')) : std::nullopt;
 }
 
-std::size_t SimulatedCluster::keys(const std::string& prefix) const {
+std::size_t SimulatedCluster::key_count(const std::string& prefix) const {
   return static_cast<std::size_t>(std::count_if(
       store_.begin(), store_.end(), [&prefix](const auto& e) { return e.first.starts_with(prefix); }));
 }
 
 void SimulatedCluster::state_outage(double for_s) {
-  fault_lasts(for_s);
-  state_down_until_ = std::max(state_down_until_, t_ + for_s);
-  at(state_down_until_, [this] {
-    if (t_ < state_down_until_)
+  extend_fault_period(for_s);
+  state_down_until_ = std::max(state_down_until_, now_ + for_s);
+  add_event(state_down_until_, [this] {
+    if (now_ < state_down_until_)
       return;
     for (auto& [id, lease] : leases_)
-      lease.second = t_ + lease.first;
+      lease.second = now_ + lease.first;
     serve_watches();
   });
 }
 
 void SimulatedCluster::state_slow(double for_s) {
-  fault_lasts(for_s);
-  state_slow_until_ = t_ + for_s;
+  extend_fault_period(for_s);
+  state_slow_until_ = now_ + for_s;
 }
 
-void SimulatedCluster::bump(const std::string& key, Value value, bool erased) {
+void SimulatedCluster::record_change(const std::string& key, Value value, bool erased) {
   changes_.push_back({revision_, key, std::move(value), erased});
 }
 
 void SimulatedCluster::expire_leases() {
-  if (t_ < state_down_until_)
+  if (now_ < state_down_until_)
     return;
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (t_ < it->second.second) {
+    if (now_ < it->second.second) {
       ++it;
       continue;
     }
     const std::uint64_t id = it->first;
     it = leases_.erase(it);
     ++revision_;
-    spdlog::debug("{:.3f} lease {} is over", t_, id);
+    spdlog::debug("{:.3f} lease {} is over", now_, id);
     for (auto k = store_.begin(); k != store_.end();) {
       if (k->second.lease == id) {
-        bump(k->first, nullptr, true);
+        record_change(k->first, nullptr, true);
         k = store_.erase(k);
       } else {
         ++k;
@@ -76,11 +76,11 @@
 }
 
 void SimulatedCluster::serve_watches() {
-  if (t_ < state_down_until_)
+  if (now_ < state_down_until_)
     return;
   std::vector<std::pair<std::shared_ptr<Watch>, Value>> ready;
   for (auto& w : watches_) {
-    if (!w->open || t_ < state_refuses_[w->node])
+    if (!w->open || now_ < state_refuses_[w->node])
       continue;
     Value events = Value::array();
     for (const Change& c : changes_) {
@@ -104,8 +104,8 @@
 void SimulatedCluster::end_watch(const std::shared_ptr<Watch>& w) {
   if (!w->open)
     return;
-  if (t_ < state_down_until_ || t_ < state_refuses_[w->node])
-    return later(0.3, [this, w] { end_watch(w); });
+  if (now_ < state_down_until_ || now_ < state_refuses_[w->node])
+    return add_event_after(0.3, [this, w] { end_watch(w); });
   serve_watches();
   if (!w->open)
     return;
@@ -114,13 +114,13 @@
   w->reply(200, {{"ledgerRev", revision_}, {"events", Value::array()}});
 }
 
-void SimulatedCluster::carry_out_late(std::size_t node, const Value& body) {
-  carried_out_late_ = true;
-  state(node, "POST", "/txn", body, [](int, const Value&) {});
-  carried_out_late_ = false;
+void SimulatedCluster::execute_write_late(std::size_t node, const Value& body) {
+  writing_late_ = true;
+  state_service_request(node, "POST", "/txn", body, [](int, const Value&) {});
+  writing_late_ = false;
 }
 
-bool SimulatedCluster::over_limits(const Value& body, const settings::Settings& s, double share) const {
+bool SimulatedCluster::exceeds_limits(const Value& body, const settings::Settings& s, double share) const {
   const auto ops = static_cast<std::size_t>(share < 1 ? std::max(3.0, s.max_transaction_changes * share)
                                                       : s.max_transaction_changes);
   return body["apply"].size() > ops || body["if"].size() > 4 * ops || body.dump().size() > 65536 ||
@@ -131,20 +131,23 @@
          });
 }
 
-void SimulatedCluster::state(std::size_t node, const std::string& method, const std::string& path,
-                             const Value& body, Reply reply) {
+void SimulatedCluster::state_service_request(std::size_t node, const std::string& method,
+                                             const std::string& path, const Value& body,
+                                             ReplyCallback reply) {
   expire_leases();
-  if (t_ < state_down_until_ || t_ < state_refuses_[node])
+  if (now_ < state_down_until_ || now_ < state_refuses_[node])
     return reply(503, Value::object());
-  const double passed = t_ - state_at_;
+  const double passed = now_ - state_at_;
   state_level_ =
       std::min(settings_.state_requests_per_s, state_level_ + passed * settings_.state_requests_per_s);
-  state_at_ = t_;
-  const settings::Settings& granted = lowered_ || !plan_.upgrade ? settings_ : former_;
+  state_at_ = now_;
+  const settings::Settings& granted =
+      limits_lowered_ || !plan_.upgrade ? settings_ : settings_before_upgrade_;
   write_level_ = std::min(granted.state_writes_per_s, write_level_ + passed * granted.state_writes_per_s);
-  if (t_ < state_slow_until_) {
+  if (now_ < state_slow_until_) {
     reply = [this, reply = std::move(reply)](int status, Value out) {
-      later(between(0.02, 0.4), [reply, status, out = std::move(out)] { reply(status, out); });
+      add_event_after(random_between(0.02, 0.4),
+                      [reply, status, out = std::move(out)] { reply(status, out); });
     };
   }
   if (state_level_ < 1)
@@ -159,7 +162,7 @@
   };
   if (method == "POST" && path == "/leases") {
     const double ttl = body["ttlMs"].get<double>() / 1000;
-    leases_[++leases_made_] = {ttl, t_ + ttl};
+    leases_[++leases_made_] = {ttl, now_ + ttl};
     return reply(200, {{"permit", leases_made_}});
   }
   if (path.starts_with("/leases/")) {
@@ -167,7 +170,7 @@
     auto it = leases_.find(id);
     if (it == leases_.end())
       return reply(404, Value::object());
-    it->second.second = method == "DELETE" ? t_ : t_ + it->second.first;
+    it->second.second = method == "DELETE" ? now_ : now_ + it->second.first;
     if (method == "DELETE")
       expire_leases();
     return reply(200, Value::object());
@@ -175,7 +178,7 @@
   if (path.starts_with("/follow")) {
     auto w = std::make_shared<Watch>(Watch{query("prefix"), std::stoull(query("after")), reply, node});
     watches_.push_back(w);
-    later(std::stod(query("holdMs")) / 1000, [this, w] { end_watch(w); });
+    add_event_after(std::stod(query("holdMs")) / 1000, [this, w] { end_watch(w); });
     return serve_watches();
   }
   if (path.starts_with("/kv?")) {
@@ -204,38 +207,38 @@
   }
   // A node that knows of lower limits to come keeps to them from its first second; what it sent before may be
   // carried out late.
-  if (path == "/txn" && !carried_out_late_ &&
-      over_limits(body, controllers_[node]->former ? former_ : settings_, 1))
-    broke("protocol", "a transaction over the limits: " + body.dump().substr(0, 300));
-  if (path == "/txn" && plan_.late_writes > 0 && odds(plan_.late_writes)) {
-    later(between(2, 12), [this, node, body] { carry_out_late(node, body); });
+  if (path == "/txn" && !writing_late_ &&
+      exceeds_limits(body, controllers_[node]->runs_former_version ? settings_before_upgrade_ : settings_, 1))
+    report_violation("protocol", "a transaction over the limits: " + body.dump().substr(0, 300));
+  if (path == "/txn" && plan_.late_writes > 0 && random_bool(plan_.late_writes)) {
+    add_event_after(random_between(2, 12), [this, node, body] { execute_write_late(node, body); });
     return;
   }
-  if (path == "/txn" && !carried_out_late_ && t_ < late_writes_until_ && odds(late_write_share_)) {
+  if (path == "/txn" && !writing_late_ && now_ < late_writes_until_ && random_bool(late_write_share_)) {
     const bool at_once = late_at_once_;
-    (at_once ? run_report_.lost_answers : run_report_.late_writes) += body["apply"].empty() ? 0 : 1;
+    (at_once ? run_report_.lost_replies : run_report_.late_writes) += body["apply"].empty() ? 0 : 1;
     if (!at_once) {
-      fault_lasts(12);
-      later(between(2, 12), [this, node, body] { carry_out_late(node, body); });
+      extend_fault_period(12);
+      add_event_after(random_between(2, 12), [this, node, body] { execute_write_late(node, body); });
       return;
     }
     reply = [](int, const Value&) {
     };
   }
   if (path == "/txn") {
-    if (over_limits(body, granted, plan_.undeclared)) {
+    if (exceeds_limits(body, granted, plan_.undeclared_limits)) {
       ++run_report_.over_limits;
       return reply(400, {{"error", "limits"}});
     }
     const auto changes = static_cast<double>(body["apply"].size());
-    write_asks_.emplace_back(t_, changes);
-    asked_in_span_ += changes;
-    while (write_asks_.front().first < t_ - kSpan) {
-      asked_in_span_ -= write_asks_.front().second;
-      write_asks_.pop_front();
+    write_requests_.emplace_back(now_, changes);
+    writes_in_window_ += changes;
+    while (write_requests_.front().first < now_ - kWriteWindow) {
+      writes_in_window_ -= write_requests_.front().second;
+      write_requests_.pop_front();
     }
-    run_report_.most_writes =
-        std::max(run_report_.most_writes, asked_in_span_ / granted.state_writes_per_s / kSpan);
+    run_report_.max_writes =
+        std::max(run_report_.max_writes, writes_in_window_ / granted.state_writes_per_s / kWriteWindow);
     if (changes > 0 && write_level_ < changes)
       return reply(429, Value::object());
     write_level_ -= changes;
@@ -259,23 +262,23 @@
     for (const Value& op : body["apply"]) {
       if (op.contains("put")) {
         const auto key = op["put"].get<std::string>();
-        run_report_.abort_marks += key.ends_with(jobs::kCancellationSuffix);
+        run_report_.cancellation_markers += key.ends_with(jobs::kCancellationSuffix);
         if (jobs::is_batch_key(key))
-          run_report_.on_sheets += op["data"].size();
+          run_report_.batched += op["data"].size();
         store_[key] = {op["data"], revision_, op.contains("permit") ? op["permit"].get<std::uint64_t>() : 0};
-        bump(key, op["data"], false);
+        record_change(key, op["data"], false);
       } else if (store_.erase(op["delete"].get<std::string>())) {
-        bump(op["delete"].get<std::string>(), nullptr, true);
+        record_change(op["delete"].get<std::string>(), nullptr, true);
       }
     }
-    spdlog::debug("{:.3f} {}: {} {}", t_, node_name(node), revision_, body["apply"].dump());
+    spdlog::debug("{:.3f} {}: {} {}", now_, node_name(node), revision_, body["apply"].dump());
     reply(200, {{"ledgerRev", revision_}});
     return serve_watches();
   }
   reply(400, Value::object());
 }
 
-std::size_t SimulatedCluster::sheets() const {
+std::size_t SimulatedCluster::batch_count() const {
   return static_cast<std::size_t>(
       std::count_if(store_.begin(), store_.end(), [](const auto& e) { return jobs::is_batch_key(e.first); }));
 }
--- a/tests/cells_benchmark.cpp
+++ b/tests/cells_benchmark.cpp
@@ -30,17 +30,17 @@
     return 0.5 * cores() / (kTasks * 2 * kRun);
   }  // arrays a second: half of the cell
 
-  Plan plan(double times) const {
-    Plan p;
+  SimulationPlan plan(double times) const {
+    SimulationPlan p;
     p.seed = seed;
     p.fault_every_s = 0;
-    p.limits = false;
+    p.budget_limits = false;
     p.machines = static_cast<int>(machines * times);
-    p.most_machines = static_cast<std::size_t>(p.machines);
-    p.script = true;
+    p.max_machines = static_cast<std::size_t>(p.machines);
+    p.scripted = true;
     p.idle_return_s = 1e4;
     p.headroom = 5;
-    p.agreed = p.admission = true;
+    p.peer_agreement = p.fair_admission = true;
     p.write_rps = 35;
     return p;
   }
@@ -59,7 +59,7 @@
   }
 
   bool trace = false;
-  static void trace_line(Cells& all, double t) {
+  static void trace_line(SimulatedCells& all, double t) {
     std::cout << std::setw(6) << t;
     for (std::size_t c = 0; c < all.size(); ++c) {
       const auto s = all[c].leader_stats();
@@ -68,7 +68,7 @@
       double held = 0, waiting = 0;
       for (const auto& l : s->loads)
         held += l.held, waiting += l.waiting;
-      std::cout << " | " << held << " cores in use, " << waiting << " wait, " << all[c].held_at_home()
+      std::cout << " | " << held << " cores in use, " << waiting << " wait, " << all[c].startable_here()
                 << " jobs not begun";
       for (const auto& n : s->cells)
         std::cout << "; " << n.away << " at " << n.name << ", which takes " << n.takes << " after "
@@ -83,8 +83,8 @@
   };
   // `others`: whether the other cells have their usual load; `away_at`: the second one's controllers are away
   // for a minute from then.
-  Result surge(std::vector<Plan> plans, double with, double away_at = -1) const {
-    Cells all(std::move(plans), seed);
+  Result surge(std::vector<SimulationPlan> plans, double with, double away_at = -1) const {
+    SimulatedCells all(std::move(plans), seed);
     all.begin();
     std::vector<double> due(all.size());
     int n = 0;
@@ -93,7 +93,7 @@
         const bool surges = c == 0 && t >= kFrom && t < kTo;
         const double per_s = usual() * (surges ? with + factor - 1 : c == 0 ? with : 1);
         for (due[c] += 0.1 * per_s; due[c] >= 1; --due[c])
-          all[c].user(job(c, ++n), kRun);
+          all[c].submit_job(job(c, ++n), kRun);
       }
       if (away_at >= 0 && t >= away_at && t < away_at + 0.05 + 0.1 / 2)
         all.down(1, 60);
@@ -106,44 +106,44 @@
       all.step(t);
       r.undone = 0;
       for (std::size_t c = 0; c < all.size(); ++c)
-        r.undone += all[c].undone();
+        r.undone += all[c].unfinished_jobs();
       if (r.undone == 0)
         break;
     }
-    r.first = all[0].over_within("batch", kInTime, kFrom, kTo + 20);
+    r.first = all[0].completed_within_share("batch", kInTime, kFrom, kTo + 20);
     r.others = 1;
     for (std::size_t c = 1; c < all.size(); ++c)
-      r.others = std::min(r.others, all[c].over_within("batch", kInTime, kFrom, kTo + 60));
+      r.others = std::min(r.others, all[c].completed_within_share("batch", kInTime, kFrom, kTo + 60));
     for (std::size_t c = 0; c < all.size(); ++c) {
-      r.guests += all[c].run_report().guests_started;
-      r.writes = std::max(r.writes, all[c].run_report().most_writes);
+      r.guests += all[c].run_report().remote_tasks_started;
+      r.writes = std::max(r.writes, all[c].run_report().max_writes);
     }
-    r.broken = all.broken().size();
-    for (const auto& b : all.broken())
+    r.broken = all.broken_rules().size();
+    for (const auto& b : all.broken_rules())
       std::cout << b << "\n";
     return r;
   }
   // Seconds until a drained cell has handed on `jobs` that wait.
   double drained(int jobs) const {
-    Cells all(std::vector<Plan>(2, plan(1)), seed);
+    SimulatedCells all(std::vector<SimulationPlan>(2, plan(1)), seed);
     all.begin();
     all.step(20);
     for (int n = 1; n <= jobs; ++n) {
       wire::JobSpec s = job(0, n);
       s.tasks = 20;
-      all[0].user(s, 120);
+      all[0].submit_job(s, 120);
       if (n % 20 == 0)
         all.step(20 + n / 20 * 0.5);
     }
     all.step(60);
-    const std::size_t waiting = all[0].jobs_waiting();
+    const std::size_t waiting = all[0].unstarted_jobs();
     for (std::size_t i = 0; i < all[0].nodes(); ++i)
       all[0].restart_with([](settings::Settings& s) { s.cells.drain = true; }, i);
     double t = 60;
-    while (t < 600 && all[0].held_at_home() > 0)
+    while (t < 600 && all[0].startable_here() > 0)
       all.step(t += 1);
     std::cout << "drained: " << waiting << " jobs waited; all of them were handed on or had begun after "
-              << t - 60 << " s; " << all.broken().size() << " rules broken\n";
+              << t - 60 << " s; " << all.broken_rules().size() << " rules broken\n";
     return t - 60;
   }
   void tell(const char* what, const Result& r) const {
@@ -171,9 +171,9 @@
   std::cout << "arrays of the surge done in " << Lab::kInTime
             << " s; the others' own, least of all cells; tasks elsewhere; most changes of the budget\n";
   lab.tell("alone", lab.surge({lab.plan(1)}, 1));
-  lab.tell("with its neighbours", lab.surge(std::vector<Plan>(lab.cells, lab.plan(1)), 1));
+  lab.tell("with its neighbours", lab.surge(std::vector<SimulationPlan>(lab.cells, lab.plan(1)), 1));
   lab.tell("one cell of all sizes", lab.surge({lab.plan(others)}, others));
   lab.tell("the second's controllers away for 60 s amid it",
-           lab.surge(std::vector<Plan>(lab.cells, lab.plan(1)), 1, 80));
+           lab.surge(std::vector<SimulationPlan>(lab.cells, lab.plan(1)), 1, 80));
   lab.drained(500);
 }
--- a/tests/cells_simulation_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -6,9 +6,9 @@
 namespace wingtrail::simulation {
 namespace {
 
-Plan cell(std::uint64_t seed, int machines) {
-  Plan p = scripted(seed, machines);
-  p.agreed = true;
+SimulationPlan cell(std::uint64_t seed, int machines) {
+  SimulationPlan p = scripted(seed, machines);
+  p.peer_agreement = true;
   p.back_from = 0.05, p.back_to = 0.3;
   p.headroom = 5;  // its machines stay, busy or not
   return p;
@@ -20,10 +20,10 @@
   return s;
 }
 
-void whole(Cells& cells) {
+void whole(SimulatedCells& cells) {
   for (std::size_t c = 0; c < cells.size(); ++c)
     EXPECT_EQ(cells[c].close().unfinished, 0U) << "cell " << c;
-  for (const auto& b : cells.broken())
+  for (const auto& b : cells.broken_rules())
     ADD_FAILURE() << b;
 }
 
@@ -33,9 +33,9 @@
   double in_time = 0, others_in_time = 0;
   std::size_t guests = 0;
 };
-Surge surge(std::vector<Plan> plans, double others_per_s) {
+Surge surge(std::vector<SimulationPlan> plans, double others_per_s) {
   hush();
-  Cells cells(std::move(plans), 5);
+  SimulatedCells cells(std::move(plans), 5);
   cells.begin();
   // From the first second on, since a fleet without any load is returned.
   int n = 0;
@@ -46,20 +46,20 @@
     // One cell of both sizes has the load of both.
     const double both = cells.size() == 1 ? others_per_s : 0;
     for (due += 0.1 * (per_s + both); due >= 1; --due)
-      cells[0].user(work(0, ++n, 4, 8), 8);
+      cells[0].submit_job(work(0, ++n, 4, 8), 8);
     for (std::size_t c = 1; c < cells.size(); ++c) {
       for (others[c] += 0.1 * others_per_s; others[c] >= 1; --others[c])
-        cells[c].user(work(c, ++n, 4, 8), 8);
+        cells[c].submit_job(work(c, ++n, 4, 8), 8);
     }
     cells.step(t + 0.1);
   }
   cells.step(700);
   Surge s;
-  s.in_time = cells[0].over_within("batch", 25, 40, 85);
+  s.in_time = cells[0].completed_within_share("batch", 25, 40, 85);
   for (std::size_t c = 0; c < cells.size(); ++c)
-    s.guests += cells[c].run_report().guests_started;
+    s.guests += cells[c].run_report().remote_tasks_started;
   if (cells.size() > 1)
-    s.others_in_time = cells[1].over_within("batch", 25, 40, 100);
+    s.others_in_time = cells[1].completed_within_share("batch", 25, 40, 100);
   whole(cells);
   return s;
 }
@@ -70,18 +70,18 @@
   const Surge alone = surge({cell(1, 8)}, 0);
   const Surge quiet = [] {
     hush();
-    Cells cells({cell(1, 8), cell(2, 8)}, 5);
+    SimulatedCells cells({cell(1, 8), cell(2, 8)}, 5);
     cells.begin();
     int n = 0;
     double due = 0;
     for (double t = 0; t < 160; t += 0.1) {
       for (due += 0.1 * 0.4; due >= 1; --due)
-        cells[1].user(work(1, ++n, 4, 8), 8);
+        cells[1].submit_job(work(1, ++n, 4, 8), 8);
       cells.step(t + 0.1);
     }
     cells.step(300);
     Surge s;
-    s.others_in_time = cells[1].over_within("batch", 25, 40, 100);
+    s.others_in_time = cells[1].completed_within_share("batch", 25, 40, 100);
     return s;
   }();
   std::cout << "in time: alone " << alone.in_time << ", spilled " << spilled.in_time << ", one cell of both "
@@ -113,15 +113,15 @@
   std::size_t guests = 0;
   for (int k = 0; k < 12; ++k) {
     SCOPED_TRACE("moment " + std::to_string(k));
-    Cells cells({cell(3, 2), cell(4, 6)}, 9 + static_cast<std::uint64_t>(k));
-    cells.doubled = 0.1;
+    SimulatedCells cells({cell(3, 2), cell(4, 6)}, 9 + static_cast<std::uint64_t>(k));
+    cells.duplicate_share = 0.1;
     cells.begin();
     cells.step(15);
     // The home's machines are full for a minute; what comes behind that is handed on, and some is cancelled.
-    cells[0].user(work(0, 1, 12, 60), 60);
+    cells[0].submit_job(work(0, 1, 12, 60), 60);
     cells.step(18);
     for (int n = 2; n < 14; ++n)
-      cells[0].user(work(0, n, 3, 10), 10, n % 4 == 0 ? 24 + n * 0.3 : -1);
+      cells[0].submit_job(work(0, n, 3, 10), 10, n % 4 == 0 ? 24 + n * 0.3 : -1);
     cells.step(18.4 + 0.25 * k);
     SimulatedCluster &home = cells[0], &taker = cells[1];
     switch (trouble) {
@@ -152,7 +152,7 @@
         cells.down(1, 25);
     }
     cells.step(400);
-    guests += cells[1].run_report().guests_started;
+    guests += cells[1].run_report().remote_tasks_started;
     whole(cells);
     if (HasFailure())
       return;
@@ -168,19 +168,19 @@
 // job ends there and its user hears so.
 TEST(Cells, ACancellationIsToldWhenTheJobHasEndedElsewhere) {
   hush();
-  Cells cells({cell(5, 2), cell(6, 6)}, 3);
+  SimulatedCells cells({cell(5, 2), cell(6, 6)}, 3);
   cells.begin();
   cells.step(15);
-  cells[0].user(work(0, 1, 12, 200), 200);
+  cells[0].submit_job(work(0, 1, 12, 200), 200);
   cells.step(18);
   for (int n = 2; n < 6; ++n)
-    cells[0].user(work(0, n, 3, 150), 150, 40);
+    cells[0].submit_job(work(0, n, 3, 150), 150, 40);
   cells.step(35);
-  EXPECT_GT(cells[1].run_report().guests_started, 0U);
+  EXPECT_GT(cells[1].run_report().remote_tasks_started, 0U);
   cells.cut(0, 1, 30, false);
   cells.step(60);
   const std::size_t before = cells[0].run_report().cancelled;
-  EXPECT_GT(cells[0].run_report().aborts_put_off, 0U);
+  EXPECT_GT(cells[0].run_report().cancellations_deferred, 0U);
   cells.step(75);
   EXPECT_EQ(cells[0].run_report().cancelled, 4U);
   EXPECT_LT(before, 4U) << "nobody can know yet that they have ended";
@@ -191,21 +191,21 @@
 // A cell is emptied on purpose: what waits is handed on, what runs ends there, and it stands empty.
 TEST(Cells, ADrainedCellStandsEmpty) {
   hush();
-  Cells cells({cell(7, 4), cell(8, 12)}, 3);
+  SimulatedCells cells({cell(7, 4), cell(8, 12)}, 3);
   cells.begin();
   cells.step(15);
   for (int n = 1; n <= 60; ++n)
-    cells[0].user(work(0, n, 4, 10), 10);
+    cells[0].submit_job(work(0, n, 4, 10), 10);
   cells.step(20);
-  const std::size_t waiting = cells[0].jobs_waiting();
+  const std::size_t waiting = cells[0].unstarted_jobs();
   EXPECT_GT(waiting, 30U);
   for (std::size_t i = 0; i < cells[0].nodes(); ++i)
     cells[0].restart_with([](settings::Settings& s) { s.cells.drain = true; }, i);
   cells.step(80);
-  EXPECT_EQ(cells[0].jobs_waiting(), 0U);
-  EXPECT_GT(cells[1].run_report().guests_started, 100U);
+  EXPECT_EQ(cells[0].unstarted_jobs(), 0U);
+  EXPECT_GT(cells[1].run_report().remote_tasks_started, 100U);
   cells.step(120);
-  EXPECT_EQ(cells[0].jobs_over(), 60U);
+  EXPECT_EQ(cells[0].completed_jobs(), 60U);
   whole(cells);
 }
 
@@ -213,15 +213,15 @@
 // holds, the home waits, and nothing is lost.
 TEST(Cells, ANeighbourThatIsAwayKeepsWhatItHolds) {
   hush();
-  Cells cells({cell(9, 2), cell(10, 6)}, 4);
+  SimulatedCells cells({cell(9, 2), cell(10, 6)}, 4);
   cells.begin();
   cells.step(55);  // custody has begun
-  cells[0].user(work(0, 1, 12, 100), 100);
+  cells[0].submit_job(work(0, 1, 12, 100), 100);
   cells.step(58);
   for (int n = 2; n < 10; ++n)
-    cells[0].user(work(0, n, 3, 40), 40);
+    cells[0].submit_job(work(0, n, 3, 40), 40);
   cells.step(70);
-  const auto held = cells[1].run_report().guests_started;
+  const auto held = cells[1].run_report().remote_tasks_started;
   EXPECT_GT(held, 5U);
   cells.down(1, 60);
   cells.step(135);
@@ -234,11 +234,11 @@
   hush();
   std::size_t guests = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    const CellsDay day = play_cells(seed);
-    for (const auto& b : day.broken)
+    const CellsRunReport day = run_random_cells(seed);
+    for (const auto& b : day.broken_rules)
       ADD_FAILURE() << b << " (cells, seed " << seed << ")";
     EXPECT_EQ(day.unfinished, 0U) << "seed " << seed;
-    guests += day.guests_started;
+    guests += day.remote_tasks_started;
   }
   EXPECT_GT(guests, 300U);
 }
--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -9,17 +9,17 @@
 namespace wingtrail::simulation {
 
 // As deployed, but for the sizes.
-inline Plan deployed(std::uint64_t seed, int machines = 10) {
-  Plan plan = scripted(seed, machines);
-  plan.agreed = plan.admission = plan.spread = plan.lives = true;
-  plan.custody_leases = 4;
+inline SimulationPlan deployed(std::uint64_t seed, int machines = 10) {
+  SimulationPlan plan = scripted(seed, machines);
+  plan.peer_agreement = plan.fair_admission = plan.load_balancing = plan.short_lived_processes = true;
+  plan.delegation_leases = 4;
   plan.begin_within_s = 240;
   return plan;
 }
 
 class Day {
  public:
-  explicit Day(const Plan& plan) : world(plan) {
+  explicit Day(const SimulationPlan& plan) : world(plan) {
     hush();
     world.begin();
     world.step(5);
@@ -29,7 +29,7 @@
       service.priority = wire::Priority::production;
       service.spread_zones = true;
       service.allows_spot = false;
-      world.user(service, 0);
+      world.submit_job(service, 0);
     }
     world.step(40);  // custody begins once no node of an older version can have led for cancel_s
   }
@@ -41,7 +41,7 @@
       s.estimate_s = run_s;
       if (n % 3 == 2)
         s.zone = std::string("z").append(std::to_string(n % 2));
-      world.user(s, run_s);
+      world.submit_job(s, run_s);
     }
   }
   // Small jobs until then, one in `every_s`; that share is cancelled after some seconds.
@@ -50,15 +50,15 @@
       const int n = 1000 + made_++;
       const double cancel_at =
           static_cast<double>(n * 37 % 100) < 100 * cancelled ? t + (n * 53 % 40) / 10.0 : -1;
-      world.at_time(t, [this, n, tasks, run_s, cancel_at] {
+      world.schedule_at(t, [this, n, tasks, run_s, cancel_at] {
         wire::JobSpec s = job_of(n, tasks, n % 2 == 0 ? "red" : "blue");
         s.estimate_s = run_s;
-        world.user(s, run_s, cancel_at);
+        world.submit_job(s, run_s, cancel_at);
       });
     }
   }
   void at(double when, const std::function<void()>& fn) {
-    world.at_time(when, fn);
+    world.schedule_at(when, fn);
   }
   void crash_leader() {
     world.crash(world.leader().value_or(0));
@@ -78,11 +78,11 @@
   const RunReport& finish(double calm_s = 420) {
     world.step(world.now() + calm_s);
     const RunReport& v = world.close();
-    for (const auto& b : v.broken)
+    for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U);
-    EXPECT_LE(v.longest_beside_room, 90) << "all was calm";
-    EXPECT_EQ(world.cancellations_open(), 0U) << "users who were put off have to hear in the end";
+    EXPECT_LE(v.longest_wait_beside_capacity, 90) << "all was calm";
+    EXPECT_EQ(world.open_cancellations(), 0U) << "users who were put off have to hear in the end";
     return v;
   }
 
@@ -116,12 +116,12 @@
   double a = 2, b = 8, down_s = 45;
   std::function<void(Day&)> beside;
 };
-inline std::size_t play_gap(const Plan& plan, const Gap& gap) {
+inline std::size_t play_gap(const SimulationPlan& plan, const Gap& gap) {
   Day day(plan);
   day.long_arrays(9, 110);
   day.world.step(60);
   const std::size_t old = day.world.leader().value_or(0);
-  day.world.state_refuses(old, 14);
+  day.world.refuse_state_service(old, 14);
   day.cancel(10, 7, 60 + gap.a);
   day.at(60 + gap.b, [&] { day.world.state_outage(gap.down_s); });
   if (gap.beside)
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -48,15 +48,17 @@
        }},
       {"answers lost",
        [](Day& d) {
-         d.at(58, [&d] { d.world.late_writes(0.4, 20, true); });
+         d.at(58, [&d] { d.world.delay_writes(0.4, 20, true); });
        }},
       {"late writes",
        [](Day& d) {
-         d.at(58, [&d] { d.world.late_writes(0.4, 20, false); });
+         d.at(58, [&d] { d.world.delay_writes(0.4, 20, false); });
        }},
       {"old reports",
        [](Day& d) {
-         d.at(50, [&d] { d.world.late_reports(0.5, 12, SimulatedCluster::CopyArrives::after_election); });
+         d.at(50, [&d] {
+           d.world.duplicate_heartbeats_late(0.5, 12, SimulatedCluster::DuplicateArrival::after_election);
+         });
        }},
       {"the old leader stands still",
        [](Day& d) {
@@ -82,10 +84,10 @@
       for (const bool fixed : {false, true}) {
         SCOPED_TRACE(std::to_string(leases) + " leases" + (consent ? ", consent" : "") +
                      (fixed ? ", one node without admission" : ""));
-        Plan plan = deployed(7);
-        plan.custody_leases = leases;
-        plan.agreed = consent;
-        plan.one_fixed = fixed;
+        SimulationPlan plan = deployed(7);
+        plan.delegation_leases = leases;
+        plan.peer_agreement = consent;
+        plan.one_without_shares = fixed;
         confirmed += play_gap(plan, {2.5, 9, 45, {}});
         if (HasFailure())
           return;
@@ -100,7 +102,7 @@
 TEST(CombinedFaults, AskedAtAllNodesWithinMilliseconds) {
   meet(4, 3000, [](std::uint64_t seed) {
     Day day(deployed(seed));
-    day.world.close_looks(90);
+    day.world.poll_all_nodes(90);
     day.long_arrays(4, 20);
     day.stream(120, 0.4, 0.4);
     if (seed % 2 == 0)
@@ -108,7 +110,7 @@
     for (double t = 70; t < 120; t += 18)
       day.at(t, [&] { day.crash_leader(); });
     day.world.step(130);
-    return day.finish(200).looks;
+    return day.finish(200).close_polls;
   });
 }
 
@@ -116,14 +118,14 @@
 TEST(CombinedFaults, OnlyTheAnswerIsLost) {
   meet(6, 100, [](std::uint64_t seed) {
     Day day(deployed(seed));
-    day.world.close_looks(80);
-    day.world.late_writes(seed % 2 == 0 ? 0.25 : 0.6, 60, true);
+    day.world.poll_all_nodes(80);
+    day.world.delay_writes(seed % 2 == 0 ? 0.25 : 0.6, 60, true);
     day.long_arrays(4, 20);
     day.stream(110, 0.5, 0.4);
     day.at(60 + static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(90, [&] { day.crash_leader(); });
     day.world.step(130);
-    return day.finish(240).lost_answers;
+    return day.finish(240).lost_replies;
   });
 }
 
@@ -131,13 +133,13 @@
 // again as soon as that is proved.
 TEST(CombinedFaults, TeamsAtTheirLimitsCancelWhatIsOutOfReach) {
   meet(8, 8, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 14);
-    plan.limits = true;
+    SimulationPlan plan = deployed(seed, 14);
+    plan.budget_limits = true;
     Day day(plan);
     for (int n = 0; n < 10; ++n) {
       wire::JobSpec s = job_of(10 + n, 8, n % 2 == 0 ? "red" : "blue");
       s.estimate_s = 50;
-      day.world.user(s, 50);
+      day.world.submit_job(s, 50);
     }
     day.world.step(55);
     const auto what =
@@ -178,24 +180,24 @@
 // 5. Machines up within two seconds get work at once while writes lag, and the leader ends.
 TEST(CombinedFaults, MachinesUpAtOnceWhileWritesLag) {
   meet(8, 40, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 4);
-    plan.most_machines = 24;
+    SimulationPlan plan = deployed(seed, 4);
+    plan.max_machines = 24;
     Day day(plan);
-    day.world.quick_boots(60);
-    day.world.late_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
+    day.world.boot_quickly(60);
+    day.world.delay_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec s = job_of(10 + n, 10, n % 2 == 0 ? "red" : "blue");
       s.estimate_s = 40;
-      day.world.user(s, 40);
+      day.world.submit_job(s, 40);
     }
-    const std::size_t before = day.world.machines_in(0) + day.world.machines_in(1);
+    const std::size_t before = day.world.machines_in_zone(0) + day.world.machines_in_zone(1);
     for (int k = 0; k < 3; ++k)
       day.at(43 + 0.5 * static_cast<double>(seed) + 9 * k, [&] { day.crash_leader(); });
     day.cancel(10, 3, 50, 0.3);
     day.world.step(80);
-    const std::size_t rented = day.world.machines_in(0) + day.world.machines_in(1) - before;
+    const std::size_t rented = day.world.machines_in_zone(0) + day.world.machines_in_zone(1) - before;
     const RunReport& v = day.finish();
-    EXPECT_GT(v.late_writes + v.lost_answers, 0U);
+    EXPECT_GT(v.late_writes + v.lost_replies, 0U);
     return rented;
   });
 }
@@ -204,30 +206,30 @@
 // session or attempt.
 TEST(CombinedFaults, OldReportsSettleNothing) {
   meet(8, 400, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 8);
-    plan.limits = seed % 2 == 0;
+    SimulationPlan plan = deployed(seed, 8);
+    plan.budget_limits = seed % 2 == 0;
     Day day(plan);
     day.long_arrays(6, 25);
     day.stream(150, 0.6, 0.3);
-    day.world.late_reports(
-        0.4, 60,
-        seed % 3 != 0 ? SimulatedCluster::CopyArrives::after_election : SimulatedCluster::CopyArrives::later);
+    day.world.duplicate_heartbeats_late(0.4, 60,
+                                        seed % 3 != 0 ? SimulatedCluster::DuplicateArrival::after_election
+                                                      : SimulatedCluster::DuplicateArrival::later);
     day.at(52, [&] {
       day.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
     });  // their sessions end
     day.at(60 + 0.3 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(85, [&] {
-      day.world.late_reports(0.4, 50,
-                             seed % 3 == 0 ? SimulatedCluster::CopyArrives::after_election
-                                           : SimulatedCluster::CopyArrives::later);
+      day.world.duplicate_heartbeats_late(0.4, 50,
+                                          seed % 3 == 0 ? SimulatedCluster::DuplicateArrival::after_election
+                                                        : SimulatedCluster::DuplicateArrival::later);
       day.crash_leader();
     });
     day.at(110, [&] { day.crash_leader(); });
     day.cancel(10, 3, 60.5, 1.5);
     day.world.step(160);
     const RunReport& v = day.finish();
-    EXPECT_GT(v.kept_reports, 0U);
-    return v.late_reports + v.kept_reports;
+    EXPECT_GT(v.held_heartbeats, 0U);
+    return v.late_heartbeats + v.held_heartbeats;
   });
 }
 
@@ -235,7 +237,7 @@
 // site, and nothing of them stays behind but their final states.
 TEST(CombinedFaults, OneTaskJobsFourASecond) {
   meet(2, 800, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 12);
+    SimulationPlan plan = deployed(seed, 12);
     plan.write_rps = 21;
     Day day(plan);
     day.stream(160, 0.25, 0.25);
@@ -244,8 +246,8 @@
     day.world.step(170);
     day.world.cancel(Day::ref(1)), day.world.cancel(Day::ref(2));
     const RunReport& v = day.finish(120);
-    EXPECT_LT(v.most_writes, 1.0);
-    EXPECT_EQ(day.world.keys("j/"), 0U) << "live records, marks or sheets were left behind";
+    EXPECT_LT(v.max_writes, 1.0);
+    EXPECT_EQ(day.world.key_count("j/"), 0U) << "live records, marks or sheets were left behind";
     EXPECT_GT(v.cancelled, 80U);
     return v.accepted;
   });
@@ -274,12 +276,12 @@
 // 9. Transactions without an answer are carried out after newer ones of the same controller.
 TEST(CombinedFaults, TransactionsCarriedOutLate) {
   meet(8, 100, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 5);
-    plan.most_machines = 14;
+    SimulationPlan plan = deployed(seed, 5);
+    plan.max_machines = 14;
     Day day(plan);
-    day.world.close_looks(60);
-    day.world.late_writes(0.3, 70, false);
-    day.world.quick_boots(60);
+    day.world.poll_all_nodes(60);
+    day.world.delay_writes(0.3, 70, false);
+    day.world.boot_quickly(60);
     day.long_arrays(8, 20, 6);
     day.stream(110, 0.5, 0.3, 2);
     day.at(75 + static_cast<double>(seed), [&] { day.crash_leader(); });
@@ -293,8 +295,8 @@
 // 10. A leader ends while machines with long tasks can't be reached, or don't hear the new one.
 TEST(CombinedFaults, ALeaderEndsWhileMachinesAreOutOfReach) {
   meet(9, 9, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 8);
-    plan.limits = seed % 2 == 0;
+    SimulationPlan plan = deployed(seed, 8);
+    plan.budget_limits = seed % 2 == 0;
     Day day(plan);
     day.long_arrays(6, 80);
     day.world.step(58);
@@ -333,7 +335,7 @@
 
 TEST(CombinedFaults, AllControllersEndAndReturn) {
   meet(6, 12, [](std::uint64_t seed) {
-    Plan plan = deployed(seed);
+    SimulationPlan plan = deployed(seed);
     const bool long_away = seed % 3 == 0;
     plan.back_from = long_away ? 24 : 0.1;
     plan.back_to = long_away ? 30 : 1;
@@ -367,7 +369,7 @@
     if (seed % 3 == 0)
       day.at(70, [&] { day.crash_leader(); });
     day.world.step(150);
-    const std::size_t n = day.world.run_report().kept_in_custody;
+    const std::size_t n = day.world.run_report().renewed_by_delegates;
     day.finish();
     return std::min<std::size_t>(n, 1);
   });
@@ -378,7 +380,7 @@
 TEST(CombinedFaults, ALeaderCutOffFromStateAndPeers) {
   meet(8, 8, [](std::uint64_t seed) {
     Day day(deployed(seed));
-    day.world.close_looks(60);
+    day.world.poll_all_nodes(60);
     day.long_arrays(8, 70);
     day.stream(110, 0.6, 0.4);
     day.world.step(60);
@@ -399,9 +401,9 @@
   meet(6, 60, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
     day.world.slow_machines(4, 5);  // of two tasks one takes five times as long
-    day.world.close_looks(100);
-    day.world.cancel_at_end(0.5, 100);
-    day.world.odd_requests(100);
+    day.world.poll_all_nodes(100);
+    day.world.cancel_at_completion(0.5, 100);
+    day.world.send_malformed_requests(100);
     day.stream(120, 0.5, 0.1, 2 + static_cast<std::uint32_t>(seed % 2), 4);
     if (seed % 3 != 0) {
       for (double t = 60; t < 130; t += 17)
@@ -409,8 +411,8 @@
     }
     day.world.step(140);
     const RunReport& v = day.finish();
-    EXPECT_GT(v.odd_answers, 50U);
-    return v.at_the_end;
+    EXPECT_GT(v.malformed_requests, 50U);
+    return v.cancelled_at_end;
   });
 }
 
@@ -418,9 +420,9 @@
 // machines can't be asked, and a cancellation in that spell.
 TEST(CombinedFaults, BoundToAZoneThatLosesMachines) {
   meet(6, 6, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 12);
-    plan.limits = true;
-    plan.most_machines = 16;
+    SimulationPlan plan = deployed(seed, 12);
+    plan.budget_limits = true;
+    plan.max_machines = 16;
     Day day(plan);
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec s = job_of(10 + n, 5, n % 2 == 0 ? "red" : "blue");
@@ -429,7 +431,7 @@
         s.zone = "z0";
       if (n % 4 == 1)
         s.same_zone = true;
-      day.world.user(s, 40);
+      day.world.submit_job(s, 40);
     }
     day.world.step(56);
     day.world.kill_in_zone(0, 2);
@@ -449,13 +451,13 @@
 TEST(CombinedFaults, ASlowServiceWhileUsersCancelAndAsk) {
   meet(4, 1000, [](std::uint64_t seed) {
     Day day(deployed(seed));
-    day.world.close_looks(140);
+    day.world.poll_all_nodes(140);
     day.long_arrays(8, 60);
     day.stream(150, 0.5, 0.5);
     day.at(50, [&] { day.world.state_slow(60); });
     day.at(60, [&] {
       if (seed % 2 == 0)
-        day.world.state_refuses(day.world.leader().value_or(0), 10);
+        day.world.refuse_state_service(day.world.leader().value_or(0), 10);
     });
     day.at(64 + static_cast<double>(seed), [&] {
       if (seed % 2 == 0)
@@ -463,7 +465,7 @@
     });
     day.cancel(10, 7, 60, 0.8);
     day.world.step(170);
-    return day.finish().looks;
+    return day.finish().close_polls;
   });
 }
 
@@ -472,32 +474,32 @@
 // (seed 1001007).
 TEST(CombinedFaults, AnOrphanWhoseEndCanNotBeRecorded) {
   meet(8, 3, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 6);
-    plan.chains = true;
+    SimulationPlan plan = deployed(seed, 6);
+    plan.dependencies = true;
     Day day(plan);
     wire::JobSpec first = job_of(10, 2, "red");
-    day.world.user(first, 100);
+    day.world.submit_job(first, 100);
     day.world.step(50);
     for (int n = 11; n < 14; ++n) {
       wire::JobSpec next = job_of(n, 1, "red");
       next.depends_on = {Day::ref(n - 1)};
-      day.world.user(next, 5);
+      day.world.submit_job(next, 5);
       day.world.step(day.world.now() + 2);
     }
     day.world.cancel("req-10");
-    for (double t = day.world.now(); day.world.keys("f/") == 0 && t < 80; t += 0.0002)
+    for (double t = day.world.now(); day.world.key_count("f/") == 0 && t < 80; t += 0.0002)
       day.world.step(t);
     day.world.state_outage(33);
     const double back = day.world.now() + 33;
     for (int n = 11; n < 14; ++n)
-      day.world.watch_closely(Day::ref(n), 60);
+      day.world.poll_closely(Day::ref(n), 60);
     day.world.step(back);
-    day.world.late_writes(0.7, 8, false);  // of reads for users too, so some of them do get through
+    day.world.delay_writes(0.7, 8, false);  // of reads for users too, so some of them do get through
     day.world.step(back + 1.4);
     const bool open = day.world.cancelled_at(Day::ref(13)) < 0;
     day.world.step(back + 10);
     const RunReport& v = day.finish();
-    EXPECT_EQ(v.orphans, 3U);
+    EXPECT_EQ(v.orphaned, 3U);
     return static_cast<std::size_t>(open);
   });
 }
@@ -506,24 +508,24 @@
 // once renewed its lease without ever having read its jobs: the last to ask again found nothing to ask.
 TEST(CombinedFaults, ANewLeaderReadsItsJobsThoughAnswersAreLost) {
   meet(6, 12, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 12);
+    SimulationPlan plan = deployed(seed, 12);
     Day day(plan);
     for (int n = 0; n < 260; ++n) {
       day.at(41 + 0.02 * (n / 20), [&day, n] {
         wire::JobSpec s = job_of(1000 + n, 1, n % 2 == 0 ? "red" : "blue");
         s.estimate_s = 30;
-        day.world.user(s, 30);
+        day.world.submit_job(s, 30);
       });
     }
     day.world.step(50);
-    day.world.late_writes(0.35, 40, true);
+    day.world.delay_writes(0.35, 40, true);
     for (int k = 0; k < 3; ++k)
       day.at(52 + 12 * k, [&] { day.crash_leader(); });
     day.world.step(95);
     const std::size_t n = day.elections();
     const RunReport& v = day.finish(500);
-    EXPECT_EQ(v.lost_by_lease, 0U);
-    EXPECT_GT(v.on_sheets, 100U);
+    EXPECT_EQ(v.lost_by_lease_expiry, 0U);
+    EXPECT_GT(v.batched, 100U);
     return n;
   });
 }
@@ -531,18 +533,18 @@
 // Each check of the combined faults fails for a fault that is planted for it.
 TEST(CombinedFaults, TheChecksCanFail) {
   const auto broken = [](const std::string& sabotage) {
-    Plan plan = deployed(3, 6);
-    plan.sabotage = sabotage;
+    SimulationPlan plan = deployed(3, 6);
+    plan.planted_fault = sabotage;
     Day day(plan);
-    day.world.odd_requests(20);
+    day.world.send_malformed_requests(20);
     day.long_arrays(2, 30);
     day.world.step(60);
     day.cancel(11, 1, 61);
     day.world.step(330);
     std::string rules;
-    for (const auto& b : day.world.run_report().broken)
+    for (const auto& b : day.world.run_report().broken_rules)
       rules += b.substr(0, b.find(' ')) + " ";
-    if (day.world.run_report().longest_beside_room > 90)
+    if (day.world.run_report().longest_wait_beside_capacity > 90)
       rules += "beside_room";
     return rules;
   };
@@ -560,7 +562,7 @@
 // room for; links are slow for a while and the leader ends. With the order of aims alone they never began.
 TEST(CombinedFaults, LargeArraysBeginBesideMoreWorkThanRoom) {
   const auto begun = [](std::uint64_t seed, double within) {
-    Plan plan = deployed(seed, 6);
+    SimulationPlan plan = deployed(seed, 6);
     plan.begin_within_s = within;
     plan.objectives = {{"finished", "batch", 30, 0.9, 1}};
     Day day(plan);
@@ -571,7 +573,7 @@
           if (seed % 2 == 0)
             s.priority = wire::Priority::high;
           s.estimate_s = 10;
-          day.world.user(s, 10);
+          day.world.submit_job(s, 10);
         });
       }
     }
@@ -579,15 +581,15 @@
     for (int n = 10; n < 14; ++n) {
       wire::JobSpec s = job_of(n, 150, n % 2 == 0 ? "red" : "blue");
       s.estimate_s = 20;
-      day.world.user(s, 20);
+      day.world.submit_job(s, 20);
     }
-    day.at(120, [&] { day.world.slow_links(20); });
+    day.at(120, [&] { day.world.slow_down_links(20); });
     day.at(150, [&] { day.crash_leader(); });
     day.world.step(60 + 240);
     std::size_t n = 0;
     for (int ref = 10; ref < 14; ++ref)
       n += day.world.began_at(Day::ref(ref)) >= 0;
-    for (const auto& b : day.world.run_report().broken)
+    for (const auto& b : day.world.run_report().broken_rules)
       ADD_FAILURE() << b;
     return n;
   };
--- a/tests/final_state_backlog_test.cpp
+++ b/tests/final_state_backlog_test.cpp
@@ -26,11 +26,11 @@
  public:
   BacklogDay(std::uint64_t seed, Faults faults) : Day(plan_of_backlog(seed)) {
     for (double t = kFrom; t < kUntil; t += kStreamEvery)
-      at(t, [this] { world.user(small(++jobs_made_), 1); });
+      at(t, [this] { world.submit_job(small(++jobs_made_), 1); });
     for (double t = kFrom + 5; t < kUntil; t += kChainEvery)
       at(t, [this] { submit_chain(); });
     for (double t = kFrom; t < kUntil; t += 1)
-      at(t, [this] { most_unrecorded_ = std::max(most_unrecorded_, world.unrecorded_ends()); });
+      at(t, [this] { most_unrecorded_ = std::max(most_unrecorded_, world.unrecorded_final_states()); });
     if (faults == Faults::of_the_incident)
       order_faults();
     if (faults == Faults::leader_ends)
@@ -41,8 +41,8 @@
   }
 
  private:
-  static Plan plan_of_backlog(std::uint64_t seed) {
-    Plan plan = deployed(seed, 60);
+  static SimulationPlan plan_of_backlog(std::uint64_t seed) {
+    SimulationPlan plan = deployed(seed, 60);
     plan.write_rps = 12;
     return plan;
   }
@@ -55,13 +55,13 @@
   void submit_chain() {
     wire::JobSpec first = small(++jobs_made_);
     first.tasks = 2;
-    world.user(first, 200, world.now() + 3);
+    world.submit_job(first, 200, world.now() + 3);
     std::string needed = first.ref;
     for (int link = 1; link <= 2; ++link) {
       wire::JobSpec next = small(++jobs_made_);
       next.depends_on = {needed};
       needed = next.ref;
-      at(world.now() + link, [this, next] { world.user(next, 1); });
+      at(world.now() + link, [this, next] { world.submit_job(next, 1); });
     }
   }
   // As in the incident.
@@ -93,7 +93,7 @@
     day.world.step(kUntil);
     EXPECT_GT(day.most_unrecorded(), kManyEnds) << "there was no backlog";
     const RunReport& report = day.finish();
-    EXPECT_GT(report.orphans, 100U);
+    EXPECT_GT(report.orphaned, 100U);
     EXPECT_LE(report.longest_unanswered_alone, 75);
     if (::testing::Test::HasFailure())
       return;
@@ -116,22 +116,22 @@
   BacklogDay day(1, Faults::none);
   day.world.step(kUntil);
   EXPECT_GT(day.most_unrecorded(), kManyEnds) << "there was no backlog";
-  EXPECT_GT(day.world.run_report().aborts_put_off, 20U) << "cancellations were not late";
-  EXPECT_EQ(day.world.run_report().abort_marks, 0U);
-  EXPECT_TRUE(day.world.run_report().broken.empty());
+  EXPECT_GT(day.world.run_report().cancellations_deferred, 20U) << "cancellations were not late";
+  EXPECT_EQ(day.world.run_report().cancellation_markers, 0U);
+  EXPECT_TRUE(day.world.run_report().broken_rules.empty());
 }
 
 // A job that nobody answers about counts as forgotten amid faults too, if others are answered.
 TEST(Backlog, TheCheckOfForgottenJobsCanFail) {
-  Plan plan = deployed(3, 6);
-  plan.sabotage = "one_unanswered";
+  SimulationPlan plan = deployed(3, 6);
+  plan.planted_fault = "one_unanswered";
   Day day(plan);
   constexpr double kFaultsFor = 200;
-  day.world.late_writes(0, kFaultsFor, true);
+  day.world.delay_writes(0, kFaultsFor, true);
   day.long_arrays(4, 150);
   day.world.step(kFaultsFor);
-  ASSERT_EQ(day.world.run_report().broken.size(), 1U);
-  EXPECT_TRUE(day.world.run_report().broken.front().starts_with("forgotten"));
+  ASSERT_EQ(day.world.run_report().broken_rules.size(), 1U);
+  EXPECT_TRUE(day.world.run_report().broken_rules.front().starts_with("forgotten"));
 }
 
 }  // namespace
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -13,7 +13,7 @@
     Day day(deployed(seed, 8));
     day.long_arrays(8, 20);
     day.stream(120, 0.4, 0.4, 2, 5);
-    day.world.late_commands(0.4, 85);
+    day.world.delay_commands(0.4, 85);
     day.cancel(10, 5, 60, 1.1);
     for (double t = 52 + 0.7 * static_cast<double>(seed); t < 125; t += 13)
       day.at(t, [&] { day.crash_leader(); });
@@ -29,7 +29,7 @@
     Day day(deployed(seed, 8));
     day.long_arrays(8, 40);
     day.stream(120, 0.5, 0.4, 2, 5);
-    day.world.late_commands(0.5, 80);
+    day.world.delay_commands(0.5, 80);
     for (double t = 55; t < 110; t += 18) {
       day.at(t + 0.2 * static_cast<double>(seed), [&day, seed] {
         day.world.cut_node(day.world.leader().value_or(0), true, true, 9, seed % 2 == 0);
@@ -51,7 +51,7 @@
         SimulatedCluster::MachineFault::mute, SimulatedCluster::MachineFault::unreachable};
     day.long_arrays(8, 25);
     day.stream(120, 0.4, 0.5, 2, 4);
-    day.world.late_commands(0.4, 80);
+    day.world.delay_commands(0.4, 80);
     for (double t = 50; t < 110; t += 9) {
       day.at(t, [&day, seed, t, &kinds] {
         const auto kind = static_cast<std::size_t>(t) + seed;
@@ -71,13 +71,13 @@
 TEST(LateMessages, OldReportsReachANewLeaderBeforeAnyWorker) {
   meet(12, 1000, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
-    day.world.late_reports(0.7, 120, SimulatedCluster::CopyArrives::at_election);
+    day.world.duplicate_heartbeats_late(0.7, 120, SimulatedCluster::DuplicateArrival::at_election);
     day.long_arrays(8, 70, 4);
     day.stream(150, 1, 0.3, 2, 8);
     day.at(48, [&] {
       day.world.fail_machines(SimulatedCluster::MachineFault::hung, 3, 23 + static_cast<double>(seed % 5));
     });
-    day.at(70, [&] { day.world.late_commands(0.5, 80); });
+    day.at(70, [&] { day.world.delay_commands(0.5, 80); });
     for (double t = 78 + 0.4 * static_cast<double>(seed); t < 150; t += 16) {
       day.at(t - 1, [&day, seed] {
         day.world.fail_machines(
@@ -89,7 +89,7 @@
     day.cancel(10, 3, 95, 7);
     day.world.step(160);
     EXPECT_GT(day.elections(), 3U);
-    return day.finish().kept_reports;
+    return day.finish().held_heartbeats;
   });
 }
 
@@ -106,18 +106,18 @@
     day.cancel(10, 4, 57, 2);
     day.world.step(120);
     EXPECT_GT(day.elections(), 1U);
-    return day.finish().unheard;
+    return day.finish().undelivered;
   });
 }
 
 // Controllers hand over and back, all end and one returns, each within a second.
 TEST(LateMessages, HandOverAndBackWithinASecond) {
   meet(8, 24, [](std::uint64_t seed) {
-    Plan plan = deployed(seed, 8);
+    SimulationPlan plan = deployed(seed, 8);
     plan.back_from = 0.1;
     plan.back_to = 0.6;
     Day day(plan);
-    day.world.late_commands(0.3, 90);
+    day.world.delay_commands(0.3, 90);
     day.long_arrays(8, 30);
     day.stream(120, 0.5, 0.4, 2, 5);
     const double at = 60 + 0.1 * static_cast<double>(seed);
@@ -161,11 +161,11 @@
       day.long_arrays(9, 110);
       day.world.step(kRefusedAt);
       const double down_at = kRefusedAt + 1 + 0.1 * static_cast<double>(seed % 5);
-      day.world.state_refuses(day.world.leader().value_or(0), 14);
+      day.world.refuse_state_service(day.world.leader().value_or(0), 14);
       day.cancel(10, kCancelled, kRefusedAt + after, 0.01);
       day.at(down_at, [&] { day.world.state_outage(kDownFor); });
       if (seed % 2 == 0)
-        day.world.late_commands(0.5, 60);
+        day.world.delay_commands(0.5, 60);
       day.world.step(down_at + kDownFor);
       for (int n = 10; n < 10 + kCancelled; ++n)
         waited_through += day.world.cancelled_at(Day::ref(n)) < 0;
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -7,12 +7,12 @@
 namespace wingtrail::simulation {
 namespace {
 
-constexpr double kLease = 20;  // of the simulated workers
+constexpr double kWorkerLease = 20;  // of the simulated workers
 
-Plan agreed(std::uint64_t seed, int machines, double leases = 2) {
-  Plan plan = scripted(seed, machines);
-  plan.agreed = plan.lives = true;
-  plan.custody_leases = leases;
+SimulationPlan agreed(std::uint64_t seed, int machines, double leases = 2) {
+  SimulationPlan plan = scripted(seed, machines);
+  plan.peer_agreement = plan.short_lived_processes = true;
+  plan.delegation_leases = leases;
   plan.back_from = 0.05;
   plan.back_to = 0.3;
   return plan;
@@ -34,8 +34,8 @@
           agreed(seed, 12),
           [at](SimulatedCluster& w) {
             w.state_outage(70);
-            w.at_once_after(at, [&w] { crash_all(w); });
-            w.at_once_after(at + 2, [&w] { crash_all(w); });
+            w.schedule_after(at, [&w] { crash_all(w); });
+            w.schedule_after(at + 2, [&w] { crash_all(w); });
           },
           90));
     }
@@ -51,10 +51,10 @@
         [](SimulatedCluster& w) {
           w.state_outage(60);
           for (int i = 0; i < 12; ++i)
-            w.at_once_after(1 + i, [&w] { crash_all(w); });
+            w.schedule_after(1 + i, [&w] { crash_all(w); });
           for (int i = 0; i < 20; ++i)
-            w.at_once_after(25 + 1.5 * i, [&w, i] { w.crash(static_cast<std::size_t>(i % 3)); });
-          w.at_once_after(59.9, [&w] { crash_all(w); });
+            w.schedule_after(25 + 1.5 * i, [&w, i] { w.crash(static_cast<std::size_t>(i % 3)); });
+          w.schedule_after(59.9, [&w] { crash_all(w); });
         },
         90));
   }
@@ -66,7 +66,7 @@
 TEST(AllNew, LivesOfASecondAmidAnOutageLoseLittle) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     SCOPED_TRACE(seed);
-    Plan plan = agreed(seed, 12);
+    SimulationPlan plan = agreed(seed, 12);
     plan.back_to = 0.06;
     const Ride r = ride_through(
         plan,
@@ -74,30 +74,30 @@
           w.state_outage(65);
           // Not in step with the second after which workers try again.
           for (int i = 0; i < 60; ++i)
-            w.at_once_after(1 + i + 0.15 * (i % 4), [&w] { crash_all(w); });
+            w.schedule_after(1 + i + 0.15 * (i % 4), [&w] { crash_all(w); });
         },
         90);
-    for (const auto& b : r.verdict.broken)
+    for (const auto& b : r.verdict.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_LE(r.verdict.lost_by_lease, r.before / 5);
+    EXPECT_LE(r.verdict.lost_by_lease_expiry, r.before / 5);
     EXPECT_TRUE(r.over);
   }
 }
 
 // Without agreement the same outage costs everything that runs: the test above can fail.
 TEST(AllNew, WithoutAgreementAnOutageCostsWhatRuns) {
-  Plan plan = agreed(1, 12);
-  plan.agreed = false;
+  SimulationPlan plan = agreed(1, 12);
+  plan.peer_agreement = false;
   const Ride r = ride_through(
       plan,
       [](SimulatedCluster& w) {
         w.state_outage(70);
-        w.at_once_after(4, [&w] { crash_all(w); });
+        w.schedule_after(4, [&w] { crash_all(w); });
       },
       90);
-  for (const auto& b : r.verdict.broken)
+  for (const auto& b : r.verdict.broken_rules)
     ADD_FAILURE() << b;
-  EXPECT_GT(r.verdict.lost_by_lease, 10U);
+  EXPECT_GT(r.verdict.lost_by_lease_expiry, 10U);
 }
 
 // All end again and again and a zone is cut off before anybody could have watched for cancel_s: the mark in
@@ -110,8 +110,8 @@
           agreed(seed, 12, 4),
           [leaders](SimulatedCluster& w) {
             for (const double at : {1.0, 6.0, 8.0, 14.0})
-              w.at_once_after(at, [&w] { crash_all(w); });
-            w.at_once_after(24, [&w, leaders] {
+              w.schedule_after(at, [&w] { crash_all(w); });
+            w.schedule_after(24, [&w, leaders] {
               w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 55, true);
             });
           },
@@ -137,7 +137,7 @@
       EXPECT_TRUE(world.leader()) << "seed " << seed << " at " << t;
       world.step(t + 5);
     }
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -154,13 +154,13 @@
           [after, in_turn](SimulatedCluster& w) {
             crash_all(w);
             for (std::size_t i = 0; i < 3; ++i)
-              w.at_once_after(after * (in_turn ? static_cast<double>(i + 1) : 1.0), [&w, i] { w.crash(i); });
+              w.schedule_after(after * (in_turn ? static_cast<double>(i + 1) : 1.0), [&w, i] { w.crash(i); });
           },
           60);
-      for (const auto& b : r.verdict.broken)
+      for (const auto& b : r.verdict.broken_rules)
         ADD_FAILURE() << b;
       EXPECT_EQ(r.again, 0U);
-      EXPECT_EQ(r.verdict.lost_by_lease, 0U);
+      EXPECT_EQ(r.verdict.lost_by_lease_expiry, 0U);
       EXPECT_TRUE(r.over);
     }
   }
@@ -205,9 +205,9 @@
   SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(loss.zones) + " zones, cut " +
                std::to_string(loss.cut_s));
   hush();
-  Plan plan = agreed(seed, static_cast<int>(loss.machines), 2);
-  plan.zones = loss.zones;
-  plan.most_machines = loss.machines * 2;
+  SimulationPlan plan = agreed(seed, static_cast<int>(loss.machines), 2);
+  plan.zone_tracking = loss.zones;
+  plan.max_machines = loss.machines * 2;
   SimulatedCluster world(plan);
   world.begin();
   world.step(5);
@@ -218,42 +218,42 @@
     s.priority = wire::Priority::production;
     s.spread_zones = true;
     s.allows_spot = false;
-    world.user(s, 0);
+    world.submit_job(s, 0);
   }
   world.step(50);
   const std::size_t zone = (world.leader().value_or(0) + (loss.leaders ? 0 : 1)) % loss.zones;
   world.cut_zone(zone, loss.cut_s, true);
   if (loss.crash_at >= 0 && loss.crash_at <= 15)
-    world.at_once_after(loss.crash_at, [&world] { crash_all(world); });
+    world.schedule_after(loss.crash_at, [&world] { crash_all(world); });
   world.step(65);  // until then a few silent machines may be silent for themselves
-  const std::size_t there = world.machines_in(zone);
+  const std::size_t there = world.machines_in_zone(zone);
   if (loss.dead_share > 0)
-    world.at_once_after(loss.cut_s - 25, [&world, zone, there, share = loss.dead_share] {
+    world.schedule_after(loss.cut_s - 25, [&world, zone, there, share = loss.dead_share] {
       world.kill_in_zone(zone, static_cast<std::size_t>(share * static_cast<double>(there)));
     });
   if (loss.all_new)
     for (const double at : {1.0, loss.cut_s - 35, loss.cut_s - 16}) {
-      world.at_once_after(at, [&world] { crash_all(world); });
+      world.schedule_after(at, [&world] { crash_all(world); });
     }
   if (loss.crash_at > 15)
-    world.at_once_after(loss.crash_at - 15, [&world] { crash_all(world); });
+    world.schedule_after(loss.crash_at - 15, [&world] { crash_all(world); });
   for (int n = 0; n < loss.surge; ++n) {
     world.step(66 + n);
     wire::JobSpec s = job_of(100 + n, 20, "blue");
     s.estimate_s = 15;
-    world.user(s, 15);
+    world.submit_job(s, 15);
   }
   world.step(50 + loss.cut_s - 0.1);
   const RunReport& v = world.run_report();
   EXPECT_EQ(v.returned_in_cut, 0U);
   EXPECT_EQ(v.started_in_cut, 0U);
   EXPECT_EQ(v.rented_in_cut, 0U);
-  EXPECT_GE(
-      world.machines_in(zone) + static_cast<std::size_t>(loss.dead_share * static_cast<double>(there)) + 1,
-      there)
+  EXPECT_GE(world.machines_in_zone(zone) +
+                static_cast<std::size_t>(loss.dead_share * static_cast<double>(there)) + 1,
+            there)
       << "kept for its return";
   if (const auto stats = world.leader_stats();
-      stats && !loss.all_new && loss.crash_at < 0 && loss.cut_s > 3 * kLease + 5) {
+      stats && !loss.all_new && loss.crash_at < 0 && loss.cut_s > 3 * kWorkerLease + 5) {
     EXPECT_EQ(stats->zones_lost, 1U);
   }
   world.step(60 + loss.cut_s + static_cast<double>(loss.also));
@@ -266,7 +266,7 @@
     EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), loss.machines / 3) << "service " << n;
   }
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.run_report().broken)
+  for (const auto& b : world.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
@@ -324,7 +324,7 @@
     s.shape = wire::Shape::service;
     s.spread_zones = true;
     s.allows_spot = false;
-    world.user(s, 0);
+    world.submit_job(s, 0);
     world.step(50);
     for (double t = 50; t < 50 + 8 * period + 20; t += 2 * period) {
       world.cut_zone(1, period, true);
@@ -333,7 +333,7 @@
     EXPECT_EQ(world.run_report().returned_in_cut, 0U);
     world.step(world.next() + 120);
     EXPECT_EQ(world.replicas_up("req-1"), 6U);
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -341,8 +341,8 @@
 // Half as many machines again as the fleet sites, processes back at once, a zone lost under it all.
 TEST(LostZone, AtEighteenHundredMachines) {
   hush();
-  Plan plan = agreed(11, 1800, 3);
-  plan.zones = 3;
+  SimulationPlan plan = agreed(11, 1800, 3);
+  plan.zone_tracking = 3;
   SimulatedCluster world(plan);
   world.begin();
   world.step(5);
@@ -351,13 +351,13 @@
     s.shape = wire::Shape::service;
     s.spread_zones = true;
     s.allows_spot = false;
-    world.user(s, 0);
+    world.submit_job(s, 0);
   }
   world.step(45);
   for (int n = 0; n < 20; ++n) {
     wire::JobSpec s = job_of(100 + n, 100, "blue");
     s.estimate_s = 30;
-    world.user(s, 30);
+    world.submit_job(s, 30);
   }
   world.step(50);
   const std::size_t before = world.run_report().started;
@@ -368,14 +368,14 @@
   world.step(70);
   world.crash(0);
   world.step(180);
-  EXPECT_EQ(world.run_report().lost_by_lease, 0U);
+  EXPECT_EQ(world.run_report().lost_by_lease_expiry, 0U);
   EXPECT_EQ(world.run_report().returned_in_cut, 0U);
   std::size_t up = 0;
   for (int n = 1; n <= 30; ++n)
     up += world.replicas_up("req-" + std::to_string(n));
   EXPECT_EQ(up, 1800U);
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.run_report().broken)
+  for (const auto& b : world.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -37,7 +37,7 @@
     case Trouble::node_dead:
       // Its share must be of use to the others while it is away.
       for (int k = 0; k < 12; ++k)
-        world.at_once_after(k, [&world, other] { world.crash(other); });
+        world.schedule_after(k, [&world, other] { world.crash(other); });
       return;
     case Trouble::cut_from_peers:
       return world.cut_node(other, false, true, 12, true);
@@ -49,7 +49,7 @@
       return world.freeze(leader, 6);
     case Trouble::restarts:
       for (int k = 0; k < 20; ++k)
-        world.at_once_after(k, [&world, other] { world.crash(other); });
+        world.schedule_after(k, [&world, other] { world.crash(other); });
       return;
     default:
       return;
@@ -66,12 +66,12 @@
   SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(flood.nodes) + " nodes, " +
                std::to_string(flood.factor) + " times, " + kTroubles[static_cast<int>(flood.trouble)]);
   hush();
-  Plan plan = scripted(seed, 16);
-  plan.admission = true;
-  plan.agreed = true;
+  SimulationPlan plan = scripted(seed, 16);
+  plan.fair_admission = true;
+  plan.peer_agreement = true;
   plan.nodes = flood.nodes;
   plan.write_rps = flood.write_rps;
-  plan.one_fixed = flood.trouble == Trouble::older;
+  plan.one_without_shares = flood.trouble == Trouble::older;
   plan.back_from = flood.trouble == Trouble::node_dead ? 0.9 : 0.05;
   plan.back_to = flood.trouble == Trouble::node_dead ? 0.99 : 0.2;
   SimulatedCluster world(plan);
@@ -83,7 +83,7 @@
     wire::JobSpec s = job_of(++n, 1, team);
     s.job_class = job_class;
     s.estimate_s = 1;
-    world.user(s, 1, flood.one_user && n % 3 == 0 ? t + 2 : -1);
+    world.submit_job(s, 1, flood.one_user && n % 3 == 0 ? t + 2 : -1);
   };
   bool struck = false;
   constexpr double kEnd = 100;
@@ -101,23 +101,23 @@
     world.step(t + 0.1);
   }
   tally.calm += 1;
-  tally.calm_in_time += world.accepted_within("calm", 1, kFrom, kTo);
-  EXPECT_GE(world.accepted_within("calm", 30, kFrom, kTo), 0.95);
-  EXPECT_GE(world.accepted_within("flood", 30, kFrom, kTo), 0.5);
+  tally.calm_in_time += world.accepted_within_share("calm", 1, kFrom, kTo);
+  EXPECT_GE(world.accepted_within_share("calm", 30, kFrom, kTo), 0.95);
+  EXPECT_GE(world.accepted_within_share("flood", 30, kFrom, kTo), 0.5);
   // Normal again within half a minute, with all who were put off still coming back.
   for (const char* job_class : {"calm", "flood"}) {
     tally.after += 1;
-    tally.after_in_time += world.accepted_within(job_class, 1, kTo + 30, kEnd - 2);
+    tally.after_in_time += world.accepted_within_share(job_class, 1, kTo + 30, kEnd - 2);
   }
   // Buckets hold a second's worth, but at least four changes and one for admissions at each node, which with
   // a budget as small as this is more; the span is five seconds.
   if (flood.trouble != Trouble::older) {
     const double whole = 5.0 * static_cast<double>(flood.nodes) / flood.write_rps;
-    EXPECT_LE(world.run_report().most_writes, 0.9 + (0.9 + whole) / 5);
+    EXPECT_LE(world.run_report().max_writes, 0.9 + (0.9 + whole) / 5);
   }
   world.step(400);
   EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.run_report().broken)
+  for (const auto& b : world.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
@@ -169,8 +169,8 @@
 TEST(Flood, TheWayBackLeavesNoSheet) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     hush();
-    Plan plan = scripted(seed, 40);  // so many that nothing has to give way
-    plan.admission = true;
+    SimulationPlan plan = scripted(seed, 40);  // so many that nothing has to give way
+    plan.fair_admission = true;
     plan.back_from = 0.05, plan.back_to = 0.3;
     SimulatedCluster world(plan);
     world.begin();
@@ -179,19 +179,19 @@
       wire::JobSpec s = job_of(n, 1, n % 2 == 0 ? "red" : "blue");
       s.shape = n % 4 == 0 ? wire::Shape::service : wire::Shape::array;
       s.estimate_s = 5;
-      world.user(s, 5, n % 8 == 0 ? 60 : -1);
+      world.submit_job(s, 5, n % 8 == 0 ? 60 : -1);
     }
     world.step(14);
-    EXPECT_GT(world.run_report().on_sheets, 20U) << seed;
+    EXPECT_GT(world.run_report().batched, 20U) << seed;
     world.crash(world.leader().value_or(0));
     world.step(25);
-    EXPECT_GT(world.sheets(), 0U) << "services live on";
+    EXPECT_GT(world.batch_count(), 0U) << "services live on";
     for (std::size_t i = 0; i < 3; ++i) {
       world.restart_with([](settings::Settings& s) { s.tunables.fair_admission = 0; }, i);
       world.step(30 + 8 * static_cast<double>(i));
     }
     world.step(80);
-    EXPECT_EQ(world.sheets(), 0U) << seed;
+    EXPECT_EQ(world.batch_count(), 0U) << seed;
     for (int n = 4; n <= 40; n += 4) {
       if (n % 8 != 0) {
         EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), 1U) << n;
@@ -201,7 +201,7 @@
     world.step(200);
     EXPECT_EQ(world.close().unfinished, 0U);
     EXPECT_EQ(world.run_report().started_again, 0U) << "what runs is found again";
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -210,9 +210,9 @@
 TEST(Flood, WhatIsOverStaysOverUnderEveryLeader) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     hush();
-    Plan plan = scripted(seed, 16);
-    plan.admission = true;
-    plan.agreed = true;  // else a lease may run out between so many leaders
+    SimulationPlan plan = scripted(seed, 16);
+    plan.fair_admission = true;
+    plan.peer_agreement = true;  // else a lease may run out between so many leaders
     plan.back_from = 0.05, plan.back_to = 0.3;
     SimulatedCluster world(plan);
     world.begin();
@@ -220,17 +220,17 @@
     for (int n = 1; n <= 60; ++n) {
       wire::JobSpec s = job_of(n, 1, "red");
       s.estimate_s = n % 10 == 0 ? 60 : 3;
-      world.user(s, n % 10 == 0 ? 60 : 3);
+      world.submit_job(s, n % 10 == 0 ? 60 : 3);
     }
     for (double t = 44; t < 100; t += 9) {  // no multiple of what a worker waits for a dead node
       world.step(t);
       world.crash(world.leader().value_or(0));
     }
     world.step(200);
-    EXPECT_GT(world.run_report().on_sheets, 20U);
+    EXPECT_GT(world.run_report().batched, 20U);
     EXPECT_EQ(world.close().unfinished, 0U);
     EXPECT_EQ(world.run_report().started_again, 0U);
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -240,25 +240,25 @@
 TEST(Flood, AnOrphanIsNotCalledQueuedAfterALongOutage) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
     hush();
-    Plan plan = scripted(seed, 6);
-    plan.chains = true;
+    SimulationPlan plan = scripted(seed, 6);
+    plan.dependencies = true;
     SimulatedCluster world(plan);
     world.begin();
     world.step(5);
     wire::JobSpec first = job_of(1, 2, "red");
     first.estimate_s = 60;
-    world.user(first, 60, 12);
+    world.submit_job(first, 60, 12);
     world.step(20);
     world.crash(world.leader().value_or(0));
     world.step(20.5);
     wire::JobSpec next = job_of(2, 2, "red");
     next.depends_on = {"req-1"};
-    world.user(next, 5);
+    world.submit_job(next, 5);
     world.step(21);
     world.state_outage(45);
     world.step(200);
-    EXPECT_GT(world.run_report().orphans, 0U);
-    for (const auto& b : world.run_report().broken)
+    EXPECT_GT(world.run_report().orphaned, 0U);
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -269,25 +269,25 @@
 TEST(Flood, AnEndOnItsWayIsNotCalledLive) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     hush();
-    Plan plan = scripted(seed, 16);
-    plan.admission = seed % 2 == 0;
+    SimulationPlan plan = scripted(seed, 16);
+    plan.fair_admission = seed % 2 == 0;
     SimulatedCluster world(plan);
     world.begin();
     world.step(10);
     for (int n = 1; n <= 30; ++n) {
       wire::JobSpec s = job_of(n, 1, "red");
       s.estimate_s = 10;
-      world.user(s, n % 3 == 0 ? 8 : 60, n % 3 == 0 ? -1 : 20 + n);
+      world.submit_job(s, n % 3 == 0 ? 8 : 60, n % 3 == 0 ? -1 : 20 + n);
     }
     world.step(15);
     for (int n = 1; n <= 30; ++n)
-      world.watch_closely("req-" + std::to_string(n), 150);
+      world.poll_closely("req-" + std::to_string(n), 150);
     for (std::size_t i = 0; i < world.nodes(); ++i)
       world.cut_node(i, false, true, 50, false);
     world.state_slow(60);
     world.step(80);
     EXPECT_GT(world.run_report().cancelled, 10U);
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
--- a/tests/process_cluster.cpp
+++ b/tests/process_cluster.cpp
@@ -70,7 +70,7 @@
 class Cluster {
  public:
   Cluster(const Options& options, net::EventLoop& loop, net::TaskScope& scope, std::size_t cell,
-          std::shared_ptr<Reach> reach)
+          std::shared_ptr<CellNetwork> reach)
       : options_(options),
         loop_(loop),
         scope_(scope),
@@ -82,23 +82,23 @@
     for (Process& p : nodes_)
       p.client = free_port(), p.peer = free_port(), p.state = free_port(), p.cloud = free_port(),
       p.relay = free_port();
-    Plan plan;
+    SimulationPlan plan;
     plan.seed = options.seed + 1000 * cell;
     plan.cell = cell, plan.cells = options.cells;
     plan.duration_s = options.seconds * 0.6;
     plan.settle_s = options.seconds * 0.4;
     plan.fault_every_s = options.troubles;
-    plan.chains = true;
+    plan.dependencies = true;
     plan.upgrade = !options.former.empty();
-    plan.admission = !options.tunables.empty();  // users come together, too
+    plan.fair_admission = !options.tunables.empty();  // users come together, too
     if (options.cells > 1) {
       plan.arrival_s = cell == 0 ? 1.5 : 10;
-      plan.most_machines = cell == 0 ? 6 : 16;
+      plan.max_machines = cell == 0 ? 6 : 16;
     }
     world_ = std::make_unique<SimulatedCluster>(
         plan,
-        SimulatedCluster::Outside{
-            [this](std::size_t i, controller::IncomingRequest in, SimulatedCluster::OnAnswer then) {
+        SimulatedCluster::ExternalProcesses{
+            [this](std::size_t i, controller::IncomingRequest in, SimulatedCluster::AnswerCallback then) {
               carry(i, std::move(in), std::move(then));
             },
             [this](const std::string& host) { return worker(host); }, [this](std::size_t i) { boot(i); },
@@ -107,14 +107,14 @@
             }});
     if (options.cells > 1) {
       reach->cells.push_back(world_.get());
-      world_->join(reach);
+      world_->join_network(reach);
     }
     for (std::size_t i = 0; i < kNodes; ++i) {
-      serve(nodes_[i].state, [this, i](net::Request r, SimulatedCluster::Reply reply) {
-        world_->state(i, r.method, r.target, body(r), std::move(reply));
+      serve(nodes_[i].state, [this, i](net::Request r, SimulatedCluster::ReplyCallback reply) {
+        world_->state_service_request(i, r.method, r.target, body(r), std::move(reply));
       });
-      serve(nodes_[i].cloud, [this](net::Request r, SimulatedCluster::Reply reply) {
-        world_->cloud(r.method, r.target, body(r), std::move(reply));
+      serve(nodes_[i].cloud, [this](net::Request r, SimulatedCluster::ReplyCallback reply) {
+        world_->cloud_request(r.method, r.target, body(r), std::move(reply));
       });
       write_settings(i);
       auto relay = [this, i](net::Request r) -> net::Task<net::Response> {
@@ -157,7 +157,7 @@
     world_->begin();
     say("Three controllers start; the state service, the cloud, the workers and the users are played here.");
     if (options_.end_one) {
-      world_->at_once_after(options_.seconds * 0.35, [this] {
+      world_->schedule_after(options_.seconds * 0.35, [this] {
         say("node-0 is killed without a word; it comes back by itself within some seconds.");
         world_->crash(0);
       });
@@ -167,12 +167,12 @@
     if (options_.late_messages)
       play_late_messages();
     if (options_.cells > 1) {
-      world_->at_once_after(options_.seconds * 0.25, [this] { refuses_ = true; });
-      world_->at_once_after(options_.seconds * 0.35, [this] { refuses_ = false; });
+      world_->schedule_after(options_.seconds * 0.25, [this] { refuses_ = true; });
+      world_->schedule_after(options_.seconds * 0.35, [this] { refuses_ = false; });
     }
     if (options_.cells > 1 && cell_ + 1 == options_.cells) {
       for (double t = 0; t < options_.seconds * 0.1; t += 0.5) {
-        world_->at_once_after(options_.seconds * 0.42 + t, [this] {
+        world_->schedule_after(options_.seconds * 0.42 + t, [this] {
           for (std::size_t i = 0; i < kNodes; ++i)
             world_->crash(i);
         });
@@ -185,22 +185,22 @@
   void play_late_messages() {
     constexpr double kCommands = 0.3, kReports = 0.4;
     const double lasts = options_.seconds * 0.6;
-    world_->late_commands(kCommands, lasts);
-    world_->late_reports(kReports, lasts, SimulatedCluster::CopyArrives::later);
+    world_->delay_commands(kCommands, lasts);
+    world_->duplicate_heartbeats_late(kReports, lasts, SimulatedCluster::DuplicateArrival::later);
   }
 
   // docs/combined-faults.md: the leader refused alone, jobs called off, then the service down for all.
   void play_gap() {
     constexpr double kFrom = 50, kRefused = 14, kCancels = 6, kDown = 9, kDownFor = 45;
-    world_->at_once_after(kFrom, [this] {
-      const std::size_t old = world_->key_holder().value_or(0);
+    world_->schedule_after(kFrom, [this] {
+      const std::size_t old = world_->leader_key_holder().value_or(0);
       say("the state service refuses node-" + std::to_string(old) + ", which leads, alone");
-      world_->state_refuses(old, kRefused);
+      world_->refuse_state_service(old, kRefused);
     });
     for (int n = 0; n < 4; ++n)
-      world_->at_once_after(kFrom + kCancels + 0.5 * n, [this] { world_->cancel_now(4, 0); });
-    world_->at_once_after(kFrom + kDown, [this] {
-      say(std::to_string(world_->run_report().called_off) + " running jobs called off so far, " +
+      world_->schedule_after(kFrom + kCancels + 0.5 * n, [this] { world_->cancel_running_jobs(4, 0); });
+    world_->schedule_after(kFrom + kDown, [this] {
+      say(std::to_string(world_->run_report().cancelled_together) + " running jobs called off so far, " +
           std::to_string(world_->run_report().told_gone) +
           " cancellations confirmed; now the state service is down for all");
       world_->state_outage(kDownFor);
@@ -212,7 +212,7 @@
     return start_ + std::min(world_->next(), options_.seconds);
   }
   bool over() {
-    return now() >= options_.seconds || !world_->run_report().broken.empty();
+    return now() >= options_.seconds || !world_->run_report().broken_rules.empty();
   }
   const RunReport& close() {
     return world_->close();
@@ -224,7 +224,7 @@
     std::uint16_t relay = 0;  // where the controllers of other cells find it
     pid_t pid = -1;
   };
-  using Service = std::function<void(net::Request, SimulatedCluster::Reply)>;
+  using Service = std::function<void(net::Request, SimulatedCluster::ReplyCallback)>;
 
   double now() {
     return loop_.refresh() - start_;
@@ -236,12 +236,12 @@
   }
   void tell() {
     constexpr double kEvery = 5;
-    world_->at_once_after(kEvery, [this] {
+    world_->schedule_after(kEvery, [this] {
       const RunReport& v = world_->run_report();
       say(std::to_string(v.accepted) + " jobs accepted, " + std::to_string(v.started) + " tasks started, " +
           std::to_string(v.finished) + " jobs done, " + std::to_string(v.cancelled) + " cancelled; " +
-          std::to_string(v.late_commands) + " commands and " + std::to_string(v.late_reports) +
-          " reports came late; " + (v.broken.empty() ? "no rule broken" : "A RULE WAS BROKEN"));
+          std::to_string(v.late_commands) + " commands and " + std::to_string(v.late_heartbeats) +
+          " reports came late; " + (v.broken_rules.empty() ? "no rule broken" : "A RULE WAS BROKEN"));
       tell();
     });
   }
@@ -291,15 +291,16 @@
 
   std::string worker(const std::string& host) {
     const std::uint16_t port = free_port();
-    serve(port, [this, host](net::Request r, const SimulatedCluster::Reply& reply) {
+    serve(port, [this, host](net::Request r, const SimulatedCluster::ReplyCallback& reply) {
       // One that hangs does not answer: the caller's own deadline ends its wait.
-      if (auto a = world_->commands(host, body(r)))
+      if (auto a = world_->worker_commands(host, body(r)))
         reply(a->first, std::move(a->second));
     });
     return address(port);
   }
 
-  net::DetachedTask carry(std::size_t i, controller::IncomingRequest in, SimulatedCluster::OnAnswer then) {
+  net::DetachedTask carry(std::size_t i, controller::IncomingRequest in,
+                          SimulatedCluster::AnswerCallback then) {
     net::Request request{in.method, in.path, in.body};
     const net::CallResult o =
         co_await client_.call(kHere, nodes_[i].client, std::move(request), "application/cbor",
@@ -315,7 +316,7 @@
   }
 
   void write_settings(std::size_t i) const {
-    const settings::Settings& s = world_->former_settings();
+    const settings::Settings& s = world_->settings_before_upgrade();
     const settings::Settings& next = world_->settings();
     std::ofstream f(path(i));
     f << "node_name = \"node-" << i << "\"\narea = \"" << s.zones[i % 2] << "\"\nclient_listen = \""
@@ -356,12 +357,12 @@
     if (nodes_[i].pid > 0)
       return;
     const std::string settings = path(i);
-    const std::string& program = world_->former(i) ? options_.former : options_.program;
+    const std::string& program = world_->runs_former_version(i) ? options_.former : options_.program;
     const std::string choices = tunables();
     std::array<char*, 6> argv = {const_cast<char*>(program.c_str()), const_cast<char*>("--config"),
                                  const_cast<char*>(settings.c_str())};
     // The former program does not know all the names.
-    if (!choices.empty() && !world_->former(i))
+    if (!choices.empty() && !world_->runs_former_version(i))
       argv[3] = const_cast<char*>("--tunables"), argv[4] = const_cast<char*>(choices.c_str());
     const pid_t pid = fork();
     if (pid == 0) {
@@ -421,7 +422,7 @@
   using namespace wingtrail;
   net::EventLoop loop;
   net::TaskScope scope(loop);
-  auto reach = std::make_shared<simulation::Reach>();
+  auto reach = std::make_shared<simulation::CellNetwork>();
   std::vector<std::unique_ptr<simulation::Cluster>> cells;
   for (std::size_t c = 0; c < options.cells; ++c)
     cells.push_back(std::make_unique<simulation::Cluster>(options, loop, scope, c, reach));
@@ -443,21 +444,22 @@
   simulation::RunReport v;
   for (auto& c : cells) {
     const simulation::RunReport& own = c->close();
-    for (const auto& b : own.broken)
+    for (const auto& b : own.broken_rules)
       std::cout << b << "\n";
-    v.broken.insert(v.broken.end(), own.broken.begin(), own.broken.end());
+    v.broken_rules.insert(v.broken_rules.end(), own.broken_rules.begin(), own.broken_rules.end());
     v.accepted += own.accepted, v.started += own.started, v.finished += own.finished;
-    v.chained += own.chained, v.orphans += own.orphans, v.cancelled += own.cancelled;
-    v.on_sheets += own.on_sheets, v.unfinished += own.unfinished, v.guests_started += own.guests_started;
+    v.with_dependencies += own.with_dependencies, v.orphaned += own.orphaned, v.cancelled += own.cancelled;
+    v.batched += own.batched, v.unfinished += own.unfinished,
+        v.remote_tasks_started += own.remote_tasks_started;
   }
   std::cout << v.accepted << " jobs accepted, " << v.started << " tasks started, " << v.finished
-            << " jobs done, " << v.chained << " with needs, " << v.orphans << " cancelled with one, "
-            << v.cancelled << " cancelled, " << v.on_sheets << " admitted on sheets, " << v.unfinished
-            << " left undone, " << v.guests_started << " tasks in another cell than their home, "
-            << v.broken.size() << " rules broken\n";
+            << " jobs done, " << v.with_dependencies << " with needs, " << v.orphaned
+            << " cancelled with one, " << v.cancelled << " cancelled, " << v.batched
+            << " admitted on sheets, " << v.unfinished << " left undone, " << v.remote_tasks_started
+            << " tasks in another cell than their home, " << v.broken_rules.size() << " rules broken\n";
   if (options.tell)
-    std::cout << (v.broken.empty() ? "The rules held: no job was lost, run twice, or told wrongly.\n"
-                                   : "Rules were broken, see above.\n");
+    std::cout << (v.broken_rules.empty() ? "The rules held: no job was lost, run twice, or told wrongly.\n"
+                                         : "Rules were broken, see above.\n");
   // The time is too short for every job to end; the simulated cluster demands that, in its own time.
-  return v.broken.empty() && v.finished > 0 ? 0 : 1;
+  return v.broken_rules.empty() && v.finished > 0 ? 0 : 1;
 }
--- a/tests/random_fault_search.cpp
+++ b/tests/random_fault_search.cpp
@@ -12,14 +12,14 @@
   int broken = 0, unfinished = 0;
   std::size_t guests = 0;
   for (int seed = first; seed < first + count; ++seed) {
-    const auto day = wingtrail::simulation::play_cells(static_cast<std::uint64_t>(seed));
-    for (const auto& b : day.broken)
+    const auto day = wingtrail::simulation::run_random_cells(static_cast<std::uint64_t>(seed));
+    for (const auto& b : day.broken_rules)
       std::cout << b << " (cells, seed " << seed << ")\n";
     if (day.unfinished > 0)
       std::cout << "seed " << seed << ": " << day.unfinished << " unfinished\n";
-    broken += !day.broken.empty();
+    broken += !day.broken_rules.empty();
     unfinished += day.unfinished > 0;
-    guests += day.guests_started;
+    guests += day.remote_tasks_started;
   }
   std::cout << broken << " of " << count << " seeds of several cells broke a rule, " << unfinished
             << " left work undone; " << guests << " tasks began in another cell than their home\n";
@@ -36,30 +36,32 @@
     return hunt_cells(first, count);
   int broken = 0, unfinished = 0;
   for (int seed = first; seed < first + count; ++seed) {
-    wingtrail::simulation::Plan plan = wingtrail::simulation::plan_of(static_cast<std::uint64_t>(seed));
+    wingtrail::simulation::SimulationPlan plan =
+        wingtrail::simulation::plan_of(static_cast<std::uint64_t>(seed));
     if (argc > 4)
       plan.fault_every_s = 0;
     const auto v = wingtrail::simulation::SimulatedCluster(plan).run();
-    for (const auto& b : v.broken)
+    for (const auto& b : v.broken_rules)
       std::cout << b << "\n";
     if (v.unfinished > 0)
       std::cout << "seed " << seed << ": " << v.unfinished << " unfinished\n";
-    broken += !v.broken.empty();
+    broken += !v.broken_rules.empty();
     unfinished += v.unfinished > 0;
     if (argc > 4 && v.elections > 1)
       std::cout << "seed " << seed << ": " << v.elections << " elections\n";
     if (count == 1) {
       std::cout << v.started << " started, " << v.accepted << " accepted, " << v.finished << " finished, "
-                << v.cancelled << " cancelled, " << v.elections << " elections, " << v.chained << " chained, "
-                << v.orphans << " orphans, " << v.over_limits << " over limits, " << v.on_sheets
-                << " on sheets, " << v.put_off << " put off\n"
-                << v.late_writes << " written late, " << v.lost_answers << " answers lost, " << v.late_reports
-                << " late reports, " << v.late_commands << " late commands, " << v.again_after_done
-                << " started again after they were done, " << v.kept_reports << " kept for the next leader, "
-                << v.unheard << " unheard, " << v.called_off << " called off together, " << v.at_the_end
-                << " cancelled at the end, " << v.odd_answers << " odd requests, " << v.looks
-                << " close looks, beside room for " << v.longest_beside_room << " s at most, unanswered for "
-                << v.longest_unanswered << " s at most\n";
+                << v.cancelled << " cancelled, " << v.elections << " elections, " << v.with_dependencies
+                << " chained, " << v.orphaned << " orphans, " << v.over_limits << " over limits, "
+                << v.batched << " on sheets, " << v.deferred << " put off\n"
+                << v.late_writes << " written late, " << v.lost_replies << " answers lost, "
+                << v.late_heartbeats << " late reports, " << v.late_commands << " late commands, "
+                << v.again_after_done << " started again after they were done, " << v.held_heartbeats
+                << " kept for the next leader, " << v.undelivered << " unheard, " << v.cancelled_together
+                << " called off together, " << v.cancelled_at_end << " cancelled at the end, "
+                << v.malformed_requests << " odd requests, " << v.close_polls
+                << " close looks, beside room for " << v.longest_wait_beside_capacity
+                << " s at most, unanswered for " << v.longest_unanswered << " s at most\n";
     }
   }
   std::cout << broken << " of " << count << " seeds broke a rule, " << unfinished << " left work undone\n";
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -31,14 +31,14 @@
 }
 
 // Without faults of its own and of a fixed size: what happens is what the test orders.
-inline Plan scripted(std::uint64_t seed, int machines) {
-  Plan plan;
+inline SimulationPlan scripted(std::uint64_t seed, int machines) {
+  SimulationPlan plan;
   plan.seed = seed;
   plan.fault_every_s = 0;
-  plan.limits = false;
+  plan.budget_limits = false;
   plan.machines = machines;
-  plan.most_machines = static_cast<std::size_t>(machines);
-  plan.script = true;
+  plan.max_machines = static_cast<std::size_t>(machines);
+  plan.scripted = true;
   plan.idle_return_s = 1e4;  // replicas move only because of the fault
   return plan;
 }
@@ -51,7 +51,7 @@
 };
 
 // Services and one long array over all zones; then the fault; then time for everything to be over.
-inline Ride ride_through(const Plan& plan, const std::function<void(SimulatedCluster&)>& trouble,
+inline Ride ride_through(const SimulationPlan& plan, const std::function<void(SimulatedCluster&)>& trouble,
                          double lasts) {
   hush();
   const auto machines = static_cast<std::uint32_t>(plan.machines);
@@ -63,12 +63,12 @@
     service.shape = wire::Shape::service;
     service.spread_zones = true;
     service.allows_spot = false;
-    world.user(service, 0);
+    world.submit_job(service, 0);
   }
   wire::JobSpec array = job_of(9, machines, "blue");
   array.estimate_s = 70;
   world.step(45);  // custody begins once no node of an older version can have led for cancel_s
-  world.user(array, 70);
+  world.submit_job(array, 70);
   world.step(50);
   Ride r;
   r.before = world.run_report().started;
@@ -77,7 +77,7 @@
   world.step(50 + lasts);
   r.again = world.run_report().started_again - moved;
   world.step(250);
-  r.over = world.over("req-9");
+  r.over = world.is_done("req-9");
   r.verdict = world.run_report();
   return r;
 }
@@ -88,13 +88,13 @@
 }
 
 inline void lost_nothing(const Ride& r) {
-  for (const auto& b : r.verdict.broken)
+  for (const auto& b : r.verdict.broken_rules)
     ADD_FAILURE() << b;
   EXPECT_GT(r.before, 20U);
   EXPECT_EQ(r.again, 0U) << "what ran on unseen was started again";
   EXPECT_EQ(r.verdict.returned_in_cut, 0U);
-  EXPECT_EQ(r.verdict.lost_by_lease, 0U);
-  EXPECT_GT(r.verdict.kept_in_custody, 0U);
+  EXPECT_EQ(r.verdict.lost_by_lease_expiry, 0U);
+  EXPECT_GT(r.verdict.renewed_by_delegates, 0U);
   EXPECT_TRUE(r.over);
 }
 
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -15,15 +15,15 @@
 
 // To repeat one: world_hunt SEED 1
 TEST_P(Seeds, RulesHoldUnderTroubles) {
-  const Plan plan = plan_of(static_cast<std::uint64_t>(GetParam()));
+  const SimulationPlan plan = plan_of(static_cast<std::uint64_t>(GetParam()));
   const RunReport v = SimulatedCluster(plan).run();
-  for (const auto& b : v.broken)
+  for (const auto& b : v.broken_rules)
     ADD_FAILURE() << b;
   EXPECT_GT(v.started, 20U);
   EXPECT_GT(v.accepted, 20U);
   EXPECT_GT(v.finished, 5U);
   EXPECT_GT(v.elections, 0U);
-  EXPECT_EQ(v.chained > 5U, plan.chains);
+  EXPECT_EQ(v.with_dependencies > 5U, plan.dependencies);
   // When the faults are over, what was accepted gets done.
   EXPECT_EQ(v.unfinished, 0U) << "of " << v.accepted << " jobs, seed " << plan.seed;
 }
@@ -33,17 +33,17 @@
 TEST(SimulatedCluster, QuietDaysGetEverythingDoneUnderOneLeader) {
   spdlog::set_level(spdlog::level::off);
   for (const std::uint64_t seed : {4U, 8U, 18U, 28U}) {
-    Plan plan;
+    SimulationPlan plan;
     plan.seed = seed;
     plan.fault_every_s = 0;
     const RunReport v = SimulatedCluster(plan).run();
-    EXPECT_TRUE(v.broken.empty()) << seed;
+    EXPECT_TRUE(v.broken_rules.empty()) << seed;
     EXPECT_EQ(v.unfinished, 0U) << seed;
     EXPECT_EQ(v.elections, 1U) << seed;
     // Once told only on the retry: the answer was made before the node remembered the end that it had
     // recorded.
     EXPECT_GT(v.cancelled, 3U) << seed;
-    EXPECT_EQ(v.aborts_put_off, 0U) << seed;
+    EXPECT_EQ(v.cancellations_deferred, 0U) << seed;
   }
 }
 
@@ -53,15 +53,15 @@
   spdlog::set_level(spdlog::level::off);
   std::size_t orphans = 0;
   for (const std::uint64_t seed : {9U, 15U, 21U}) {
-    Plan plan = plan_of(seed);
+    SimulationPlan plan = plan_of(seed);
     plan.fault_every_s = 0;
     const RunReport v = SimulatedCluster(plan).run();
-    for (const auto& b : v.broken)
+    for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U) << seed;
     EXPECT_LE(v.elections, 4U) << seed;
     EXPECT_EQ(v.over_limits, 0U) << seed;
-    orphans += v.orphans;
+    orphans += v.orphaned;
   }
   EXPECT_GT(orphans, 5U);
 }
@@ -71,12 +71,12 @@
   spdlog::set_level(spdlog::level::off);
   std::size_t over = 0;
   for (const std::uint64_t seed : {3U, 9U, 21U}) {
-    Plan plan = plan_of(seed);
-    plan.undeclared = 0.4;
+    SimulationPlan plan = plan_of(seed);
+    plan.undeclared_limits = 0.4;
     plan.machines = 12;
     plan.fault_every_s = 40;
     const RunReport v = SimulatedCluster(plan).run();
-    for (const auto& b : v.broken)
+    for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
     EXPECT_EQ(v.unfinished, 0U) << seed;
     over += v.over_limits;
@@ -117,7 +117,7 @@
         seed, 12,
         [](SimulatedCluster& w) {
           w.state_outage(35);
-          w.at_once_after(34, [&w] {
+          w.schedule_after(34, [&w] {
             for (std::size_t i = 0; i < 3; ++i)
               w.crash(i);
           });
@@ -130,26 +130,26 @@
 TEST(SimulatedCluster, OnlyWhatIsPressedTakesAGuaranteeBack) {
   spdlog::set_level(spdlog::level::off);
   const auto reclaimed = [](double due) {
-    Plan plan;
+    SimulationPlan plan;
     plan.fault_every_s = 0;
-    plan.limits = false;
+    plan.budget_limits = false;
     plan.machines = 4;
-    plan.most_machines = 4;
-    plan.script = true;
+    plan.max_machines = 4;
+    plan.scripted = true;
     SimulatedCluster world(plan);
     world.begin();
     world.step(10);
     wire::JobSpec red = job_of(1, 100, "red");  // far beyond its guarantee, on all machines
     red.estimate_s = 30;
-    world.user(red, 30);
+    world.submit_job(red, 30);
     world.step(40);
     wire::JobSpec blue = job_of(2, 4, "blue");
     blue.estimate_s = 10;
     blue.deadline_s = due;
-    world.user(blue, 10);
+    world.submit_job(blue, 10);
     world.step(400);
-    EXPECT_TRUE(world.over("req-2"));
-    EXPECT_TRUE(world.run_report().broken.empty());
+    EXPECT_TRUE(world.is_done("req-2"));
+    EXPECT_TRUE(world.run_report().broken_rules.empty());
     const auto stats = world.leader_stats();
     return stats ? stats->reclaimed : 999;
   };
@@ -161,11 +161,11 @@
 // them kept all the others: the fleet stayed as large as it had ever been.
 TEST(SimulatedCluster, AFleetThatIsTooLargeShrinksToWhatItsServicesNeed) {
   spdlog::set_level(spdlog::level::off);
-  Plan plan;
+  SimulationPlan plan;
   plan.fault_every_s = 0;
-  plan.limits = false;
+  plan.budget_limits = false;
   plan.machines = 24;
-  plan.script = true;
+  plan.scripted = true;
   SimulatedCluster world(plan);
   world.begin();
   world.step(5);
@@ -175,12 +175,12 @@
   s.spread_zones = true;
   for (int i = 1; i <= 36; ++i) {  // eight cores each; most are soon cancelled
     s.ref = "req-" + std::to_string(i);
-    world.user(s, 0, i % 4 == 0 ? -1 : 100);
+    world.submit_job(s, 0, i % 4 == 0 ? -1 : 100);
   }
   world.step(400);
   const auto stats = world.leader_stats();
   ASSERT_TRUE(stats);
-  EXPECT_TRUE(world.run_report().broken.empty());
+  EXPECT_TRUE(world.run_report().broken_rules.empty());
   EXPECT_EQ(stats->live_jobs, 9U);
   EXPECT_LE(stats->machines, 9U);
 }
@@ -189,21 +189,21 @@
 // guarantee.
 TEST(SimulatedCluster, AFaultyJobStopsNobodysWork) {
   spdlog::set_level(spdlog::level::off);
-  Plan plan;
+  SimulationPlan plan;
   plan.seed = 68;
-  plan.limits = false;
+  plan.budget_limits = false;
   const RunReport v = SimulatedCluster(plan).run();
-  EXPECT_TRUE(v.broken.empty());
+  EXPECT_TRUE(v.broken_rules.empty());
   EXPECT_EQ(v.unfinished, 0U);
 }
 
-Plan large(std::uint64_t seed, int machines) {
-  Plan plan;
+SimulationPlan large(std::uint64_t seed, int machines) {
+  SimulationPlan plan;
   plan.seed = seed;
-  plan.limits = false;
+  plan.budget_limits = false;
   plan.machines = machines;
-  plan.most_machines = static_cast<std::size_t>(machines) * 5 / 4;
-  plan.size = 8;
+  plan.max_machines = static_cast<std::size_t>(machines) * 5 / 4;
+  plan.job_size = 8;
   plan.arrival_s = 1.5;
   plan.duration_s = 60;
   plan.settle_s = 60;
@@ -216,10 +216,10 @@
 TEST(SimulatedCluster, RulesHoldAtAThousandMachines) {
   spdlog::set_level(spdlog::level::off);
   for (const std::uint64_t seed : {1U, 2U}) {
-    Plan plan = large(seed, 1000);
+    SimulationPlan plan = large(seed, 1000);
     plan.fault_every_s = 8;
     const RunReport v = SimulatedCluster(plan).run();
-    for (const auto& b : v.broken)
+    for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
     EXPECT_GT(v.started, 300U);
     EXPECT_GT(v.elections, 0U);
@@ -260,9 +260,9 @@
 }
 
 // A fleet with the decisions of docs/spread.md on, and aims for two classes.
-Plan spread_out(std::uint64_t seed, int machines, bool on = true) {
-  Plan plan = scripted(seed, machines);
-  plan.spread = on;
+SimulationPlan spread_out(std::uint64_t seed, int machines, bool on = true) {
+  SimulationPlan plan = scripted(seed, machines);
+  plan.load_balancing = on;
   plan.objectives = {{"finished", "batch", 120, 0.9, 1}, {"wait", "live", 2, 0.9, 1}};
   return plan;
 }
@@ -290,19 +290,19 @@
     world.step(10);
     int n = 0;
     for (int i = 0; i < 60; ++i)
-      world.user(live(++n, 2, i % 10), 0);
+      world.submit_job(live(++n, 2, i % 10), 0);
     world.step(30);
     for (int i = 0; i < 30; ++i) {
       wire::JobSpec s = job_of(++n, 40, "blue");
       s.estimate_s = 40;
-      world.user(s, 40);
+      world.submit_job(s, 40);
     }
     world.step(60);
     const std::size_t before = world.run_report().services_late;
     for (int i = 0; i < 24; ++i)
-      world.user(live(++n, 2, i % 10), 0);
+      world.submit_job(live(++n, 2, i % 10), 0);
     world.step(70);
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
     return world.run_report().services_late - before;
   };
@@ -328,7 +328,7 @@
         ++n;
         wire::JobSpec s = job_of(n, 24, n % 2 == 0 ? "red" : "blue");
         s.estimate_s = 20;
-        world.user(s, 20, n % 9 == 0 ? until + 6 : -1);
+        world.submit_job(s, 20, n % 9 == 0 ? until + 6 : -1);
         world.step(std::min(until, 10 + 2.5 * n));
       }
       world.step(until);
@@ -350,7 +350,7 @@
     wave(240);
     world.step(900);
     EXPECT_EQ(world.close().unfinished, 0U) << seed;
-    for (const auto& b : world.run_report().broken)
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
   EXPECT_GT(moved, 20U);
@@ -371,11 +371,11 @@
         wire::JobSpec s = job_of(++n, 30, "red");
         s.estimate_s = 30;
         // One user cancels and submits again all the time.
-        world.user(s, 30, burst && i == 7 ? t + 20 : -1);
+        world.submit_job(s, 30, burst && i == 7 ? t + 20 : -1);
       }
       wire::JobSpec s = job_of(++n, 15, "blue");
       s.estimate_s = 30;
-      world.user(s, 30);
+      world.submit_job(s, 30);
       if (t == 90)
         world.kill_machines(10);
       if (t == 100) {
@@ -384,15 +384,15 @@
       }
       world.step(t + 2);
       if (t > 100) {
-        EXPECT_GE(world.served("blue", 90), 0.5) << "seed " << seed << " at " << t;
+        EXPECT_GE(world.served_share("blue", 90), 0.5) << "seed " << seed << " at " << t;
       }
     }
     const auto stats = world.leader_stats();
     ASSERT_TRUE(stats);
     EXPECT_GT(stats->loads.size(), 1U);
     world.step(1500);
-    EXPECT_EQ(world.served("red", 300), 1.0) << seed;
-    for (const auto& b : world.run_report().broken)
+    EXPECT_EQ(world.served_share("red", 300), 1.0) << seed;
+    for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -403,7 +403,7 @@
   hush();
   const RunReport v = SimulatedCluster(plan_of(800994)).run();
   EXPECT_EQ(v.unfinished, 0U);
-  for (const auto& b : v.broken)
+  for (const auto& b : v.broken_rules)
     ADD_FAILURE() << b;
 }
 
