--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -100,7 +100,7 @@
     if (term != term_)
       return;
     auto page = r.status == 200 ? wire::parse_machine_list(r.body)
-                                : wire::Result<wire::MachineList>::fail("status " + std::to_string(r.status));
+                                : wire::malformed("status " + std::to_string(r.status));
     if (!page) {
       listing_ = false;
       next_list_at_ = out_.now() + 1;
--- a/src/controller/batches.cpp
+++ b/src/controller/batches.cpp
@@ -79,7 +79,7 @@
 
 void Controller::read_sheets(const std::string& after) {
   store_.list(jobs::kBatchPrefix, after, [this, after](const store::Reply& r) {
-    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
+    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::malformed("");
     if (!range) {
       for (const auto& then : std::exchange(to_catch_up_, {}))
         then(false);
@@ -103,7 +103,7 @@
 
 void Controller::follow_sheets() {
   store_.watch(jobs::kBatchPrefix, batch_index_.revision(), [this](const store::Reply& r) {
-    auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
+    auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::malformed("");
     if (changes)
       take_changes(*changes);
     if (r.status == 410)
@@ -147,7 +147,7 @@
       jobs::kBatchPrefix, batch_index_.revision(),
       [this, asked = out_.now(), waiting = std::exchange(to_catch_up_, {})](const store::Reply& r) {
         catching_up_ = false;
-        auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
+        auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::malformed("");
         if (changes) {
           take_changes(*changes);
           index_read_ = asked;
@@ -182,7 +182,7 @@
       });
     }
     store_.get(*key, urgency, [ref, then, term](const store::Reply& r) {
-      const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
+      const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
       wire::Value found;
       if (item)
         jobs::for_each_record(item->value, [&](const std::string& name, const wire::Value& record) {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -316,7 +316,7 @@
   }
   auto r = wire::parse_heartbeat(bytes);
   if (!r) {
-    spdlog::warn("a malformed report: {}", r.error());
+    spdlog::warn("a malformed report: {}", r.error().text());
     return respond(from, 400);
   }
   last_report_ = out_.now();
@@ -569,7 +569,7 @@
 void Controller::use_catalog(const wire::Value& raw) {
   auto catalog = wire::parse_catalog(raw);
   if (!catalog)
-    return spdlog::error("catalog: {}", catalog.error());
+    return spdlog::error("catalog: {}", catalog.error().text());
   catalog_ = std::move(*catalog);
   catalog_raw_ = raw;
   workers_.set_catalog(catalog_);
@@ -581,7 +581,7 @@
 // leader.
 void Controller::read_catalog() {
   store_.get(kCatalogKey, store::RequestPriority::user, [this](const store::Reply& r) {
-    auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
+    auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
     if (item && catalog_.empty())
       use_catalog(item->value);
   });
--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -45,7 +45,7 @@
 std::optional<wire::Value> Controller::answer_in_custody(const std::string& bytes) {
   lease_delegate_.observe_leadership(election_.leader_fencing_token());
   // Where nothing can be looked up, what any worker shows is kept, whether it can be answered yet or not.
-  auto r = wire::Result<wire::Heartbeat>::fail("");
+  wire::Result<wire::Heartbeat> r = wire::malformed("");
   if (settings_.tunables.peer_agreement && !store_.healthy()) {
     r = wire::parse_heartbeat(bytes);
     if (!r)
@@ -144,7 +144,7 @@
   }
   store_.get(kMarkKey, store::RequestPriority::lease,
              [this, then, life = mark_reads_](const store::Reply& r) {
-               auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
+               auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
                if (item) {
                  mark_version_ = item->version;
                  mark_span_ = wire::amount(item->value, "span_s").value_or(0);
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -57,7 +57,7 @@
   store_.list(prefix, after, [this, prefix, after, term](const store::Reply& r) {
     if (term != term_)
       return;
-    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
+    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::malformed("");
     read_at_ = range ? out_.now() : read_at_;
     if (!range) {
       return out_.after(0.2, [this, prefix, after, term] {
@@ -160,7 +160,7 @@
   store_.watch(jobs::kLiveJobPrefix, after, [this, after, term](const store::Reply& r) {
     if (term != term_)
       return;
-    auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::Result<wire::Changes>::fail("");
+    auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::malformed("");
     if (changes) {
       for (const wire::Change& c : changes->events) {
         if (!c.deleted)
@@ -196,7 +196,7 @@
   store_.list(jobs::kLiveJobPrefix, after, [this, all](const store::Reply& r) {
     if (all->term != term_)
       return;
-    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
+    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::malformed("");
     if (!range)
       return out_.after(0.3, [this, all] { read_again(all->term); });
     if (all->items.empty())
@@ -297,7 +297,7 @@
 jobs::Job* Controller::learn_job(const wire::Value& value, std::uint64_t version) {
   auto spec = wire::parse_job(value);
   if (!spec) {
-    spdlog::error("a record that is not a job: {}", spec.error());
+    spdlog::error("a record that is not a job: {}", spec.error().text());
     return nullptr;
   }
   // Versions before chains kept no time: then it counts from when this leader learns of the job.
@@ -386,8 +386,7 @@
                if (term != term_)
                  return;
                --asking_;
-               const auto item =
-                   r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
+               const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
                if (const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt) {
                  remember(ref, *ended);
                  return follow_chains();
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -349,7 +349,7 @@
       looking_at_.erase(key);
       if (term != term_)
         return;
-      const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
+      const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
       if (item)
         remote_placements_.on_page_read(key, item->version);
       if (r.status == 404)
@@ -544,7 +544,7 @@
     return say(JobVerb::held);
   }
   const auto record = wire::decode_cbor(w.record);
-  auto spec = record ? wire::parse_job(*record) : wire::Result<wire::JobSpec>::fail("not CBOR");
+  auto spec = record ? wire::parse_job(*record) : wire::malformed("not CBOR");
   if (!spec || spec->ref != w.ref)
     return say(JobVerb::never);
   if (catalog_.empty() || !room_known_)
--- a/src/controller/submission.cpp
+++ b/src/controller/submission.cpp
@@ -41,10 +41,10 @@
 void Controller::submit(const From& from, const std::string& bytes) {
   ++stats_.submitted;
   const auto body = wire::decode_cbor(bytes);
-  auto spec = body ? wire::parse_job(*body) : wire::Result<wire::JobSpec>::fail("not CBOR");
+  auto spec = body ? wire::parse_job(*body) : wire::malformed("not CBOR");
   if (!spec) {
     ++stats_.refused;
-    return respond(from, 400, {{"error", spec.error()}});
+    return respond(from, 400, {{"error", spec.error().text()}});
   }
   if (answer_final(from, spec->ref, true))
     return;
@@ -354,7 +354,7 @@
           return then(200, wire::Phase::queued, nullptr);
         if (!over && !failed.empty()) {
           return store_.get(jobs::kLiveJobPrefix + ref, urgency, [then, term](const store::Reply& l) {
-            const auto item = l.status == 200 ? wire::parse_item(l.body) : wire::Result<wire::Item>::fail("");
+            const auto item = l.status == 200 ? wire::parse_item(l.body) : wire::malformed("");
             // Not there any more: it has become final since. Asking again will tell.
             if (!item)
               return then(503, {}, nullptr);
@@ -362,7 +362,7 @@
           });
         }
         store_.get(jobs::kFinalStatePrefix + ref, urgency, [this, ref, then](const store::Reply& f) {
-          const auto item = f.status == 200 ? wire::parse_item(f.body) : wire::Result<wire::Item>::fail("");
+          const auto item = f.status == 200 ? wire::parse_item(f.body) : wire::malformed("");
           const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt;
           if (!ended)
             return then(503, {}, nullptr);
--- a/src/jobs/job_registry.hpp
+++ b/src/jobs/job_registry.hpp
@@ -14,7 +14,7 @@
 #include "jobs/write_shares.hpp"
 #include "ports/outbox.hpp"
 #include "settings/settings.hpp"
-#include "wire/messages.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -624,23 +624,23 @@
   const bool roster = prefix == kInventoryPrefix;
   (roster ? inventory_pages_[page].version_lookup_pending : completion_pages_[page].version_lookup_pending) =
       true;
-  store_.get(
-      page_key(prefix, page), store::RequestPriority::lease,
-      [this, prefix, roster, page, term = term_](const store::Reply& r) {
-        if (term != term_)
-          return;
-        const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
-        if (!item && r.status != 404)
-          return out_.after(kRetry, [this, prefix, page, term] {
-            if (term == term_)
-              look_up_page(prefix, page);
-          });
-        const std::uint64_t version = item ? item->version : 0;
-        roster ? inventory_pages_.set_version(page, version) : completion_pages_.set_version(page, version);
-        (roster ? inventory_pages_[page].version_lookup_pending
-                : completion_pages_[page].version_lookup_pending) = false;
-        schedule_flush(0);
-      });
+  store_.get(page_key(prefix, page), store::RequestPriority::lease,
+             [this, prefix, roster, page, term = term_](const store::Reply& r) {
+               if (term != term_)
+                 return;
+               const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
+               if (!item && r.status != 404)
+                 return out_.after(kRetry, [this, prefix, page, term] {
+                   if (term == term_)
+                     look_up_page(prefix, page);
+                 });
+               const std::uint64_t version = item ? item->version : 0;
+               roster ? inventory_pages_.set_version(page, version)
+                      : completion_pages_.set_version(page, version);
+               (roster ? inventory_pages_[page].version_lookup_pending
+                       : completion_pages_[page].version_lookup_pending) = false;
+               schedule_flush(0);
+             });
 }
 
 // Everything here may be applied twice without harm, so what is uncertain is simply written again.
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -6,7 +6,7 @@
 
 #include "ports/outbox.hpp"
 #include "settings/settings.hpp"
-#include "wire/messages.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::store {
 
--- a/src/wire/value.cpp
+++ b/src/wire/value.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Builds the value while it checks what the library's own builder lets pass: depth, duplicate keys, binary
-// strings and numbers that are none. Returning false ends the parse at once, which bounds the recursion.
+// strings, NaN and infinity. Returning false ends the parse at once, which bounds the recursion.
 class StrictBuilder : public nlohmann::json_sax<Value> {
  public:
   explicit StrictBuilder(Value& root) : root_(root) {}
@@ -15,20 +15,20 @@
   bool null() override {
     return add(nullptr);
   }
-  bool boolean(bool v) override {
-    return add(v);
+  bool boolean(bool value) override {
+    return add(value);
   }
-  bool number_integer(number_integer_t v) override {
-    return add(v);
+  bool number_integer(number_integer_t value) override {
+    return add(value);
   }
-  bool number_unsigned(number_unsigned_t v) override {
-    return add(v);
+  bool number_unsigned(number_unsigned_t value) override {
+    return add(value);
   }
-  bool number_float(number_float_t v, const string_t&) override {
-    return std::isfinite(v) && add(v);
+  bool number_float(number_float_t value, const string_t&) override {
+    return std::isfinite(value) && add(value);
   }
-  bool string(string_t& v) override {
-    return add(std::move(v));
+  bool string(string_t& value) override {
+    return add(std::move(value));
   }
   bool binary(binary_t&) override {
     return false;
@@ -45,10 +45,10 @@
   bool end_array() override {
     return close();
   }
-  bool key(string_t& k) override {
-    if (stack_.back()->contains(k))
+  bool key(string_t& name) override {
+    if (stack_.back()->contains(name))
       return false;
-    key_ = std::move(k);
+    key_ = std::move(name);
     return true;
   }
   bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
@@ -57,33 +57,33 @@
 
  private:
   template <typename T>
-  bool add(T&& v) {
-    place(Value(std::forward<T>(v)));
+  bool add(T&& value) {
+    place(Value(std::forward<T>(value)));
     return true;
   }
-  bool open(Value v) {
+  bool open(Value value) {
     if (stack_.size() >= static_cast<std::size_t>(kMaxDepth))
       return false;
-    stack_.push_back(place(std::move(v)));
+    stack_.push_back(place(std::move(value)));
     return true;
   }
   bool close() {
     stack_.pop_back();
     return true;
   }
-  Value* place(Value v) {
+  Value* place(Value value) {
     if (stack_.empty()) {
-      root_ = std::move(v);
+      root_ = std::move(value);
       return &root_;
     }
     Value& parent = *stack_.back();
     if (parent.is_array()) {
-      parent.push_back(std::move(v));
+      parent.push_back(std::move(value));
       return &parent.back();
     }
-    Value& slot = parent[key_];
-    slot = std::move(v);
-    return &slot;
+    Value& member = parent[key_];
+    member = std::move(value);
+    return &member;
   }
 
   Value& root_;
@@ -120,41 +120,41 @@
 }
 
 std::optional<std::string> text(const Value& map, const char* key) {
-  const Value* v = find(map, key);
-  if (!v || !v->is_string())
+  const Value* value = find(map, key);
+  if (!value || !value->is_string())
     return std::nullopt;
-  return v->get<std::string>();
+  return value->get<std::string>();
 }
 
 std::optional<double> amount(const Value& map, const char* key) {
-  const Value* v = find(map, key);
-  if (!v || !v->is_number())
+  const Value* value = find(map, key);
+  if (!value || !value->is_number())
     return std::nullopt;
-  return v->get<double>();
+  return value->get<double>();
 }
 
 std::optional<std::uint64_t> count(const Value& map, const char* key) {
-  const Value* v = find(map, key);
-  if (!v)
+  const Value* value = find(map, key);
+  if (!value)
     return std::nullopt;
-  if (v->is_number_unsigned())
-    return v->get<std::uint64_t>();
-  if (v->is_number_integer() && v->get<std::int64_t>() >= 0)
-    return v->get<std::uint64_t>();
-  // A sender in a language without integers may write 4.0; 2^53 is where doubles stop being exact.
-  if (v->is_number_float()) {
-    const double d = v->get<double>();
-    if (d >= 0 && d <= 9007199254740992.0 && std::floor(d) == d)
-      return static_cast<std::uint64_t>(d);
+  if (value->is_number_unsigned())
+    return value->get<std::uint64_t>();
+  if (value->is_number_integer() && value->get<std::int64_t>() >= 0)
+    return value->get<std::uint64_t>();
+  // A sender in a language without integers may write 4.0.
+  if (value->is_number_float()) {
+    const double number = value->get<double>();
+    if (number >= 0 && number <= kMaxExactInteger && std::floor(number) == number)
+      return static_cast<std::uint64_t>(number);
   }
   return std::nullopt;
 }
 
 std::optional<bool> flag(const Value& map, const char* key) {
-  const Value* v = find(map, key);
-  if (!v || !v->is_boolean())
+  const Value* value = find(map, key);
+  if (!value || !value->is_boolean())
     return std::nullopt;
-  return v->get<bool>();
+  return value->get<bool>();
 }
 
 }  // namespace wingtrail::wire
--- a/src/workers/machine.hpp
+++ b/src/workers/machine.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "jobs/job_registry.hpp"
-#include "wire/messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail::workers {
 
--- a/src/workers/resources.hpp
+++ b/src/workers/resources.hpp
@@ -1,7 +1,7 @@
 // Sums of resources.
 #pragma once
 
-#include "wire/messages.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::workers {
 
--- a/tests/process_limits_test.cpp
+++ b/tests/process_limits_test.cpp
@@ -17,7 +17,7 @@
 #include <sstream>
 #include <thread>
 
-#include "wire/messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,7 +3,10 @@
 #include <pcg_random.hpp>
 
 #include "peer/frame.hpp"
-#include "wire/messages.hpp"
+#include "wire/cloud_messages.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail::wire {
 namespace {
@@ -18,7 +21,7 @@
 
 TEST(Job, SurvivesTheWayThereAndBack) {
   auto spec = parse_job(*decode_cbor(encode_cbor(sample())));
-  ASSERT_TRUE(spec) << spec.error();
+  ASSERT_TRUE(spec) << spec.error().text();
   EXPECT_EQ(spec->tasks, 16U);
   EXPECT_EQ(spec->priority, Priority::high);
   EXPECT_DOUBLE_EQ(spec->task_resources.gpus, 1.0);  // an amount coded as an integer
@@ -34,7 +37,7 @@
   v["flavours"] = nullptr;
   v["later"] = {{"deep", 1}};
   auto spec = parse_job(v);
-  ASSERT_TRUE(spec) << spec.error();
+  ASSERT_TRUE(spec) << spec.error().text();
   EXPECT_TRUE(spec->types.empty());
 }
 
@@ -50,7 +53,7 @@
     v[field] = value;
     auto spec = parse_job(v);
     ASSERT_FALSE(spec) << field << " = " << value.dump();
-    EXPECT_NE(spec.error().find(field), std::string::npos) << spec.error();
+    EXPECT_NE(spec.error().text().find(field), std::string::npos) << spec.error().text();
   }
   EXPECT_FALSE(parse_job(Value::array()));
 }
@@ -110,7 +113,7 @@
            {{{"shard", "req-1/3"}, {"try", 2}, {"phase", "running"}},
             {{"shard", "req-1/4"}, {"try", 3}, {"phase", "exited"}, {"cause", "no_room"}}}}};
   auto r = parse_heartbeat(encode_cbor(v));
-  ASSERT_TRUE(r) << r.error();
+  ASSERT_TRUE(r) << r.error().text();
   EXPECT_EQ(r->tasks[0].phase, TaskPhase::running);
   EXPECT_EQ(r->tasks[1].cause, ExitCause::no_room);
   EXPECT_DOUBLE_EQ(*r->preemption_in_s, 7.5);
