--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,4 +1,5 @@
 #!/usr/bin/env bash
+# shellcheck disable=SC2016  # the single-quoted texts are programs for perl, whose $1 the shell must not expand
 # Shows that the checks can fail: breaks one guard at a time in a copy of the sources, and demands that the unit
 # tests notice, or the rides through cuts and outages, or random_fault_search within a number of seeds. Usage: tests/mutants.sh [SEEDS [PATTERN]]
 # PATTERN limits the run to mutants whose name matches it.
