--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -21,7 +21,6 @@
 constexpr int kCloseOps = 3;        // final state, job and cancellation mark go together
 constexpr std::size_t kMaxPages = 100'000;
 constexpr Seconds kRounding = 1e-6;
-constexpr double kPressingAfter = 0.5;  // of the time in which a cancelled job's tasks must be gone
 
 std::string page_key(const char* prefix, std::size_t page) {
   return prefix + std::to_string(page);
@@ -46,7 +45,8 @@
       leadership_(std::move(link)),
       codec_(settings.state_value_kb),
       page_bytes_(static_cast<std::size_t>(settings.state_value_kb * 1024 * kPageShare)),
-      max_changes_(settings.max_transaction_changes) {}
+      max_changes_(settings.max_transaction_changes),
+      final_states_(registry, settings) {}
 
 void StateWriter::begin_leadership() {
   end_leadership();
@@ -56,11 +56,7 @@
 void StateWriter::end_leadership() {
   active_ = in_flight_ = flush_scheduled_ = false;
   ++term_;
-  for (auto& queue : final_state_queue_)
-    queue.clear();
-  for (auto& since : unrecorded_since_)
-    since.clear();
-  shares_ = {};
+  final_states_.clear();
   batches_.clear();
   deletions_.clear();
   moves_to_own_key_.clear();
@@ -68,7 +64,6 @@
   inventory_pages_.clear();
   machines_awaiting_record_.clear();
   completions_awaiting_.clear();
-  final_state_waiters_.clear();
 }
 
 // ---------------------------------------------------------------- pages
@@ -201,46 +196,28 @@
 
 void StateWriter::record_final_state(Job& job, wire::Phase phase, std::function<void()> then) {
   if (then)
-    final_state_waiters_[job.index].push_back(std::move(then));
+    final_states_.add_waiter(job.index, std::move(then));
   if (job.final_state_pending)
     return;  // the first final state wins; nobody has been told of any yet
-  decide_final_state(job, phase,
-                     phase == wire::Phase::cancelled ? RecordKind::cancelled : RecordKind::completed,
-                     out_.now());
+  final_states_.decide(job, phase,
+                       phase == wire::Phase::cancelled ? RecordKind::cancelled : RecordKind::completed,
+                       out_.now());
+  schedule_flush(0);
 }
 
 void StateWriter::record_orphan(Job& job) {
-  if (!job.final_state_pending)
-    decide_final_state(job, wire::Phase::cancelled, RecordKind::orphaned, job.orphaned_at);
-}
-
-void StateWriter::decide_final_state(Job& job, wire::Phase phase, RecordKind kind, Seconds since) {
-  job.final_state_pending = true;
-  job.final_phase = phase;
-  job.final_record_kind = kind;
-  job.final_state_decided_at = job.record_order = since;
-  unrecorded_since_[index(kind)].insert(job.final_state_decided_at);
-  queue_final_state(job);
+  if (job.final_state_pending)
+    return;
+  final_states_.decide(job, wire::Phase::cancelled, RecordKind::orphaned, job.orphaned_at);
   schedule_flush(0);
 }
 
-void StateWriter::queue_final_state(const Job& job) {
-  final_state_queue_[index(job.final_record_kind)].emplace(job.record_order, job.index);
-}
-
 std::optional<Seconds> StateWriter::oldest_unrecorded(RecordKind kind) const {
-  const auto& since = unrecorded_since_[index(kind)];
-  return since.empty() ? std::nullopt : std::optional(*since.begin());
+  return final_states_.oldest_unrecorded(kind);
 }
 
 StateWriter::Backlogs StateWriter::backlogs() const {
-  Backlogs all;
-  for (std::size_t kind = 0; kind < kFinalStateKinds; ++kind) {
-    const auto oldest = oldest_unrecorded(static_cast<RecordKind>(kind));
-    all[kind] = {unrecorded_since_[kind].size(), oldest ? out_.now() - *oldest : 0, recorded_[kind],
-                 deferred_[kind]};
-  }
-  return all;
+  return final_states_.backlogs(out_.now());
 }
 
 void StateWriter::record_completion(Job& job, std::uint32_t task, MachineIndex machine,
@@ -296,12 +273,7 @@
   });
 }
 
-// Its final state, the key that it has of its own, and its cancellation mark go together.
-int StateWriter::final_state_changes(const Job& job) {
-  return 1 + job.has_own_key + job.has_cancellation_marker;
-}
-
-void StateWriter::add_final_state(wire::Transaction& txn, Commit& c, Job& job) {
+void StateWriter::add_final_state(wire::Transaction& txn, const Job& job) {
   txn.put(kFinalStatePrefix + job.spec.ref,
           wire::final_state_record({job.final_phase, job.spec.tasks, out_.time_of_day()}));
   // Of a job on a sheet there may be a key of its own that has not been seen here: another node's, for a
@@ -309,60 +281,6 @@
   job.has_own_key ? txn.erase(kLiveJobPrefix + job.spec.ref) : txn.require(kLiveJobPrefix + job.spec.ref, 0);
   if (job.has_cancellation_marker)
     txn.erase(kLiveJobPrefix + job.spec.ref + kCancellationSuffix);
-  c.final_states.push_back(job.index);
-}
-
-// Each kind has its share of the changes. With ends of one kind first and the others given what is left,
-// these got nothing for as long as the first kind kept coming: jobs whose need was cancelled were heard of no
-// more.
-StateWriter::PageRoom StateWriter::add_by_shares(wire::Transaction& txn, Commit& c) {
-  PageRoom room{0, 0, max_changes_};
-  int machines = inventory_pages_due(), progress = completion_pages_due();
-  while (room.rest > 0) {
-    WriteShares::Waiting waiting{};
-    for (std::size_t kind = 0; kind < kFinalStateKinds; ++kind)
-      waiting[kind] = !final_state_queue_[kind].empty();
-    waiting[index(RecordKind::inventory)] = machines > room.machines;
-    waiting[index(RecordKind::completions)] = progress > room.progress;
-    const auto kind = shares_.next(waiting);
-    if (!kind)
-      break;
-    int ops = 1;
-    if (*kind == RecordKind::inventory) {
-      ++room.machines;
-    } else if (*kind == RecordKind::completions) {
-      ++room.progress;
-    } else {
-      auto& queue = final_state_queue_[index(*kind)];
-      Job& job = *registry_.job_at(queue.begin()->second);
-      ops = final_state_changes(job);
-      if (ops > room.rest)
-        break;  // it goes first the next time
-      queue.erase(queue.begin());
-      add_final_state(txn, c, job);
-    }
-    room.rest -= ops;
-    shares_.charge(*kind, ops, near_limit(*kind));
-  }
-  return room;
-}
-
-// Cancelled jobs, and those that need one, have to be told so within a limit; the others may be late.
-bool StateWriter::near_limit(RecordKind kind) const {
-  if (kind != RecordKind::cancelled && kind != RecordKind::orphaned)
-    return false;
-  const auto oldest = oldest_unrecorded(kind);
-  return oldest && out_.now() - *oldest > kPressingAfter * settings_.cancellation_limit_s;
-}
-
-void StateWriter::note_left_out(Commit& c) const {
-  for (std::size_t kind = 0; kind < kFinalStateKinds; ++kind)
-    c.left_out[kind] = !final_state_queue_[kind].empty();
-}
-
-void StateWriter::count_left_out(const Commit& c) {
-  for (std::size_t kind = 0; kind < kFinalStateKinds; ++kind)
-    deferred_[kind] += c.left_out[kind];
 }
 
 // When the page is to be written, as far as that depends on nothing but itself.
@@ -522,31 +440,32 @@
   wire::Transaction txn;
   txn.require(leadership_.leader_key, leadership_.fencing_token());
   Commit c;
-  c.shares_before = shares_;
   std::size_t bytes = 0;
-  const PageRoom shared = add_by_shares(txn, c);
+  c.selection =
+      final_states_.select({max_changes_, inventory_pages_due(), completion_pages_due()}, out_.now());
+  for (const JobIndex ix : c.selection.final_states)
+    add_final_state(txn, *registry_.job_at(ix));
   // What the kinds with shares leave is for whatever else is due.
-  int room = shared.machines + shared.rest;
+  int room = c.selection.inventory_changes + c.selection.unassigned_changes;
   add_inventory_pages(txn, c, room, bytes, PageUrgency::soon);
-  const bool user = !c.final_states.empty() ||
+  const bool user = !c.selection.final_states.empty() ||
                     std::find(c.inventory_urgency.begin(), c.inventory_urgency.end(), PageUrgency::now) !=
                         c.inventory_urgency.end();
-  room += shared.progress;
+  room += c.selection.completion_changes;
   add_completion_pages(txn, c, room, bytes);
   add_inventory_pages(txn, c, room, bytes, PageUrgency::opportunistic);
   if (txn.change_count() > 0 || out_.now() >= deleted_at_ + kSweepEvery) {
     add_deletions(txn, c, room);
     // In a transaction with its end, the record would be there after it.
-    if (c.final_states.empty())
+    if (c.selection.final_states.empty())
       add_moves_to_own_key(txn, c, room, bytes);
   }
   if (txn.change_count() == 0)
     return reschedule_flush();
   in_flight_ = true;
-  note_left_out(c);
   const int ops = txn.change_count();
   std::vector<JobIndex> first;
-  for (const JobIndex ix : c.final_states) {
+  for (const JobIndex ix : c.selection.final_states) {
     if (!std::exchange(registry_.job_at(ix)->final_state_sent, true))
       first.push_back(ix);
   }
@@ -558,7 +477,7 @@
           return;
         in_flight_ = false;
         if (r.delivered)
-          count_left_out(c);
+          final_states_.count_deferred(c.selection);
         for (const JobIndex ix : first)
           registry_.job_at(ix)->final_state_sent = r.delivered;
         if (r.status == 200)
@@ -574,8 +493,7 @@
 // When the next page is due.
 void StateWriter::reschedule_flush() {
   Seconds at = ports::kNever;
-  if (std::any_of(final_state_queue_.begin(), final_state_queue_.end(),
-                  [](const auto& queue) { return !queue.empty(); }))
+  if (!final_states_.empty())
     at = out_.now();
   if (!deletions_.empty() || !moves_to_own_key_.empty())
     at = std::min(at, std::max(out_.now(), deleted_at_ + kSweepEvery));
@@ -602,7 +520,7 @@
   };
   if (keys.empty() || has(leadership_.leader_key))
     return false;
-  for (const JobIndex ix : c.final_states) {
+  for (const JobIndex ix : c.selection.final_states) {
     Job& job = *registry_.job_at(ix);
     if (has(kLiveJobPrefix + job.spec.ref))
       job.has_own_key = true;
@@ -645,9 +563,7 @@
 
 // Everything here may be applied twice without harm, so what is uncertain is simply written again.
 void StateWriter::on_commit_failed(Commit& c) {
-  shares_ = c.shares_before;
-  for (const JobIndex ix : c.final_states)
-    queue_final_state(*registry_.job_at(ix));
+  final_states_.restore(c.selection);
   for (auto& [n, covers] : c.completions) {
     for (auto& [chunk, ended] : covers)
       completions_awaiting_[chunk].push_back(ended);
@@ -682,24 +598,20 @@
     smaller(completion_pages_, n, [this](auto p) { return completion_page_value(p); });
   for (const auto& [n, joined] : c.inventory)
     smaller(inventory_pages_, n, [this](auto p) { return inventory_page_value(p); });
-  for (const JobIndex ix : c.final_states) {
+  for (const JobIndex ix : c.selection.final_states) {
     Job& job = *registry_.job_at(ix);
     spdlog::error("{}: its end cannot be recorded", job.spec.ref);
-    final_state_queue_[index(job.final_record_kind)].erase({job.record_order, ix});
-    job.record_order = out_.now();
-    queue_final_state(job);
+    final_states_.move_to_back(job, out_.now());
   }
 }
 
 void StateWriter::on_committed(const Commit& c, std::uint64_t revision) {
   ++commits_;
   const std::uint64_t term = term_;
-  for (const JobIndex ix : c.final_states) {
+  for (const JobIndex ix : c.selection.final_states) {
     Job* job = registry_.job_at(ix);
     job->final_state_recorded = true;
-    const std::size_t kind = index(job->final_record_kind);
-    unrecorded_since_[kind].extract(job->final_state_decided_at);
-    ++recorded_[kind];
+    final_states_.on_recorded(*job);
     writes_.final_states += static_cast<std::uint64_t>(final_state_changes(*job));
     batches_.on_job_over(ix);
     std::vector<CompletedTask> ended;
@@ -711,12 +623,10 @@
       completion_pages_.remove(chunk);
     }
     events_.on_completions_persisted(ended);
-    auto waiters = final_state_waiters_.extract(ix);
+    const auto waiters = final_states_.take_waiters(ix);
     events_.on_final_state(*job);
-    if (!waiters.empty()) {
-      for (auto& then : waiters.mapped())
-        then();
-    }
+    for (const auto& then : waiters)
+      then();
     if (term != term_)
       return;  // one of the callbacks ended the leadership
   }
--- a/src/jobs/state_writer.hpp
+++ b/src/jobs/state_writer.hpp
@@ -17,6 +17,7 @@
 #include <vector>
 
 #include "jobs/completion_codec.hpp"
+#include "jobs/final_state_queue.hpp"
 #include "jobs/job_batches.hpp"
 #include "jobs/job_registry.hpp"
 #include "jobs/record_pages.hpp"
@@ -109,14 +110,8 @@
   std::uint64_t page_lookups() const {
     return page_lookups_;
   }  // pages that a write without an answer had changed
-  // Ends of one kind that are decided and not recorded.
-  struct Backlog {
-    std::size_t waiting = 0;
-    Seconds oldest_s = 0;
-    std::uint64_t recorded = 0;  // so far
-    std::uint64_t deferred = 0;  // transactions that had to leave some of them out
-  };
-  using Backlogs = std::array<Backlog, kFinalStateKinds>;
+  using Backlog = FinalStateQueue::Backlog;
+  using Backlogs = FinalStateQueue::Backlogs;
   Backlogs backlogs() const;
   // Since when the oldest end of that kind has been decided; nothing: all are recorded.
   std::optional<Seconds> oldest_unrecorded(RecordKind kind) const;
@@ -124,17 +119,15 @@
  private:
   using ChunkKey = std::pair<JobIndex, std::uint32_t>;  // job, chunk
   struct Commit {
-    std::vector<JobIndex> final_states;
+    FinalStateQueue::Selection selection;
     std::vector<std::pair<std::size_t, std::vector<std::pair<ChunkKey, CompletedTask>>>>
         completions;                                                           // page, what it covers
     std::vector<std::pair<std::size_t, std::vector<MachineIndex>>> inventory;  // page, who joins
     std::vector<PageUrgency> inventory_urgency;                                // the roster's pages
     std::vector<std::string> deletions;
     std::vector<JobIndex> moved_to_own_key;
-    WriteShares shares_before;
-    std::array<bool, kFinalStateKinds> left_out{};  // kinds of ends that it had no room for some of
     std::size_t record_count() const {
-      return final_states.size() + completions.size() + inventory.size() + deletions.size() +
+      return selection.final_states.size() + completions.size() + inventory.size() + deletions.size() +
              moved_to_own_key.size();
     }
   };
@@ -155,18 +148,7 @@
                                             Encode encode);
   void schedule_flush(Seconds delay);
   void flush();
-  void decide_final_state(Job& job, wire::Phase phase, RecordKind kind, Seconds since);
-  void queue_final_state(const Job& job);
-  static int final_state_changes(const Job& job);
-  void add_final_state(wire::Transaction& txn, Commit& c, Job& job);
-  // What of a transaction's changes is for pages, and which ends go into it.
-  struct PageRoom {
-    int machines = 0, progress = 0, rest = 0;
-  };
-  PageRoom add_by_shares(wire::Transaction& txn, Commit& c);
-  bool near_limit(RecordKind kind) const;
-  void count_left_out(const Commit& c);
-  void note_left_out(Commit& c) const;
+  void add_final_state(wire::Transaction& txn, const Job& job);
   Seconds inventory_page_due_at(std::size_t n) const;
   Seconds completion_page_due_at(std::size_t n) const;
   int inventory_pages_due() const;
@@ -192,12 +174,7 @@
   CompletionCodec codec_;
   std::size_t page_bytes_;  // that a page may have; less once the state service has refused one
   int max_changes_;         // in a transaction; the same
-  // Ends to be recorded, by kind: the next one first.
-  std::array<std::set<std::pair<Seconds, JobIndex>>, kFinalStateKinds> final_state_queue_;
-  // When those that are not recorded were decided, also of those that a transaction under way holds.
-  std::array<std::multiset<Seconds>, kFinalStateKinds> unrecorded_since_;
-  std::array<std::uint64_t, kFinalStateKinds> recorded_{}, deferred_{};
-  WriteShares shares_;
+  FinalStateQueue final_states_;
   JobBatches batches_;
   std::deque<std::string> deletions_;
   std::deque<JobIndex> moves_to_own_key_;
@@ -206,7 +183,6 @@
   RecordPages<MachineIndex> inventory_pages_;
   std::set<MachineIndex> machines_awaiting_record_;  // machines to be told of once their page is written
   std::map<ChunkKey, std::vector<CompletedTask>> completions_awaiting_;  // completed, not persisted
-  std::map<JobIndex, std::vector<std::function<void()>>> final_state_waiters_;
   bool active_ = false, in_flight_ = false, flush_scheduled_ = false;
   Seconds flush_scheduled_at_ = 0, passed_at_ = 0;
   std::uint64_t term_ = 0, commits_ = 0, pages_split_ = 0, malformed_commits_ = 0, page_lookups_ = 0;
