--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -3,37 +3,17 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <charconv>
 
 namespace wingtrail::jobs {
 namespace {
 constexpr Seconds kRetry = 0.15;
-constexpr Seconds kRefusedPause = 5;            // for what the state service refuses even by itself
-constexpr Seconds kSoon = 0.5;                  // machines that are gone: the next leader would wait for them
-constexpr Seconds kJoin = 0.05;                 // machines come up by the hundred: some join in one write
-constexpr Seconds kInPassing = 15;              // what only saves the next leader some fetches,
-constexpr Seconds kPassingEvery = 1;            // and of that one page at a time, however many there are
-constexpr double kPageShare = 0.85;             // of the value limit
-constexpr std::size_t kMaxBytes = 40UL * 1024;  // a transaction's values, of the protocol's 64 KiB
+constexpr Seconds kRefusedPause = 5;  // for what the state service refuses even by itself
+constexpr Seconds kCleanupDelay = 0.5;
+constexpr double kPageShare = 0.85;  // of the value limit
 constexpr std::size_t kLeastPage = 256;
 constexpr Seconds kSweepEvery = 1;  // beside nothing else; they only cost a later leader time
 constexpr int kSweeps = 4;          // at a time
 constexpr int kCloseOps = 3;        // final state, job and cancellation mark go together
-constexpr std::size_t kMaxPages = 100'000;
-constexpr Seconds kRounding = 1e-6;
-
-std::string page_key(const char* prefix, std::size_t page) {
-  return prefix + std::to_string(page);
-}
-
-std::optional<std::size_t> page_number(const std::string& key) {
-  std::size_t n = 0;
-  const char* end = key.data() + key.size();
-  const auto [p, ec] = std::from_chars(key.data() + 2, end, n);
-  if (key.size() < 3 || ec != std::errc() || p != end || n >= kMaxPages)
-    return std::nullopt;
-  return n;
-}
 }  // namespace
 
 StateWriter::StateWriter(ports::Outbox& out, store::StateClient& store, JobRegistry& registry,
@@ -43,10 +23,16 @@
       registry_(registry),
       settings_(settings),
       leadership_(std::move(link)),
-      codec_(settings.state_value_kb),
-      page_bytes_(static_cast<std::size_t>(settings.state_value_kb * 1024 * kPageShare)),
-      max_changes_(settings.max_transaction_changes),
-      final_states_(registry, settings) {}
+      limits_{static_cast<std::size_t>(settings.state_value_kb * 1024 * kPageShare), settings.value_bytes(),
+              settings.max_transaction_changes},
+      final_states_(registry, settings),
+      completion_pages_(registry, settings, limits_),
+      inventory_pages_(limits_) {}
+
+void StateWriter::set_events(Events events) {
+  events_ = std::move(events);
+  inventory_pages_.set_record_source(events_.machine_record);
+}
 
 void StateWriter::begin_leadership() {
   end_leadership();
@@ -62,134 +48,16 @@
   moves_to_own_key_.clear();
   completion_pages_.clear();
   inventory_pages_.clear();
-  machines_awaiting_record_.clear();
-  completions_awaiting_.clear();
-}
-
-// ---------------------------------------------------------------- pages
-
-// What a machine's images may take, as numbers in its page's list of names.
-std::size_t StateWriter::images_limit_bytes() const {
-  return std::clamp<std::size_t>(page_bytes_ / 70, 16, 96);
-}
-
-// A page is made for machines of this one's size; names of hosts and zones differ little in length.
-std::size_t StateWriter::record_size(const wire::Value& record) const {
-  return record.dump().size() + images_limit_bytes() + 1;
-}
-
-wire::Value StateWriter::completion_page_value(std::size_t page) const {
-  wire::Value list = wire::Value::array();
-  for (const auto& [ix, chunk] : completion_pages_[page].entries) {
-    const Job* job = registry_.job_at(ix);
-    if (!job || job->final_state_recorded)
-      continue;
-    wire::Value entry = codec_.encode(*job, chunk);
-    entry["ref"] = job->spec.ref;
-    list.push_back(std::move(entry));
-  }
-  return list;
-}
-
-wire::Value StateWriter::inventory_page_value(std::size_t page) const {
-  wire::Value names = wire::Value::array(), hosts = wire::Value::array();
-  std::map<std::string, std::size_t> numbers;
-  std::size_t used = 0;
-  for (const MachineIndex ix : inventory_pages_[page].entries) {
-    wire::Value record = events_.machine_record(ix);
-    wire::Value images = wire::Value::array();
-    std::size_t bytes = 0;
-    for (const wire::Value& name : record["images"]) {
-      const auto& text = name.get_ref<const std::string&>();
-      auto [it, fresh] = numbers.try_emplace(text, names.size());
-      if (fresh && used + text.size() + 3 > names_limit_bytes()) {
-        numbers.erase(it);
-        continue;
-      }
-      if (fresh)
-        names.push_back(name), used += text.size() + 3;
-      if ((bytes += std::to_string(it->second).size() + 1) > images_limit_bytes())
-        break;
-      images.push_back(it->second);
-    }
-    record["images"] = std::move(images);
-    hosts.push_back(std::move(record));
-  }
-  return {{"images", std::move(names)}, {"hosts", std::move(hosts)}};
-}
-
-template <typename Entry, typename Encode>
-std::optional<wire::Value> StateWriter::writable_value(RecordPages<Entry>& pages, std::size_t n,
-                                                       std::size_t limit, Encode encode) {
-  if (pages[n].bytes > limit && pages.split(n, limit, out_.now())) {
-    ++pages_split_;
-    spdlog::info("a page of {} entries was too large and is divided", pages[n].entries.size());
-  }
-  if (!pages.is_writable(n))
-    return std::nullopt;
-  wire::Value value = encode(n);
-  const std::size_t size = value.dump().size();
-  if (size > settings_.value_bytes()) {  // the estimate was wrong
-    if (pages.split(n, pages[n].bytes * settings_.value_bytes() / size * 3 / 4, out_.now())) {
-      ++pages_split_;
-      return std::nullopt;
-    }
-  }
-  return value;
 }
 
 bool StateWriter::load_completion_page(const std::string& key, const wire::Value& value,
                                        std::uint64_t version) {
-  const auto n = page_number(key);
-  if (n)
-    completion_pages_.set_version(*n, version);
-  if (!n || !value.is_array())
-    return false;
-  bool good = true;
-  for (const wire::Value& entry : value) {
-    Job* job = registry_.find(wire::text(entry, "ref").value_or(""));
-    if (!job)
-      continue;  // over; the page is written without it the next time
-    const bool read = codec_.decode(
-        entry, job->spec.tasks, [&](std::uint32_t task) { registry_.complete_task(*job, task, kNoIndex); });
-    good &= read;
-    if (!read)
-      continue;
-    const auto [first, last] = codec_.chunk_range(entry, job->spec.tasks);
-    for (std::uint32_t c = first; c <= last; ++c)
-      completion_pages_.add_stored({job->index, c}, codec_.max_encoded_bytes(*job, c), *n, out_.now());
-  }
-  return good;
+  return completion_pages_.load(key, value, version, out_.now());
 }
 
 bool StateWriter::load_inventory_page(const std::string& key, const wire::Value& value, std::uint64_t version,
-                                      const std::function<MachineIndex(const wire::Value&)>& learn) {
-  const auto n = page_number(key);
-  if (n)
-    inventory_pages_.set_version(*n, version);
-  const wire::Value* names = wire::find(value, "images");
-  const wire::Value* hosts = wire::find(value, "hosts");
-  if (!n || !hosts || !hosts->is_array())
-    return false;
-  bool good = true;
-  for (wire::Value record : *hosts) {
-    if (!wire::text(record, "host")) {
-      good = false;
-      continue;
-    }
-    wire::Value images = wire::Value::array();
-    if (const wire::Value* list = wire::find(record, "images"); list && list->is_array() && names) {
-      for (const wire::Value& i : *list) {
-        if (i.is_number_unsigned() && i.get<std::size_t>() < names->size())
-          images.push_back((*names)[i.get<std::size_t>()]);
-      }
-    }
-    record["images"] = wire::Value::array();
-    const std::size_t size = record_size(record);
-    record["images"] = std::move(images);
-    inventory_pages_.add_stored(learn(record), size, *n, out_.now());
-  }
-  return good;
+                                      const InventoryPages::AddMachine& add_machine) {
+  return inventory_pages_.load(key, value, version, out_.now(), add_machine);
 }
 
 // ---------------------------------------------------------------- what is to be written
@@ -222,39 +90,23 @@
 
 void StateWriter::record_completion(Job& job, std::uint32_t task, MachineIndex machine,
                                     std::uint64_t attempt) {
-  const ChunkKey chunk{job.index, codec_.chunk_of(task)};
-  completions_awaiting_[chunk].push_back({machine, task, attempt});
-  completion_pages_.mark_due(
-      completion_pages_.assign(chunk, codec_.max_encoded_bytes(job, chunk.second), page_bytes_),
-      PageUrgency::soon, out_.now());
+  completion_pages_.add(job, {machine, task, attempt}, out_.now());
   schedule_flush(settings_.tunables.progress_flush_s);
 }
 
 void StateWriter::add_machine(MachineIndex machine) {
-  wire::Value record = events_.machine_record(machine);
-  record["images"] = wire::Value::array();
-  machines_awaiting_record_.insert(machine);
-  inventory_pages_.mark_due(inventory_pages_.assign(machine, record_size(record), inventory_limit_bytes()),
-                            PageUrgency::now, out_.now());
-  schedule_flush(kJoin);
+  inventory_pages_.add(machine, out_.now());
+  schedule_flush(InventoryPages::kJoinDelay);
 }
 
 void StateWriter::refresh_machine(MachineIndex machine) {
-  const auto n = inventory_pages_.page_of(machine);
-  if (!n)
-    return;
-  inventory_pages_.mark_due(*n, PageUrgency::opportunistic, out_.now());
-  schedule_flush(kInPassing);
+  if (inventory_pages_.refresh(machine, out_.now()))
+    schedule_flush(InventoryPages::kRefreshDelay);
 }
 
 void StateWriter::remove_machine(MachineIndex machine) {
-  const auto n = inventory_pages_.page_of(machine);
-  if (!n)
-    return;
-  inventory_pages_.remove(machine);
-  machines_awaiting_record_.erase(machine);
-  inventory_pages_.mark_due(*n, PageUrgency::soon, out_.now());
-  schedule_flush(kSoon);
+  if (inventory_pages_.remove(machine, out_.now()))
+    schedule_flush(InventoryPages::kRemovalDelay);
 }
 
 // ---------------------------------------------------------------- writing
@@ -283,101 +135,11 @@
     txn.erase(kLiveJobPrefix + job.spec.ref + kCancellationSuffix);
 }
 
-// When the page is to be written, as far as that depends on nothing but itself.
-Seconds StateWriter::inventory_page_due_at(std::size_t n) const {
-  const auto& page = inventory_pages_[n];
-  if (page.urgency == PageUrgency::now)
-    return page.due_since;
-  if (page.urgency == PageUrgency::soon)
-    return page.due_since + kSoon;
-  return std::max(page.due_since + kInPassing, passed_at_ + kPassingEvery);
-}
-
-Seconds StateWriter::completion_page_due_at(std::size_t n) const {
-  return completion_pages_[n].due_since + settings_.tunables.progress_flush_s;
-}
-
-int StateWriter::inventory_pages_due() const {
-  return static_cast<int>(std::count_if(
-      inventory_pages_.due_pages().begin(), inventory_pages_.due_pages().end(), [this](std::size_t n) {
-        return inventory_pages_[n].urgency >= PageUrgency::soon && inventory_pages_.is_writable(n) &&
-               inventory_page_due_at(n) <= out_.now();
-      }));
-}
-
-int StateWriter::completion_pages_due() const {
-  return static_cast<int>(std::count_if(
-      completion_pages_.due_pages().begin(), completion_pages_.due_pages().end(), [this](std::size_t n) {
-        return completion_pages_.is_writable(n) && completion_page_due_at(n) <= out_.now() + kRounding;
-      }));
-}
-
-void StateWriter::add_inventory_pages(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes,
+void StateWriter::add_inventory_pages(wire::Transaction& txn, Commit& c, TransactionSpace& space,
                                       PageUrgency least) {
-  for (const std::size_t n :
-       std::vector<std::size_t>(inventory_pages_.due_pages().begin(), inventory_pages_.due_pages().end())) {
-    if (room <= 0 || bytes >= kMaxBytes)
-      return;
-    const auto& page = inventory_pages_[n];
-    const PageUrgency due = page.urgency;
-    if (due < least || out_.now() < inventory_page_due_at(n))
-      continue;
-    auto value = writable_value(inventory_pages_, n, inventory_limit_bytes(),
-                                [this](std::size_t p) { return inventory_page_value(p); });
-    if (!value)
-      continue;
-    std::vector<MachineIndex> joins;
-    for (const MachineIndex ix : page.entries) {
-      if (machines_awaiting_record_.contains(ix))
-        joins.push_back(ix);
-    }
-    c.inventory_urgency.push_back(due);
-    c.inventory.emplace_back(n, std::move(joins));
-    inventory_pages_.clear_due(n);
-    txn.require(page_key(kInventoryPrefix, n), page.version)
-        .put(page_key(kInventoryPrefix, n), std::move(*value));
-    bytes += page.bytes + names_limit_bytes();
-    --room;
+  for (InventoryPages::Write& write : inventory_pages_.add_due(txn, space, least, out_.now())) {
+    c.inventory.push_back(std::move(write));
     ++writes_.inventory;
-    // One that is of use only to a later leader goes alone: what people wait for comes first.
-    if (due != PageUrgency::opportunistic)
-      continue;
-    passed_at_ = out_.now();
-    return;
-  }
-}
-
-void StateWriter::add_completion_pages(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes) {
-  for (const std::size_t n :
-       std::vector<std::size_t>(completion_pages_.due_pages().begin(), completion_pages_.due_pages().end())) {
-    if (room <= 0 || bytes >= kMaxBytes)
-      return;
-    const auto& page = completion_pages_[n];
-    if (out_.now() + kRounding < completion_page_due_at(n))
-      continue;
-    auto value = writable_value(completion_pages_, n, page_bytes_,
-                                [this](std::size_t p) { return completion_page_value(p); });
-    if (!value)
-      continue;
-    completion_pages_.clear_due(n);
-    std::vector<std::pair<ChunkKey, CompletedTask>> covers;
-    for (const ChunkKey& chunk : page.entries) {
-      auto it = completions_awaiting_.find(chunk);
-      if (it == completions_awaiting_.end())
-        continue;
-      for (const CompletedTask& e : it->second)
-        covers.emplace_back(chunk, e);
-      completions_awaiting_.erase(it);
-    }
-    // Its jobs are over. But what another page still holds of it must be here before that is written.
-    if (covers.empty() && page.blocks.empty() && page.blocked_by.empty())
-      continue;
-    txn.require(page_key(kCompletionPrefix, n), page.version)
-        .put(page_key(kCompletionPrefix, n), std::move(*value));
-    c.completions.emplace_back(n, std::move(covers));
-    bytes += page.bytes;
-    --room;
-    ++writes_.completions;
   }
 }
 
@@ -385,23 +147,23 @@
   for (std::string& key : batches_.take_empty())
     deletions_.push_back(std::move(key));
   if (!deletions_.empty())
-    schedule_flush(kSoon);
+    schedule_flush(kCleanupDelay);
 }
 
 void StateWriter::delete_later(std::string key) {
   deletions_.push_back(std::move(key));
-  schedule_flush(kSoon);
+  schedule_flush(kCleanupDelay);
 }
 
 void StateWriter::move_to_own_key(Job& job) {
   if (!batches_.contains(job.index))
     return;
   moves_to_own_key_.push_back(job.index);
-  schedule_flush(kSoon);
+  schedule_flush(kCleanupDelay);
 }
 
-void StateWriter::add_deletions(wire::Transaction& txn, Commit& c, int& room) {
-  for (int n = 0; n < kSweeps && room > 0 && !deletions_.empty(); ++n, --room) {
+void StateWriter::add_deletions(wire::Transaction& txn, Commit& c, TransactionSpace& space) {
+  for (int n = 0; n < kSweeps && space.changes > 0 && !deletions_.empty(); ++n, --space.changes) {
     txn.erase(deletions_.front());
     c.deletions.push_back(std::move(deletions_.front()));
     deletions_.pop_front();
@@ -411,8 +173,8 @@
 }
 
 // The record is the one on the sheet, but for what no version reads.
-void StateWriter::add_moves_to_own_key(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes) {
-  for (int n = 0; n < kSweeps && room > 0 && bytes < kMaxBytes && !moves_to_own_key_.empty(); ++n) {
+void StateWriter::add_moves_to_own_key(wire::Transaction& txn, Commit& c, TransactionSpace& space) {
+  for (int n = 0; n < kSweeps && !space.exhausted() && !moves_to_own_key_.empty(); ++n) {
     const JobIndex ix = moves_to_own_key_.front();
     moves_to_own_key_.pop_front();
     Job* job = registry_.job_at(ix);
@@ -424,10 +186,9 @@
     wire::Value record = wire::job_record(job->spec, out_.time_of_day() - (out_.now() - job->submitted_at));
     if (!job->origin_cell.empty())
       record[kOriginCellField] = job->origin_cell;
-    bytes += record.dump().size();
+    space.take(record.dump().size());
     txn.put(kLiveJobPrefix + job->spec.ref, std::move(record));
     c.moved_to_own_key.push_back(ix);
-    --room;
     deleted_at_ = out_.now();
   }
 }
@@ -440,25 +201,28 @@
   wire::Transaction txn;
   txn.require(leadership_.leader_key, leadership_.fencing_token());
   Commit c;
-  std::size_t bytes = 0;
-  c.selection =
-      final_states_.select({max_changes_, inventory_pages_due(), completion_pages_due()}, out_.now());
+  c.selection = final_states_.select(
+      {limits_.changes, inventory_pages_.due_count(out_.now()), completion_pages_.due_count(out_.now())},
+      out_.now());
   for (const JobIndex ix : c.selection.final_states)
     add_final_state(txn, *registry_.job_at(ix));
   // What the kinds with shares leave is for whatever else is due.
-  int room = c.selection.inventory_changes + c.selection.unassigned_changes;
-  add_inventory_pages(txn, c, room, bytes, PageUrgency::soon);
-  const bool user = !c.selection.final_states.empty() ||
-                    std::find(c.inventory_urgency.begin(), c.inventory_urgency.end(), PageUrgency::now) !=
-                        c.inventory_urgency.end();
-  room += c.selection.completion_changes;
-  add_completion_pages(txn, c, room, bytes);
-  add_inventory_pages(txn, c, room, bytes, PageUrgency::opportunistic);
+  TransactionSpace space;
+  space.changes = c.selection.inventory_changes + c.selection.unassigned_changes;
+  add_inventory_pages(txn, c, space, PageUrgency::soon);
+  const bool user =
+      !c.selection.final_states.empty() ||
+      std::any_of(c.inventory.begin(), c.inventory.end(),
+                  [](const InventoryPages::Write& write) { return write.urgency == PageUrgency::now; });
+  space.changes += c.selection.completion_changes;
+  c.completions = completion_pages_.add_due(txn, space, out_.now());
+  writes_.completions += c.completions.size();
+  add_inventory_pages(txn, c, space, PageUrgency::opportunistic);
   if (txn.change_count() > 0 || out_.now() >= deleted_at_ + kSweepEvery) {
-    add_deletions(txn, c, room);
+    add_deletions(txn, c, space);
     // In a transaction with its end, the record would be there after it.
     if (c.selection.final_states.empty())
-      add_moves_to_own_key(txn, c, room, bytes);
+      add_moves_to_own_key(txn, c, space);
   }
   if (txn.change_count() == 0)
     return reschedule_flush();
@@ -497,14 +261,7 @@
     at = out_.now();
   if (!deletions_.empty() || !moves_to_own_key_.empty())
     at = std::min(at, std::max(out_.now(), deleted_at_ + kSweepEvery));
-  for (const std::size_t n : completion_pages_.due_pages()) {
-    if (completion_pages_.is_writable(n))
-      at = std::min(at, completion_page_due_at(n));
-  }
-  for (const std::size_t n : inventory_pages_.due_pages()) {
-    if (inventory_pages_.is_writable(n))
-      at = std::min(at, inventory_page_due_at(n));
-  }
+  at = std::min({at, completion_pages_.next_due_at(), inventory_pages_.next_due_at()});
   // Never at once: a sum that is rounded down would come up again and again within the same instant.
   if (at != ports::kNever)
     schedule_flush(std::max(0.002, at - out_.now()));
@@ -525,52 +282,49 @@
     if (has(kLiveJobPrefix + job.spec.ref))
       job.has_own_key = true;
   }
-  for (const auto& [n, covers] : c.completions) {
-    if (has(page_key(kCompletionPrefix, n)))
-      ++page_lookups_, look_up_page(kCompletionPrefix, n);
+  for (const CompletionPages::Write& write : c.completions) {
+    if (!has(CompletionPages::key(write.page)))
+      continue;
+    ++page_lookups_;
+    look_up_version(completion_pages_, write.page);
   }
-  for (const auto& [n, joined] : c.inventory) {
-    if (has(page_key(kInventoryPrefix, n)))
-      ++page_lookups_, look_up_page(kInventoryPrefix, n);
+  for (const InventoryPages::Write& write : c.inventory) {
+    if (!has(InventoryPages::key(write.page)))
+      continue;
+    ++page_lookups_;
+    look_up_version(inventory_pages_, write.page);
   }
   return true;
 }
 
 // Nobody but this leader writes its pages, so the page holds what a transaction of its own put there that had
 // no answer. It is written anew, on condition that it is still that; until its version is known it is not.
-void StateWriter::look_up_page(const char* prefix, std::size_t page) {
-  const bool roster = prefix == kInventoryPrefix;
-  (roster ? inventory_pages_[page].version_lookup_pending : completion_pages_[page].version_lookup_pending) =
-      true;
-  store_.get(
-      page_key(prefix, page), store::RequestPriority::lease,
-      [this, prefix, roster, page, term = term_](const store::Reply& r) {
-        if (term != term_)
-          return;
-        const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
-        if (!item && r.status != 404)
-          return out_.after(kRetry, [this, prefix, page, term] {
-            if (term == term_)
-              look_up_page(prefix, page);
-          });
-        const std::uint64_t version = item ? item->version : 0;
-        roster ? inventory_pages_.set_version(page, version) : completion_pages_.set_version(page, version);
-        (roster ? inventory_pages_[page].version_lookup_pending
-                : completion_pages_[page].version_lookup_pending) = false;
-        schedule_flush(0);
-      });
+template <typename Pages>
+void StateWriter::look_up_version(Pages& pages, std::size_t page) {
+  pages.begin_version_lookup(page);
+  store_.get(Pages::key(page), store::RequestPriority::lease,
+             [this, &pages, page, term = term_](const store::Reply& reply) {
+               if (term != term_)
+                 return;
+               const auto item =
+                   reply.status == 200 ? wire::parse_item(reply.body) : wire::Result<wire::Item>::fail("");
+               if (!item && reply.status != 404)
+                 return out_.after(kRetry, [this, &pages, page, term] {
+                   if (term == term_)
+                     look_up_version(pages, page);
+                 });
+               pages.end_version_lookup(page, item ? item->version : 0);
+               schedule_flush(0);
+             });
 }
 
 // Everything here may be applied twice without harm, so what is uncertain is simply written again.
 void StateWriter::on_commit_failed(Commit& c) {
   final_states_.restore(c.selection);
-  for (auto& [n, covers] : c.completions) {
-    for (auto& [chunk, ended] : covers)
-      completions_awaiting_[chunk].push_back(ended);
-    completion_pages_.mark_due(n, PageUrgency::soon, out_.now());
-  }
-  for (std::size_t i = 0; i < c.inventory.size(); ++i)
-    inventory_pages_.mark_due(c.inventory[i].first, c.inventory_urgency[i], out_.now());
+  for (const CompletionPages::Write& write : c.completions)
+    completion_pages_.restore(write, out_.now());
+  for (const InventoryPages::Write& write : c.inventory)
+    inventory_pages_.restore(write, out_.now());
   deletions_.insert(deletions_.begin(), c.deletions.begin(), c.deletions.end());
   for (const JobIndex ix : c.moved_to_own_key)
     moves_to_own_key_.push_back(ix);  // others first: this one may be over
@@ -584,20 +338,18 @@
   ++malformed_commits_;
   spdlog::error("the state service calls a transaction of {} changes malformed", ops);
   if (c.record_count() > 1) {
-    max_changes_ = std::max(kCloseOps, ops / 2);
-    if (max_changes_ < ops)
+    limits_.changes = std::max(kCloseOps, ops / 2);
+    if (limits_.changes < ops)
       return;
   }
-  const auto smaller = [this](auto& pages, std::size_t n, auto encode) {
-    const std::size_t size = encode(n).dump().size();
-    page_bytes_ = std::max(kLeastPage, std::min(page_bytes_, size / 2));
-    if (pages[n].entries.size() <= 1)
-      pages[n].due_since = out_.now() + kRefusedPause;
+  const auto lower_page_limit = [this](std::size_t refused_bytes) {
+    limits_.page_bytes = std::max(kLeastPage, std::min(limits_.page_bytes, refused_bytes / 2));
   };
-  for (const auto& [n, covers] : c.completions)
-    smaller(completion_pages_, n, [this](auto p) { return completion_page_value(p); });
-  for (const auto& [n, joined] : c.inventory)
-    smaller(inventory_pages_, n, [this](auto p) { return inventory_page_value(p); });
+  const Seconds retry_at = out_.now() + kRefusedPause;
+  for (const CompletionPages::Write& write : c.completions)
+    lower_page_limit(completion_pages_.on_refused(write, retry_at));
+  for (const InventoryPages::Write& write : c.inventory)
+    lower_page_limit(inventory_pages_.on_refused(write, retry_at));
   for (const JobIndex ix : c.selection.final_states) {
     Job& job = *registry_.job_at(ix);
     spdlog::error("{}: its end cannot be recorded", job.spec.ref);
@@ -614,15 +366,7 @@
     final_states_.on_recorded(*job);
     writes_.final_states += static_cast<std::uint64_t>(final_state_changes(*job));
     batches_.on_job_over(ix);
-    std::vector<CompletedTask> ended;
-    for (std::uint32_t n = 0; n < codec_.chunks(*job); ++n) {
-      const ChunkKey chunk{ix, n};
-      if (auto waiting = completions_awaiting_.extract(chunk); !waiting.empty()) {
-        ended.insert(ended.end(), waiting.mapped().begin(), waiting.mapped().end());
-      }
-      completion_pages_.remove(chunk);
-    }
-    events_.on_completions_persisted(ended);
+    events_.on_completions_persisted(completion_pages_.remove_job(*job));
     const auto waiters = final_states_.take_waiters(ix);
     events_.on_final_state(*job);
     for (const auto& then : waiters)
@@ -636,21 +380,14 @@
       batches_.on_job_over(ix);
   }
   delete_empty_batches();
-  for (const auto& [n, covers] : c.completions) {
-    completion_pages_.set_version(n, revision);
-    completion_pages_.on_written(n);
-    std::vector<CompletedTask> ended;
-    for (const auto& [chunk, e] : covers)
-      ended.push_back(e);
-    events_.on_completions_persisted(ended);
-  }
-  for (const auto& [n, joined] : c.inventory) {
-    inventory_pages_.set_version(n, revision);
-    inventory_pages_.on_written(n);
-    for (const MachineIndex ix : joined) {
-      if (machines_awaiting_record_.erase(ix) == 0)
+  for (const CompletionPages::Write& write : c.completions)
+    events_.on_completions_persisted(completion_pages_.on_written(write, revision));
+  for (const InventoryPages::Write& write : c.inventory) {
+    inventory_pages_.on_written(write, revision);
+    for (const MachineIndex machine : write.joining) {
+      if (!inventory_pages_.take_joined(machine))
         continue;  // gone meanwhile
-      events_.on_machine_recorded(ix);
+      events_.on_machine_recorded(machine);
       if (term != term_)
         return;
     }
--- a/src/jobs/state_writer.hpp
+++ b/src/jobs/state_writer.hpp
@@ -16,20 +16,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "jobs/completion_codec.hpp"
+#include "jobs/completion_pages.hpp"
 #include "jobs/final_state_queue.hpp"
+#include "jobs/inventory_pages.hpp"
 #include "jobs/job_batches.hpp"
 #include "jobs/job_registry.hpp"
-#include "jobs/record_pages.hpp"
-#include "jobs/write_shares.hpp"
+#include "jobs/write_limits.hpp"
 #include "store/state_client.hpp"
 
 namespace wingtrail::jobs {
 
 inline constexpr const char* kLiveJobPrefix = "j/";
-inline constexpr const char* kCompletionPrefix = "p/";
 inline constexpr const char* kFinalStatePrefix = "f/";
-inline constexpr const char* kInventoryPrefix = "r/";
 inline constexpr const char* kCancellationSuffix = "/abort";
 // In the record of a job that another cell handed on: that cell.
 inline constexpr const char* kOriginCellField = "guest";
@@ -42,12 +40,7 @@
     std::function<void()> on_superseded;
     std::string leader_key;
   };
-  // A completed task that its worker still reports.
-  struct CompletedTask {
-    MachineIndex machine;
-    std::uint32_t task;
-    std::uint64_t attempt;
-  };
+  using CompletedTask = jobs::CompletedTask;
   struct Events {
     std::function<void(Job&)> on_final_state;
     std::function<void(const std::vector<CompletedTask>&)> on_completions_persisted;
@@ -56,9 +49,7 @@
   };
   StateWriter(ports::Outbox& out, store::StateClient& store, JobRegistry& registry,
               const settings::Settings& settings, LeadershipView link);
-  void set_events(Events events) {
-    events_ = std::move(events);
-  }
+  void set_events(Events events);
 
   void begin_leadership();  // a leadership begins: nothing is pending
   void end_leadership();
@@ -87,7 +78,7 @@
   void move_to_own_key(Job& job);
 
   const CompletionCodec& codec() const {
-    return codec_;
+    return completion_pages_.codec();
   }
   std::uint64_t commits() const {
     return commits_;
@@ -99,13 +90,13 @@
     return writes_;
   }
   std::uint64_t pages_split() const {
-    return pages_split_;
+    return completion_pages_.splits() + inventory_pages_.splits();
   }  // pages found too large
   std::uint64_t malformed_commits() const {
     return malformed_commits_;
   }  // transactions called malformed
   std::size_t page_count() const {
-    return completion_pages_.size() + inventory_pages_.size();
+    return completion_pages_.page_count() + inventory_pages_.page_count();
   }
   std::uint64_t page_lookups() const {
     return page_lookups_;
@@ -117,13 +108,10 @@
   std::optional<Seconds> oldest_unrecorded(RecordKind kind) const;
 
  private:
-  using ChunkKey = std::pair<JobIndex, std::uint32_t>;  // job, chunk
   struct Commit {
     FinalStateQueue::Selection selection;
-    std::vector<std::pair<std::size_t, std::vector<std::pair<ChunkKey, CompletedTask>>>>
-        completions;                                                           // page, what it covers
-    std::vector<std::pair<std::size_t, std::vector<MachineIndex>>> inventory;  // page, who joins
-    std::vector<PageUrgency> inventory_urgency;                                // the roster's pages
+    std::vector<CompletionPages::Write> completions;
+    std::vector<InventoryPages::Write> inventory;
     std::vector<std::string> deletions;
     std::vector<JobIndex> moved_to_own_key;
     std::size_t record_count() const {
@@ -131,36 +119,16 @@
              moved_to_own_key.size();
     }
   };
-  wire::Value completion_page_value(std::size_t page) const;
-  wire::Value inventory_page_value(std::size_t page) const;
-  std::size_t names_limit_bytes() const {
-    return page_bytes_ / 8;
-  }
-  std::size_t images_limit_bytes() const;
-  std::size_t inventory_limit_bytes() const {
-    return page_bytes_ - names_limit_bytes();
-  }
-  std::size_t record_size(const wire::Value& record) const;
-  // The page's value; nothing if it has to wait: for others, or because it was too large and has been
-  // divided.
-  template <typename Entry, typename Encode>
-  std::optional<wire::Value> writable_value(RecordPages<Entry>& pages, std::size_t n, std::size_t limit,
-                                            Encode encode);
   void schedule_flush(Seconds delay);
   void flush();
   void add_final_state(wire::Transaction& txn, const Job& job);
-  Seconds inventory_page_due_at(std::size_t n) const;
-  Seconds completion_page_due_at(std::size_t n) const;
-  int inventory_pages_due() const;
-  int completion_pages_due() const;
-  void add_inventory_pages(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes,
-                           PageUrgency least);
-  void add_completion_pages(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes);
-  void add_deletions(wire::Transaction& txn, Commit& c, int& room);
-  void add_moves_to_own_key(wire::Transaction& txn, Commit& c, int& room, std::size_t& bytes);
+  void add_inventory_pages(wire::Transaction& txn, Commit& c, TransactionSpace& space, PageUrgency least);
+  void add_deletions(wire::Transaction& txn, Commit& c, TransactionSpace& space);
+  void add_moves_to_own_key(wire::Transaction& txn, Commit& c, TransactionSpace& space);
   void reschedule_flush();
   bool conflicts_with_newer(const wire::Value& refusal, const Commit& c);
-  void look_up_page(const char* prefix, std::size_t page);
+  template <typename Pages>
+  void look_up_version(Pages& pages, std::size_t page);
   void on_commit_failed(Commit& c);
   void on_commit_malformed(const Commit& c, int ops);
   void on_committed(const Commit& c, std::uint64_t revision);
@@ -171,21 +139,17 @@
   const settings::Settings& settings_;
   LeadershipView leadership_;
   Events events_;
-  CompletionCodec codec_;
-  std::size_t page_bytes_;  // that a page may have; less once the state service has refused one
-  int max_changes_;         // in a transaction; the same
+  WriteLimits limits_;
   FinalStateQueue final_states_;
   JobBatches batches_;
   std::deque<std::string> deletions_;
   std::deque<JobIndex> moves_to_own_key_;
   Seconds deleted_at_ = 0;
-  RecordPages<ChunkKey> completion_pages_;
-  RecordPages<MachineIndex> inventory_pages_;
-  std::set<MachineIndex> machines_awaiting_record_;  // machines to be told of once their page is written
-  std::map<ChunkKey, std::vector<CompletedTask>> completions_awaiting_;  // completed, not persisted
+  CompletionPages completion_pages_;
+  InventoryPages inventory_pages_;
   bool active_ = false, in_flight_ = false, flush_scheduled_ = false;
-  Seconds flush_scheduled_at_ = 0, passed_at_ = 0;
-  std::uint64_t term_ = 0, commits_ = 0, pages_split_ = 0, malformed_commits_ = 0, page_lookups_ = 0;
+  Seconds flush_scheduled_at_ = 0;
+  std::uint64_t term_ = 0, commits_ = 0, malformed_commits_ = 0, page_lookups_ = 0;
   Writes writes_;
 };
 
