--- /dev/null
+++ b/src/filters/quota_filter.cpp
@@ -0,0 +1,39 @@
+#include "filters/quota_filter.hpp"
+
+#include <algorithm>
+
+namespace wingtrail::filters {
+namespace {
+constexpr double kRoundingTolerance = 1e-6;      // cores or GPUs
+constexpr Seconds kTaskEndDelay = 3;             // until a task that ends has freed its resources here
+constexpr double kMaxServiceReservation = 0.05;  // share of the team's quota
+}  // namespace
+
+// The cores of the team's quota that are reserved for services, from the point of view of this job. A service
+// that is submitted while its team's job arrays use the whole quota would wait for one of their tasks to end
+// and then fetch its image wherever that is. So job arrays leave as much as services are expected to need
+// until tasks have ended for them.
+double QuotaFilter::reserved_for_services(const Job& job) const {
+  if (!settings_.tunables.load_balancing || job.is_service())
+    return 0;
+  return std::min(load_.expected_service_cores(job.team, kTaskEndDelay, out_.now()),
+                  kMaxServiceReservation * settings_.teams[job.team].cpus_max);
+}
+
+bool QuotaFilter::admits_tasks(const Job& job, double tasks) const {
+  const settings::Team& team = settings_.teams[job.team];
+  if (team.cpus_max <= 0 && team.gpus_max <= 0)
+    return true;
+  // Until every machine is reconciled, an earlier leader's tasks may use quota that is not known here: at
+  // most all that these machines have.
+  const auto unknown = workers_.unreconciled_resources();
+  if (!unknown)
+    return false;
+  const wire::Resources& usage = workers_.team_usage(job.team);
+  return (team.cpus_max <= 0 || usage.cpus + unknown->cpus + tasks * job.spec.task_resources.cpus <=
+                                    team.cpus_max - reserved_for_services(job) + kRoundingTolerance) &&
+         (team.gpus_max <= 0 || usage.gpus + unknown->gpus + tasks * job.spec.task_resources.gpus <=
+                                    team.gpus_max + kRoundingTolerance);
+}
+
+}  // namespace wingtrail::filters
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -11,7 +11,7 @@
 #include "balancing/load_snapshot.hpp"
 #include "balancing/migrations.hpp"
 #include "balancing/speed_estimator.hpp"
-#include "filters/filter.hpp"
+#include "filters/filter_chain.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::scheduling {
--- a/tests/worker_manager_test.cpp
+++ b/tests/worker_manager_test.cpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "filters/filter.hpp"
+#include "filters/reconciled_filter.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::workers {
