--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -151,7 +151,7 @@
     } else if (listing.missing_since == 0) {
       listing.missing_since = out_.now();
     } else if (out_.now() - listing.missing_since > 2 * settings_.cloud_list_lag_s + 1 &&
-               workers_.silence_of(m) > settings_.heartbeat_interval_s * 1.5) {
+               workers_.time_since_contact(m) > settings_.heartbeat_interval_s * 1.5) {
       spdlog::info("{}: no longer listed, gone", m.host);
       workers_.mark_gone(m);
     }
--- a/src/autoscaling/machine_return.cpp
+++ b/src/autoscaling/machine_return.cpp
@@ -60,9 +60,9 @@
   // A machine of a zone out of reach goes on unseen, and a return would end what runs on it; one that is lost
   // while its zone is heard has nothing left to lose. Counting the silent ones instead returned 231 sound
   // machines of a zone whose machines fell silent one after the other.
-  if (out_.now() >= judge_after_ && !workers_.silent_machines().empty()) {
+  if (out_.now() >= judge_after_ && !workers_.unresponsive_machines().empty()) {
     std::vector<MachineIndex> lost;
-    for (const MachineIndex ix : workers_.silent_machines()) {
+    for (const MachineIndex ix : workers_.unresponsive_machines()) {
       const Machine& m = workers_.machine_at(ix);
       if (!m.being_returned && (m.unreachable || !m.has_incarnation) && workers_.lost_alone(m))
         lost.push_back(ix);
--- a/src/autoscaling/scale_out.cpp
+++ b/src/autoscaling/scale_out.cpp
@@ -19,7 +19,7 @@
     const auto there = [&pool](const RentalRequest& h) {
       return h.pool.zone == pool.zone;
     };
-    if (!workers_.zones().choose_probe(pool.zone) ||
+    if (!workers_.zones().needs_probe_machine(pool.zone) ||
         std::any_of(rental_requests_.begin(), rental_requests_.end(), there))
       return true;
   }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -641,7 +641,7 @@
       loss = scheduler_.zone_loss_impact(zone);
       looked_at = out_.now();
     }
-    if (now == last || now == ZoneState::silent)
+    if (now == last || now == ZoneState::unresponsive)
       continue;
     const std::string& name = registry_.zones[zone];
     const double finds =
--- a/src/filters/cell_filter.hpp
+++ b/src/filters/cell_filter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The filter that orders a cell's own work and the work that it exchanges with other cells.
+/// The filter that gives a cell's own work precedence over work that other cells have offloaded to it.
 #pragma once
 
 #include <vector>
--- a/src/filters/filter.hpp
+++ b/src/filters/filter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The interface of the filters: each filter is one rule that may keep a pending task from being placed.
+/// The interface of the filters: each filter is one rule that may prevent the placement of a pending task.
 #pragma once
 
 #include <string_view>
--- a/src/scheduling/migration.cpp
+++ b/src/scheduling/migration.cpp
@@ -44,7 +44,7 @@
         continue;
       const auto mean = typical_run_time(*job);
       // Silence looks like a long run.
-      if (mean && workers_.silence_of(m) < settings_.heartbeat_interval_s &&
+      if (mean && workers_.time_since_contact(m) < settings_.heartbeat_interval_s &&
           now - s.running_since > kTells * mean->run_s)
         speeds_.add_running_task(ix, s.job, std::log((now - s.running_since) / mean->run_s),
                                  mean->log_deviation);
@@ -146,14 +146,14 @@
   if (slow_machines_ == 0 || !workers_.reconciled() || workers_.zones().any_unstable(out_.now()))
     return;
   for (ZoneIndex zone{0}; zone < registry_.zones.size(); ++zone) {
-    if (workers_.zones().is_silent(zone, out_.now()))
+    if (workers_.zones().is_unresponsive(zone, out_.now()))
       return;
   }
   constexpr Seconds kOnTheWay = 2;
   constexpr double kClearly = 0.25;
   for (const MachineIndex ix : workers_.live_machines()) {
     Machine& m = workers_.machine_at(ix);
-    if (m.slowdown <= 1 || m.unreachable || workers_.silence_of(m) > settings_.heartbeat_interval_s)
+    if (m.slowdown <= 1 || m.unreachable || workers_.time_since_contact(m) > settings_.heartbeat_interval_s)
       continue;
     for (Allocation& s : m.allocations) {
       const Job* job = registry_.job_at(s.job);
--- a/src/scheduling/objectives.cpp
+++ b/src/scheduling/objectives.cpp
@@ -113,8 +113,8 @@
   // After a zone is lost many services lack replicas at once: first those that serve nobody, and of these the
   // ones with the shortest fetch.
   if (zones_unstable_ && a.is_service() && b.is_service()) {
-    const int ma = zones::missed(a.spec.tasks, a.placed_tasks),
-              mb = zones::missed(b.spec.tasks, b.placed_tasks);
+    const int ma = zones::replica_loss_rank(a.spec.tasks, a.placed_tasks),
+              mb = zones::replica_loss_rank(b.spec.tasks, b.placed_tasks);
     if (ma != mb)
       return ma < mb;
     if (a.spec.image_gb != b.spec.image_gb)
--- a/src/workers/allocations.cpp
+++ b/src/workers/allocations.cpp
@@ -1,8 +1,7 @@
-// Slots: tasks on machines. A task of an open job has one place at a time, on the machine whose slot names
-// the job; whatever other machine shows it holds a copy, which is stopped, or gets the place when that comes
-// free.
-#include <spdlog/spdlog.h>
-
+/// \file
+/// Allocations: tasks on machines. A task of an open job has one placement at a time, on the machine whose
+/// allocation names the job. Every other machine that shows the task holds a stray instance, which is
+/// stopped, or becomes the placement when the task has none any more.
 #include <algorithm>
 #include <utility>
 
@@ -10,95 +9,71 @@
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::workers {
-namespace {
-
-std::string job_of(const Allocation& s) {
-  return s.name.substr(0, s.name.rfind('/'));
-}
-
-}  // namespace
 
-void WorkerManager::add_stray(Machine& m, const Allocation& s) {
-  ++m.unsized_allocations;
-  strays_[job_of(s)].push_back({m.index, s.task});
-  update_unreconciled(m);
+void WorkerManager::add_stray(Machine& machine, const Allocation& allocation) {
+  ++machine.unsized_allocations;
+  strays_.add(machine, allocation);
+  update_unreconciled(machine);
 }
 
-void WorkerManager::remove_stray(Machine& m, const Allocation& s) {
-  --m.unsized_allocations;
-  const auto it = strays_.find(job_of(s));
-  const auto copy = std::find_if(it->second.begin(), it->second.end(), [&](const StrayInstance& c) {
-    return c.machine == m.index && c.task == s.task;
-  });
-  it->second.erase(copy);
-  if (it->second.empty())
-    strays_.erase(it);
-  update_unreconciled(m);
+void WorkerManager::remove_stray(Machine& machine, const Allocation& allocation) {
+  --machine.unsized_allocations;
+  strays_.remove(machine, allocation);
+  update_unreconciled(machine);
 }
 
-bool WorkerManager::has_stray_instance(const std::string& ref, std::uint32_t task) const {
-  const auto it = strays_.find(ref);
-  return it != strays_.end() && std::any_of(it->second.begin(), it->second.end(),
-                                            [task](const StrayInstance& c) { return c.task == task; });
-}
-
-Allocation* WorkerManager::stray_on(MachineIndex machine, const std::string& ref, std::uint32_t task) {
-  for (Allocation& s : machines_[machine].allocations) {
-    if (s.job == kNoIndex && s.occupies_machine && s.task == task && s.belongs_to(ref))
-      return &s;
+Allocation* WorkerManager::stray_on(MachineIndex machine, const std::string& job_ref, std::uint32_t task) {
+  for (Allocation& allocation : machines_[machine].allocations) {
+    if (allocation.job == kNoIndex && allocation.occupies_machine && allocation.task == task &&
+        allocation.belongs_to(job_ref))
+      return &allocation;
   }
   return nullptr;
 }
 
+// Whether the machine with the task's placement may have it only because of an old heartbeat.
 bool WorkerManager::placement_uncertain(const jobs::Task& task) const {
   return task.state == jobs::TaskState::placed && !machines_[task.machine].fenced;
 }
 
-// Of one task, or of all.
-void WorkerManager::stop_strays(const std::string& ref, std::optional<std::uint32_t> task) {
-  const auto it = strays_.find(ref);
-  if (it == strays_.end())
-    return;
-  for (const StrayInstance& c : it->second) {
-    if (task && c.task != *task)
+// Stops the stray instances of one of the job's tasks, or of all of them.
+void WorkerManager::stop_strays(const std::string& job_ref, std::optional<std::uint32_t> task) {
+  for (const StrayInstance& instance : strays_.of_job(job_ref)) {
+    if (task && instance.task != *task)
       continue;
-    if (Allocation* slot = stray_on(c.machine, ref, c.task))
-      stop_task(machines_[c.machine], *slot, 0);
+    if (Allocation* allocation = stray_on(instance.machine, job_ref, instance.task))
+      stop_task(machines_[instance.machine], *allocation, 0);
   }
 }
 
-// The task is not on that machine any more. If another shows it, that is where it is: an old report that
-// reached a new leader first may have given its place to a machine that had it before (AgentsTest). Waiting,
-// it would be started a second time while that one is still to be told to stop.
-void WorkerManager::unplace_task(jobs::Job& job, std::uint32_t task, const Machine& m) {
-  registry_.unplace_task(job, task, m.zone);
-  adopt_stray_instances(job, task);
+// The task is not on that machine any more. If another machine shows it, it is placed there: an old heartbeat
+// that reached a new leader first may have placed the task on a machine that had it before. If the task
+// became pending instead, it would be started a second time while the other machine still runs it.
+void WorkerManager::unplace_task(jobs::Job& job, std::uint32_t task, const Machine& machine) {
+  registry_.unplace_task(job, task, machine.zone);
+  adopt_stray_instance(job, task);
 }
 
-// Gives a pending task its place on a machine that shows it; false if none does.
-bool WorkerManager::adopt_stray_instances(jobs::Job& job, std::uint32_t task) {
-  const auto it = strays_.find(job.spec.ref);
-  if (it == strays_.end() || !job.is_open())
-    return false;
-  const auto copy = std::find_if(it->second.begin(), it->second.end(),
-                                 [task](const StrayInstance& c) { return c.task == task; });
-  if (copy == it->second.end())
+// Places a pending task on a machine with a stray instance of it; false if there is none.
+bool WorkerManager::adopt_stray_instance(jobs::Job& job, std::uint32_t task) {
+  const std::optional<MachineIndex> stray = strays_.machine_with(job.spec.ref, task);
+  if (!stray || !job.is_open())
     return false;
-  Machine& m = machines_[copy->machine];
-  Allocation& s = *stray_on(m.index, job.spec.ref, task);
-  remove_stray(m, s);
-  s.job = job.index;
-  s.resources = job.spec.task_resources;
-  if (!s.stops_immediately())
-    add_resources(m.used, s.resources, 1);
-  add_resources(team_usage_[job.team], s.resources, 1);
-  registry_.place_task(job, task, m.index, m.zone);
-  if (s.phase == Allocation::Phase::running) {
-    s.running_since = out_.now();
+  Machine& machine = machines_[*stray];
+  Allocation& allocation = *stray_on(machine.index, job.spec.ref, task);
+  remove_stray(machine, allocation);
+  allocation.job = job.index;
+  allocation.resources = job.spec.task_resources;
+  if (!allocation.stops_immediately())
+    add_resources(machine.used, allocation.resources, 1);
+  add_resources(team_usage_[job.team], allocation.resources, 1);
+  registry_.place_task(job, task, machine.index, machine.zone);
+  if (allocation.phase == Allocation::Phase::running) {
+    allocation.running_since = out_.now();
     registry_.set_task_running(job, task, true);
-    touch_image(m, job.image);
+    touch_image(machine, job.image);
   }
-  mark_changed(m);
+  mark_changed(machine);
   return true;
 }
 
@@ -107,77 +82,77 @@
     return;
   for (std::uint32_t task = 0; task < job.tasks.size(); ++task) {
     if (job.tasks[task].state == jobs::TaskState::pending)
-      adopt_stray_instances(job, task);
+      adopt_stray_instance(job, task);
   }
 }
 
-// The worker has the task's result. Whoever else seems to have the task is told to stop.
-void WorkerManager::complete_task(Machine& m, Allocation& s, jobs::Job& job) {
-  if (s.job == kNoIndex) {
-    release_placement(job, s.task);
-    s.job = job.index;
-    s.resources = job.spec.task_resources;
+// The worker has the task's result. All other instances of the task are stopped.
+void WorkerManager::complete_task(Machine& machine, Allocation& allocation, jobs::Job& job) {
+  if (allocation.job == kNoIndex) {
+    release_placement(job, allocation.task);
+    allocation.job = job.index;
+    allocation.resources = job.spec.task_resources;
   }
-  const MachineIndex placed_on = job.tasks[s.task].machine;
-  registry_.complete_task(job, s.task, placed_on == kNoIndex ? kNoIndex : machines_[placed_on].zone);
-  stop_strays(job.spec.ref, s.task);
-  state_writer_.record_completion(job, s.task, m.index, s.attempt);
+  const MachineIndex placed_on = job.tasks[allocation.task].machine;
+  registry_.complete_task(job, allocation.task, placed_on == kNoIndex ? kNoIndex : machines_[placed_on].zone);
+  stop_strays(job.spec.ref, allocation.task);
+  state_writer_.record_completion(job, allocation.task, machine.index, allocation.attempt);
 }
 
-// The machine that has the task's place keeps it as a copy, until it proves that it is gone.
+// Ends the task's placement. The machine that had it holds a stray instance until that is proved to be gone.
 void WorkerManager::release_placement(jobs::Job& job, std::uint32_t task) {
   if (job.tasks[task].state != jobs::TaskState::placed)
     return;
-  Machine& m = machines_[job.tasks[task].machine];
-  for (Allocation& s : m.allocations) {
-    if (s.job != job.index || s.task != task || !s.occupies_machine)
+  Machine& machine = machines_[job.tasks[task].machine];
+  for (Allocation& allocation : machine.allocations) {
+    if (allocation.job != job.index || allocation.task != task || !allocation.occupies_machine)
       continue;
-    if (!s.stops_immediately())
-      add_resources(m.used, s.resources, -1);
-    add_resources(team_usage_[job.team], s.resources, -1);
-    s.job = kNoIndex;
-    s.resources = {};
-    add_stray(m, s);
-    mark_changed(m);
+    if (!allocation.stops_immediately())
+      add_resources(machine.used, allocation.resources, -1);
+    add_resources(team_usage_[job.team], allocation.resources, -1);
+    allocation.job = kNoIndex;
+    allocation.resources = {};
+    add_stray(machine, allocation);
+    mark_changed(machine);
     return;
   }
 }
 
-void WorkerManager::release_allocation(Machine& m, Allocation& s) {
-  if (!s.occupies_machine)
+void WorkerManager::release_allocation(Machine& machine, Allocation& allocation) {
+  if (!allocation.occupies_machine)
     return;
-  s.occupies_machine = false;
-  mark_changed(m);
-  if (s.job == kNoIndex)
-    return remove_stray(m, s);
-  // A slot that ends at once has given its room to its successor already (see stop()).
-  if (!s.stops_immediately())
-    add_resources(m.used, s.resources, -1);
-  add_resources(team_usage_[registry_.job_at(s.job)->team], s.resources, -1);
+  allocation.occupies_machine = false;
+  mark_changed(machine);
+  if (allocation.job == kNoIndex)
+    return remove_stray(machine, allocation);
+  // Of one that stops immediately, the resources were released by stop_task().
+  if (!allocation.stops_immediately())
+    add_resources(machine.used, allocation.resources, -1);
+  add_resources(team_usage_[registry_.job_at(allocation.job)->team], allocation.resources, -1);
 }
 
-// The worker no longer has it, whatever it was.
-void WorkerManager::drop_allocation(Machine& m, std::size_t i) {
-  Allocation& s = m.allocations[i];
-  jobs::Job* job = registry_.job_at(s.job);
-  const std::uint32_t task = s.task;
-  const bool had_place = job && s.occupies_machine;
-  release_allocation(m, s);
-  // Before its place goes to a copy: it must not be found again where it has just ended.
-  m.allocations.erase(m.allocations.begin() + static_cast<std::ptrdiff_t>(i));
-  if (had_place)
-    unplace_task(*job, task, m);
+// The worker no longer has the allocation, whatever its phase was.
+void WorkerManager::drop_allocation(Machine& machine, std::size_t position) {
+  Allocation& allocation = machine.allocations[position];
+  jobs::Job* job = registry_.job_at(allocation.job);
+  const std::uint32_t task = allocation.task;
+  const bool was_placed = job && allocation.occupies_machine;
+  release_allocation(machine, allocation);
+  // Before a stray instance is adopted: this one must not be found again.
+  machine.allocations.erase(machine.allocations.begin() + static_cast<std::ptrdiff_t>(position));
+  if (was_placed)
+    unplace_task(*job, task, machine);
   if (job)
     registry_.erase_if_over(*job);
 }
 
-void WorkerManager::end_incarnation(Machine& m) {
-  for (std::size_t i = m.allocations.size(); i-- > 0;)
-    drop_allocation(m, i);
-  m.has_incarnation = false;
-  m.idle_since = out_.now();
-  update_expected(m);
-  mark_changed(m);
+void WorkerManager::end_incarnation(Machine& machine) {
+  for (std::size_t i = machine.allocations.size(); i-- > 0;)
+    drop_allocation(machine, i);
+  machine.has_incarnation = false;
+  machine.idle_since = out_.now();
+  update_expected(machine);
+  mark_changed(machine);
 }
 
 }  // namespace wingtrail::workers
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -1,7 +1,9 @@
-// Orders to workers: in the answer to a report where one is at hand, else straight to the worker's address.
+/// \file
+/// Commands to workers: in the reply to a heartbeat where one is at hand, else by a direct call.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "delegation/delegation.hpp"
 #include "workers/resources.hpp"
@@ -10,288 +12,325 @@
 namespace wingtrail::workers {
 namespace {
 constexpr Seconds kCommandTimeout = 2.0;
-constexpr Seconds kTokenTimeout = 1.0;  // nothing is in doubt if it is given up
-constexpr Seconds kOverdue = 0.75;      // a resent packet comes sooner, mostly
-// PROTOCOL: a worker gives an answer to its report up after 4 s; the rest covers both clocks' drift and
-// steps.
-constexpr Seconds kWorkerWaits = 4.5;
-constexpr std::size_t kOrdersPerCall = 200;  // far below the 64 KiB of a body
+constexpr Seconds kTokenTimeout =
+    1.0;  // such a call starts nothing, so giving it up leaves nothing uncertain
+// A call without a reply for this long is overdue: a worker replies within milliseconds, and a packet that
+// was lost is mostly resent sooner.
+constexpr Seconds kOverdueCallDelay = 0.75;
+// PROTOCOL: a worker stops waiting for the reply to its heartbeat after 4 s; the rest covers the drift and
+// the timer steps of both clocks.
+constexpr Seconds kWorkerReplyWait = 4.5;
+constexpr std::size_t kMaxCommandsPerCall = 200;  // far below the 64 KiB of a body
 // Calls to workers under way at once, as a share of the sockets: each holds one until it is answered.
-constexpr double kCallShare = 0.08;
+constexpr double kConnectionShare = 0.08;
+constexpr int kMinConcurrentCalls = 8;
 }  // namespace
 
-bool WorkerManager::start_task(Machine& m, jobs::Job& job, std::uint32_t task) {
-  Allocation s;
-  s.job = job.index;
-  s.task = task;
-  // Unique without a write: the token is this leadership's alone, and the counter never goes back within it.
-  s.attempt = (leadership_.strict_cancellations() ? delegation::kStrictCancellationFlag : 0) +
-              (leadership_.fencing_token() << delegation::kFencingTokenShift) + ++attempt_counter_;
+bool WorkerManager::start_task(Machine& machine, jobs::Job& job, std::uint32_t task) {
+  Allocation allocation;
+  allocation.job = job.index;
+  allocation.task = task;
+  // Unique without a write to the state service: no other leadership has the token, and within this one the
+  // counter only grows.
+  allocation.attempt = (leadership_.strict_cancellations() ? delegation::kStrictCancellationFlag : 0) +
+                       (leadership_.fencing_token() << delegation::kFencingTokenShift) + ++attempt_counter_;
   // A gang's tasks find each other by their attempt: all that start together share it.
   if (job.is_gang()) {
     if (job.placed_tasks == 0)
-      job.gang_attempt = s.attempt;
-    s.attempt = job.gang_attempt;
+      job.gang_attempt = allocation.attempt;
+    allocation.attempt = job.gang_attempt;
   }
-  s.name = wire::task_name(job.spec.ref, task);
-  s.resources = job.spec.task_resources;
-  s.ordered_at = out_.now();
-  add_resources(m.used, s.resources, 1);
-  add_resources(team_usage_[job.team], s.resources, 1);
-  registry_.place_task(job, task, m.index, m.zone);
-  m.allocations.push_back(std::move(s));
-  m.idle_since = 0;
-  m.has_new_commands = true;
-  mark_changed(m);
-  queue_call(m);
+  allocation.name = wire::task_name(job.spec.ref, task);
+  allocation.resources = job.spec.task_resources;
+  allocation.requested_at = out_.now();
+  add_resources(machine.used, allocation.resources, 1);
+  add_resources(team_usage_[job.team], allocation.resources, 1);
+  registry_.place_task(job, task, machine.index, machine.zone);
+  machine.allocations.push_back(std::move(allocation));
+  machine.idle_since = 0;
+  machine.delivery.has_new_commands = true;
+  mark_changed(machine);
+  queue_call(machine);
   return true;
 }
 
-void WorkerManager::stop_task(Machine& m, Allocation& s, double grace_s) {
-  if (!s.occupies_machine || (s.stop_requested && s.grace_s <= grace_s))
+void WorkerManager::stop_task(Machine& machine, Allocation& allocation, double grace_s) {
+  if (!allocation.occupies_machine || (allocation.stop_requested && allocation.grace_s <= grace_s))
     return;
-  const bool before = s.stops_immediately();
-  s.stop_requested = true;
-  s.grace_s = grace_s;
-  if (!before && s.stops_immediately() && s.job != kNoIndex)
-    add_resources(m.used, s.resources, -1);
-  m.has_new_commands = true;
-  mark_changed(m);
-  queue_call(m);
+  const bool before = allocation.stops_immediately();
+  allocation.stop_requested = true;
+  allocation.grace_s = grace_s;
+  if (!before && allocation.stops_immediately() && allocation.job != kNoIndex)
+    add_resources(machine.used, allocation.resources, -1);
+  machine.delivery.has_new_commands = true;
+  mark_changed(machine);
+  queue_call(machine);
 }
 
 void WorkerManager::cancel_job(jobs::Job& job) {
-  for (const jobs::Task& t : job.tasks) {
-    if (t.state != jobs::TaskState::placed)
+  for (const jobs::Task& task : job.tasks) {
+    if (task.state != jobs::TaskState::placed)
       continue;
-    Machine& m = machines_[t.machine];
-    for (Allocation& s : m.allocations) {
-      if (s.job == job.index && s.occupies_machine)
-        stop_task(m, s, 0);
+    Machine& machine = machines_[task.machine];
+    for (Allocation& allocation : machine.allocations) {
+      if (allocation.job == job.index && allocation.occupies_machine)
+        stop_task(machine, allocation, 0);
     }
   }
   stop_strays(job.spec.ref);
 }
 
-// Stopped tasks whose start never left this node: nothing to tell the worker.
-void WorkerManager::prune(Machine& m) {
-  for (std::size_t i = m.allocations.size(); i-- > 0;) {
-    const Allocation& s = m.allocations[i];
-    // Time alone proves nothing: a worker may have acted on the answer to its report and fallen silent then.
-    // Taking such a task for one that never left ran it twice on a day of roamkvitto-core-grown.
-    if (s.stop_requested && s.certainly_not_started(out_.now()))
-      drop_allocation(m, i);
+// Drops stopped allocations whose start never left this node: there is nothing to send to the worker.
+void WorkerManager::drop_unsent_starts(Machine& machine) {
+  for (std::size_t i = machine.allocations.size(); i-- > 0;) {
+    const Allocation& allocation = machine.allocations[i];
+    // Time alone proves nothing: a worker may have acted on the reply to its heartbeat and become
+    // unresponsive then. Taking such a task for one whose start never left would run it twice.
+    if (allocation.stop_requested && allocation.certainly_not_started(out_.now()))
+      drop_allocation(machine, i);
   }
 }
 
-std::vector<wire::Command> WorkerManager::build_commands(Machine& m, bool direct) {
-  using V = wire::Command::Verb;
-  std::vector<wire::Command> list;
-  // Stops come first: a start behind them may need their room.
-  for (const Allocation& s : m.allocations) {
-    if (s.occupies_machine && s.stop_requested)
-      list.push_back({V::stop, s.name, s.attempt, s.grace_s});
+// All commands that the worker has yet to confirm, as far as one message may hold them now.
+std::vector<wire::Command> WorkerManager::build_commands(Machine& machine, Delivery delivery) {
+  using Verb = wire::Command::Verb;
+  std::vector<wire::Command> commands;
+  // Stops come first: a start behind them may need their resources.
+  for (const Allocation& allocation : machine.allocations) {
+    if (allocation.occupies_machine && allocation.stop_requested)
+      commands.push_back({Verb::stop, allocation.name, allocation.attempt, allocation.grace_s});
   }
-  for (const Allocation& s : m.allocations) {
-    if (list.size() >= kOrdersPerCall)
+  for (const Allocation& allocation : machine.allocations) {
+    if (commands.size() >= kMaxCommandsPerCall)
       break;
-    if (s.phase == Allocation::Phase::exited && s.end_persisted && !s.start_in_flight(out_.now())) {
-      list.push_back({V::forget, s.name, s.attempt});
-    }
+    if (allocation.phase == Allocation::Phase::exited && allocation.end_persisted &&
+        !allocation.start_in_flight(out_.now()))
+      commands.push_back({Verb::forget, allocation.name, allocation.attempt});
   }
-  m.last_push_at = out_.now();
-  // The answer to a report may overtake a call that is under way, and its starts the stops in that call.
-  if (!direct && m.call_in_flight) {
-    commands_sent_ += list.size();
-    return list;
+  machine.delivery.last_sent_at = out_.now();
+  // The reply to a heartbeat may overtake a call that is under way, and its starts the stops in that call. So
+  // it has no starts meanwhile.
+  const bool may_overtake_call = delivery == Delivery::heartbeat_reply && machine.delivery.call_in_flight;
+  if (!may_overtake_call) {
+    machine.delivery.has_new_commands = false;
+    append_starts(machine, delivery, commands);
+    if (!commands.empty())
+      schedule_check(machine, out_.now() + kResendInterval);
   }
-  m.has_new_commands = false;
-  for (Allocation& s : m.allocations) {
-    // A start and its stop at once need no start; the slot stays until the session tells that it never
-    // arrived.
-    if (s.phase != Allocation::Phase::ordered || list.size() >= kOrdersPerCall)
+  commands_sent_ += commands.size();
+  return commands;
+}
+
+void WorkerManager::append_starts(Machine& machine, Delivery delivery, std::vector<wire::Command>& commands) {
+  for (Allocation& allocation : machine.allocations) {
+    if (allocation.phase != Allocation::Phase::requested || commands.size() >= kMaxCommandsPerCall)
       continue;
-    if (s.stop_requested && s.certainly_not_started(out_.now()))
+    // A task that is stopped before its start has left needs no start.
+    if (allocation.stop_requested && allocation.certainly_not_started(out_.now()))
       continue;
-    jobs::Job* job = registry_.job_at(s.job);
+    const jobs::Job* job = registry_.job_at(allocation.job);
     if (!job || !job->is_open())
       continue;
-    list.push_back({V::start, s.name, s.attempt});
-    if (direct) {
-      s.start_call_in_flight = true;
+    commands.push_back({wire::Command::Verb::start, allocation.name, allocation.attempt});
+    if (delivery == Delivery::direct_call) {
+      allocation.start_call_in_flight = true;
     } else {
-      s.start_in_reply_until = out_.now() + kWorkerWaits;
-      s.start_unproven = true;
+      allocation.start_in_reply_until = out_.now() + kWorkerReplyWait;
+      allocation.start_in_reply_unconfirmed = true;
     }
   }
-  commands_sent_ += list.size();
-  if (!list.empty())
-    schedule_check(m, out_.now() + kResendInterval);
-  return list;
 }
 
 int WorkerManager::max_concurrent_calls() const {
-  return std::max(8, static_cast<int>(settings_.max_connections * kCallShare));
+  return std::max(kMinConcurrentCalls, static_cast<int>(settings_.max_connections * kConnectionShare));
 }
 
-void WorkerManager::queue_call(Machine& m) {
-  if (m.queued_for_call || m.gone)
+void WorkerManager::queue_call(Machine& machine) {
+  if (machine.delivery.queued || machine.gone)
     return;
-  m.queued_for_call = true;
-  (m.fenced ? command_queue_ : token_queue_).push_back(m.index);
+  machine.delivery.queued = true;
+  (machine.fenced ? command_queue_ : token_queue_).push_back(machine.index);
 }
 
 void WorkerManager::flush_commands() {
   if (!active_)
     return;
   for (auto* queue : {&command_queue_, &token_queue_}) {
-    // Tokens are pushed by the hundred after a take-over; half of the calls stay free for orders meanwhile.
+    // After a take-over hundreds of machines are to be fenced; half of the calls stay free for commands
+    // meanwhile.
     const int limit = queue == &command_queue_ ? max_concurrent_calls() : max_concurrent_calls() / 2;
     while (!queue->empty() && calls_in_flight_ < limit) {
-      Machine& m = machines_[queue->front()];
+      Machine& machine = machines_[queue->front()];
       queue->pop_front();
-      m.queued_for_call = false;
-      if (m.call_in_flight || (m.fenced && !m.has_new_commands))
+      machine.delivery.queued = false;
+      if (machine.delivery.call_in_flight || (machine.fenced && !machine.delivery.has_new_commands))
         continue;
-      send_queued_commands(m);
+      send_queued_commands(machine);
     }
   }
   continue_liveness_sweep();
 }
 
-void WorkerManager::send_queued_commands(Machine& m) {
-  // A machine of the roster is asked before its first report: a wrong session gets 409 with its report.
-  if (m.gone || m.address.empty() || (!m.has_incarnation && m.fenced))
+void WorkerManager::send_queued_commands(Machine& machine) {
+  // A machine of the inventory is called even before its first heartbeat. A worker refuses a call for another
+  // incarnation with status 409, and that reply has its heartbeat all the same.
+  if (machine.gone || machine.address.empty() || (!machine.has_incarnation && machine.fenced))
     return;
-  if (out_.now() < m.retry_at)
-    return schedule_check(m, m.retry_at);
-  if (zones_.is_unreachable(m.zone, out_.now()))
-    return schedule_check(m, out_.now() + kResendInterval);
+  if (out_.now() < machine.delivery.retry_at)
+    return schedule_check(machine, machine.delivery.retry_at);
+  if (zones_.is_unreachable(machine.zone, out_.now()))
+    return schedule_check(machine, out_.now() + kResendInterval);
   if (out_.now() >= leadership_.lease_expires_at())
-    return schedule_check(m, out_.now() + kResendInterval);
-  if (!m.fenced) {
-    // A report's answer has told it our token a moment ago; its next report says so.
-    if (m.has_incarnation && out_.now() < m.last_push_at + kResendInterval)
-      return schedule_check(m, m.last_push_at + kResendInterval);
-    // This only makes our token known; the orders proper follow it.
-    return send_direct(m, {}, {}, kTokenTimeout);
+    return schedule_check(machine, out_.now() + kResendInterval);
+  if (!machine.fenced) {
+    // The reply to its heartbeat had our token a moment ago; its next heartbeat will confirm that.
+    if (machine.has_incarnation && out_.now() < machine.delivery.last_sent_at + kResendInterval)
+      return schedule_check(machine, machine.delivery.last_sent_at + kResendInterval);
+    // An empty call makes our token known. The commands follow once the machine is fenced.
+    return send_direct(machine, {}, {}, kTokenTimeout);
   }
-  // Before a machine is in the persisted roster the next leader would not know to ask it, so it gets no
-  // start.
-  if (!m.in_inventory)
+  // A machine that is not in the persisted inventory yet gets no start: the next leader would not know that
+  // it has to reconcile it.
+  if (!machine.in_inventory)
     return;
-  prune(m);
-  const auto list = build_commands(m, true);
-  if (list.empty())
+  drop_unsent_starts(machine);
+  const auto commands = build_commands(machine, Delivery::direct_call);
+  if (commands.empty())
     return;
-  std::vector<std::uint64_t> starts;
-  for (const Allocation& s : m.allocations) {
-    if (s.start_call_in_flight)
-      starts.push_back(s.attempt);
+  std::vector<std::uint64_t> started_attempts;
+  for (const Allocation& allocation : machine.allocations) {
+    if (allocation.start_call_in_flight)
+      started_attempts.push_back(allocation.attempt);
   }
-  send_direct(m, list, std::move(starts), kCommandTimeout);
+  send_direct(machine, commands, std::move(started_attempts), kCommandTimeout);
 }
 
-void WorkerManager::send_direct(Machine& m, const std::vector<wire::Command>& list,
-                                std::vector<std::uint64_t> starts, Seconds timeout) {
-  m.call_in_flight = true;
-  m.last_push_at = m.last_call_at = out_.now();
+void WorkerManager::send_direct(Machine& machine, const std::vector<wire::Command>& commands,
+                                std::vector<std::uint64_t> started_attempts, Seconds timeout) {
+  machine.delivery.call_in_flight = true;
+  machine.delivery.last_call_at = out_.now();
+  machine.delivery.last_sent_at = machine.delivery.last_call_at;
   ++calls_in_flight_;
   ++direct_calls_;
-  // A worker answers within milliseconds. Orders wait longer before they are given up, but one of them
-  // overdue while its zone is heard is reason enough to look at the others.
-  if (timeout > kOverdue && !m.spot) {
-    out_.after(kOverdue, [this, ix = m.index, term = term_, sent = m.last_call_at] {
-      if (term != term_)
-        return;
-      const Machine& late = machines_[ix];
-      if (late.call_in_flight && late.last_call_at == sent && late.has_incarnation &&
-          !zones_.is_silent(late.zone, out_.now()))
-        start_liveness_sweep();
-    });
-  }
+  if (timeout > kOverdueCallDelay && !machine.spot)
+    sweep_if_overdue(machine);
   ports::Call call;
   call.target = ports::Target::worker;
-  call.address = m.address;
+  call.address = machine.address;
   call.method = "POST";
   call.path = wire::kCommandsPath;
-  call.body =
-      wire::commands_body(leadership_.fencing_token(), std::max<std::uint64_t>(1, m.incarnation), list);
+  call.body = wire::commands_body(leadership_.fencing_token(),
+                                  std::max<std::uint64_t>(1, machine.incarnation), commands);
   call.timeout_s = timeout;
   call.not_after = leadership_.lease_expires_at();
-  out_.call(std::move(call), [this, ix = m.index, session = m.incarnation, term = term_,
-                              starts = std::move(starts)](const ports::Reply& reply) {
+  out_.call(std::move(call), [this, index = machine.index, incarnation = machine.incarnation, term = term_,
+                              started_attempts = std::move(started_attempts)](const ports::Reply& reply) {
     if (term != term_)
       return;
     --calls_in_flight_;
-    on_commands_reply(ix, session, starts, reply);
+    on_commands_reply(index, incarnation, started_attempts, reply);
   });
 }
 
-void WorkerManager::on_commands_reply(MachineIndex ix, std::uint64_t session,
-                                      const std::vector<std::uint64_t>& starts, const ports::Reply& reply) {
-  Machine& m = machines_[ix];
-  m.call_in_flight = false;
-  if (m.gone)
+// A call with commands has a longer timeout than a probe. But if it is overdue while its zone is heard, that
+// is reason enough to probe the other machines.
+void WorkerManager::sweep_if_overdue(const Machine& machine) {
+  const Seconds called_at = machine.delivery.last_call_at;
+  out_.after(kOverdueCallDelay, [this, index = machine.index, term = term_, called_at] {
+    if (term != term_)
+      return;
+    const Machine& called = machines_[index];
+    if (called.delivery.call_in_flight && called.delivery.last_call_at == called_at &&
+        called.has_incarnation && !zones_.is_unresponsive(called.zone, out_.now()))
+      start_liveness_sweep();
+  });
+}
+
+void WorkerManager::on_commands_reply(MachineIndex index, std::uint64_t incarnation,
+                                      const std::vector<std::uint64_t>& started_attempts,
+                                      const ports::Reply& reply) {
+  Machine& machine = machines_[index];
+  machine.delivery.call_in_flight = false;
+  if (machine.gone)
     return;
   const bool unanswered = reply.status == 0;
-  if (m.incarnation == session) {
-    for (Allocation& s : m.allocations) {
-      if (!s.start_call_in_flight || std::find(starts.begin(), starts.end(), s.attempt) == starts.end())
+  if (machine.incarnation == incarnation) {
+    for (Allocation& allocation : machine.allocations) {
+      if (!allocation.start_call_in_flight || std::find(started_attempts.begin(), started_attempts.end(),
+                                                        allocation.attempt) == started_attempts.end())
         continue;
-      s.start_call_in_flight = false;
-      s.late_start_possible |= unanswered && reply.delivered;
+      allocation.start_call_in_flight = false;
+      allocation.late_start_possible |= unanswered && reply.delivered;
     }
   }
   if (reply.status == 200 || reply.status == 409) {
-    if (m.unreachable)
-      mark_changed(m);
-    m.unreachable = false;
-    auto r = wire::parse_heartbeat(reply.heartbeat);
-    if (!r || r->host != m.host) {
-      spdlog::warn("{}: a malformed answer to orders", m.host);
-    } else {
-      if (r->fencing_token > leadership_.fencing_token())
-        return events_.on_superseded();
-      const std::uint64_t term = term_;
-      if (is_newer(m, *r))
-        apply_heartbeat(m, *r, HeartbeatSource::command_reply);
-      if (term != term_)
-        return;
-      if (reply.status == 200)
-        mark_fenced(m);
-    }
+    if (!apply_commands_reply(machine, reply))
+      return;
   } else {
-    if (!m.unreachable) {
-      spdlog::debug("{}: no answer to orders", m.host);
-      mark_changed(m);
-    }
-    m.unreachable = true;
-    m.retry_at = out_.now() + kResendInterval;
-    if (m.last_call_at >= zones_.returned_at(m.zone) && m.failed_calls++ == 0)
-      m.unanswered_since = m.last_call_at;
-    // Spot machines vanish one by one all the time; that says nothing about the others.
-    if (unanswered && m.has_incarnation && !m.spot)
-      start_liveness_sweep();
-    if (m.has_incarnation)
-      schedule_check(m, out_.now());
+    on_call_failed(machine, reply);
   }
-  if (!active_ || m.gone)
+  if (!active_ || machine.gone)
     return;
-  if (m.has_new_commands && !m.unreachable) {
-    queue_call(m);
-  } else if (has_commands(m)) {
-    schedule_check(m, out_.now() + kResendInterval);  // what is still wanted is repeated
+  if (machine.delivery.has_new_commands && !machine.unreachable) {
+    queue_call(machine);
+  } else if (has_commands(machine)) {
+    schedule_check(machine, out_.now() + kResendInterval);
   }
 }
 
-// Whether the worker has yet to do something that it may have been told already.
-bool WorkerManager::has_commands(const Machine& m) const {
-  if (!m.fenced)
+// The worker has answered; its reply has its heartbeat. False: the leadership is over.
+bool WorkerManager::apply_commands_reply(Machine& machine, const ports::Reply& reply) {
+  if (machine.unreachable)
+    mark_changed(machine);
+  machine.unreachable = false;
+  const auto report = wire::parse_heartbeat(reply.heartbeat);
+  if (!report || report->host != machine.host) {
+    spdlog::warn("workers: malformed command reply host={}", machine.host);
     return true;
-  return std::any_of(m.allocations.begin(), m.allocations.end(), [](const Allocation& s) {
-    return s.phase == Allocation::Phase::ordered || (s.occupies_machine && s.stop_requested);
-  });
+  }
+  if (report->fencing_token > leadership_.fencing_token()) {
+    events_.on_superseded();
+    return false;
+  }
+  const std::uint64_t term = term_;
+  if (is_newer(machine, *report))
+    apply_heartbeat(machine, *report, HeartbeatSource::command_reply);
+  if (term != term_)
+    return false;
+  if (reply.status == 200)
+    mark_fenced(machine);
+  return true;
+}
+
+// The call got no reply, or an error.
+void WorkerManager::on_call_failed(Machine& machine, const ports::Reply& reply) {
+  if (!machine.unreachable) {
+    spdlog::debug("workers: command call failed host={}", machine.host);
+    mark_changed(machine);
+  }
+  machine.unreachable = true;
+  machine.delivery.retry_at = out_.now() + kResendInterval;
+  // A call that was sent while the zone was out of reach says nothing of its machine.
+  if (machine.delivery.last_call_at >= zones_.returned_at(machine.zone) &&
+      machine.delivery.failed_calls++ == 0)
+    machine.delivery.unanswered_since = machine.delivery.last_call_at;
+  // Spot machines vanish one by one all the time; that says nothing about the others.
+  const bool unanswered = reply.status == 0;
+  if (unanswered && machine.has_incarnation && !machine.spot)
+    start_liveness_sweep();
+  if (machine.has_incarnation)
+    schedule_check(machine, out_.now());
+}
+
+// Whether the worker has yet to confirm that it has our token, or that it has carried out a command.
+bool WorkerManager::has_commands(const Machine& machine) const {
+  if (!machine.fenced)
+    return true;
+  return std::any_of(machine.allocations.begin(), machine.allocations.end(),
+                     [](const Allocation& allocation) {
+                       return allocation.phase == Allocation::Phase::requested ||
+                              (allocation.occupies_machine && allocation.stop_requested);
+                     });
 }
 
 }  // namespace wingtrail::workers
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -1,4 +1,5 @@
-// Workers' reports: which of them prove something, and what they say of sessions and tasks.
+/// \file
+/// Workers' heartbeats: which of them count, and what they say of incarnations and tasks.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -8,251 +9,265 @@
 
 namespace wingtrail::workers {
 namespace {
-constexpr Seconds kHeldBack = 1.0;  // after a cut, what it held back has come in
-constexpr Seconds kLongAgo = -1e9;
+// By then heartbeats that were delayed by a network partition have arrived after its end.
+constexpr Seconds kDelayedHeartbeatWindow = 1.0;
+constexpr Seconds kNeverContacted = -1e9;
 }  // namespace
 
-std::optional<wire::Value> WorkerManager::handle_heartbeat(const wire::Heartbeat& r,
-                                                           CommandsInReply orders_in_answer) {
+std::optional<wire::Value> WorkerManager::handle_heartbeat(const wire::Heartbeat& report,
+                                                           CommandsInReply commands_in_reply) {
   if (!active_)
     return std::nullopt;
-  if (r.fencing_token > leadership_.fencing_token()) {
+  if (report.fencing_token > leadership_.fencing_token()) {
     events_.on_superseded();
     return std::nullopt;
   }
-  Machine& m = add_machine(r.host, r.address, r.type, r.zone, r.spot);
-  if (m.gone)
+  Machine& machine = add_machine(report.host, report.address, report.type, report.zone, report.spot);
+  if (machine.gone)
     return std::nullopt;
-  // Overtaken by the worker's own answer to orders: there is nothing new in it, but its sender still waits,
-  // and would turn to another node.
-  if (m.has_incarnation && r.incarnation == m.incarnation && r.sequence <= m.sequence) {
-    m.lease_expires_at = worker_lease_expiry(out_.now());
+  // The worker's reply to a command has overtaken it. There is nothing new in it, but the worker still waits
+  // for the reply, and would turn to another node without it.
+  if (machine.has_incarnation && report.incarnation == machine.incarnation &&
+      report.sequence <= machine.sequence) {
+    machine.lease_expires_at = worker_lease_expiry(out_.now());
     return wire::heartbeat_reply(leadership_.fencing_token(), {});
   }
-  if (!is_newer(m, r))
+  if (!is_newer(machine, report))
     return std::nullopt;
-  const bool fresh = !m.has_incarnation;
-  m.address = r.address;
-  // A report that was held back during a cut comes at its end, and its sender has long given it up.
-  if (zones_.flap_count(m.zone) == 0 || out_.now() > zones_.returned_at(m.zone) + kHeldBack)
-    m.last_heartbeat_at = out_.now();
-  apply_heartbeat(m, r, HeartbeatSource::worker);
+  const bool new_incarnation = !machine.has_incarnation;
+  machine.address = report.address;
+  // A heartbeat that was delayed by a network partition arrives at its end, when the worker does not wait for
+  // the reply any more.
+  if (zones_.flap_count(machine.zone) == 0 ||
+      out_.now() > zones_.returned_at(machine.zone) + kDelayedHeartbeatWindow)
+    machine.last_heartbeat_at = out_.now();
+  apply_heartbeat(machine, report, HeartbeatSource::worker);
   if (!active_)
     return std::nullopt;
-  m.lease_expires_at = worker_lease_expiry(out_.now());
-  add_to_inventory(m);
-  if (m.unreachable)
-    schedule_check(m, out_.now());
-  // Push the token of a new leadership at once: until then an earlier leader's orders could still take
-  // effect. One that just had an answer with it is given the time to say so in its next report.
-  if (!m.fenced) {
-    m.last_push_at = out_.now();
-    schedule_check(m, out_.now() + kResendInterval);
-  } else if (fresh && r.fencing_token < leadership_.fencing_token()) {
-    schedule_check(m, out_.now() + kResendInterval);
+  machine.lease_expires_at = worker_lease_expiry(out_.now());
+  add_to_inventory(machine);
+  if (machine.unreachable)
+    schedule_check(machine, out_.now());
+  // Until the worker has our token, an earlier leader's commands could still take effect. It is in the reply,
+  // so the worker has the time to confirm it with its next heartbeat before it is called for that.
+  if (!machine.fenced) {
+    machine.delivery.last_sent_at = out_.now();
+    schedule_check(machine, out_.now() + kResendInterval);
+  } else if (new_incarnation && report.fencing_token < leadership_.fencing_token()) {
+    schedule_check(machine, out_.now() + kResendInterval);
   }
-  if (!m.fenced || !m.in_inventory || orders_in_answer == CommandsInReply::withheld)
+  if (!machine.fenced || !machine.in_inventory || commands_in_reply == CommandsInReply::withheld)
     return wire::heartbeat_reply(leadership_.fencing_token(), {});
-  prune(m);
-  return wire::heartbeat_reply(leadership_.fencing_token(), build_commands(m, false));
+  drop_unsent_starts(machine);
+  return wire::heartbeat_reply(leadership_.fencing_token(),
+                               build_commands(machine, Delivery::heartbeat_reply));
 }
 
-// Reports are ordered by session and counter, and nothing that was learned goes back. A session that is over,
-// by its lease or by a newer one, shows nothing that is there.
-bool WorkerManager::is_newer(const Machine& m, const wire::Heartbeat& r) {
-  if (!m.has_incarnation && m.incarnation > 0)
-    return r.incarnation > m.incarnation;
-  return std::pair(r.incarnation, r.sequence) > std::pair(m.incarnation, m.sequence);
+// Whether the heartbeat is newer than what is known of its machine. Heartbeats are ordered by incarnation and
+// sequence number. One of an incarnation that is over, by its lease or by a newer one, proves nothing.
+bool WorkerManager::is_newer(const Machine& machine, const wire::Heartbeat& report) {
+  if (!machine.has_incarnation && machine.incarnation > 0)
+    return report.incarnation > machine.incarnation;
+  return std::pair(report.incarnation, report.sequence) > std::pair(machine.incarnation, machine.sequence);
 }
 
-void WorkerManager::apply_heartbeat(Machine& m, const wire::Heartbeat& r, HeartbeatSource source) {
-  const bool was_up = m.has_incarnation;
-  note_contact(m, r, source);
-  if (!was_up)
-    schedule_check(m, out_.now() + kLateHeartbeatFactor * settings_.heartbeat_interval_s);
-  const bool room = reconcile_tasks(m, r, source);
-  update_idle_since(m);
-  mark_changed(m);
-  if (!notify_ended(m))
+void WorkerManager::apply_heartbeat(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source) {
+  const bool had_incarnation = machine.has_incarnation;
+  note_contact(machine, report, source);
+  if (!had_incarnation)
+    schedule_check(machine, out_.now() + kLateHeartbeatFactor * settings_.heartbeat_interval_s);
+  const bool capacity_freed = reconcile_tasks(machine, report, source);
+  update_idle_since(machine);
+  mark_changed(machine);
+  if (!notify_ended(machine))
     return;
-  // Only now that everything on the machine is known: settling may let tasks start, and one that runs here
-  // must not be among them.
-  if (r.fencing_token == leadership_.fencing_token())
-    mark_fenced(m);
-  if (!was_up)
-    events_.on_available(m);
-  if (room)
-    events_.on_capacity_freed(m);
+  // Only now that everything on the machine is known: once it is fenced, tasks may start elsewhere, and one
+  // that runs here must not be among them.
+  if (report.fencing_token == leadership_.fencing_token())
+    mark_fenced(machine);
+  if (!had_incarnation)
+    events_.on_available(machine);
+  if (capacity_freed)
+    events_.on_capacity_freed(machine);
 }
 
-// The machine was heard of: its session, its lease, and that it is neither silent nor unreachable.
-void WorkerManager::note_contact(Machine& m, const wire::Heartbeat& r, HeartbeatSource source) {
-  // Another session: everything of the earlier one was killed when that ended.
-  if (m.has_incarnation && r.incarnation > m.incarnation)
-    end_incarnation(m);
-  if (source == HeartbeatSource::command_reply && r.incarnation != m.incarnation)
-    m.last_heartbeat_at = kLongAgo;
-  // A session that is news here began before this message, and no report of it was answered after it: so its
-  // lease lasts at most this long. Keeping the end of the session before it would declare this one over while
-  // it lives.
-  if (r.incarnation != m.incarnation)
-    m.lease_expires_at = std::max(m.lease_expires_at, worker_lease_expiry(out_.now()));
-  m.has_incarnation = true;
-  m.incarnation = r.incarnation;
-  m.sequence = r.sequence;
-  m.last_contact_at = out_.now();
-  m.failed_calls = 0;
-  m.unanswered_since = ports::kNever;
-  if (zones_.on_contact(m.zone, out_.now()))
-    schedule_zone_probe(m.zone);
-  update_expected(m);
-  m.preemption_at =
-      r.preemption_in_s ? std::optional<Seconds>(out_.now() + *r.preemption_in_s) : std::nullopt;
-  silent_machines_.erase(m.index);
+// Takes in what contact as such says of the machine: its incarnation, its lease, and that it is responsive.
+void WorkerManager::note_contact(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source) {
+  // A new incarnation: the worker has killed everything of the earlier one.
+  if (machine.has_incarnation && report.incarnation > machine.incarnation)
+    end_incarnation(machine);
+  if (source == HeartbeatSource::command_reply && report.incarnation != machine.incarnation)
+    machine.last_heartbeat_at = kNeverContacted;
+  // An incarnation that is new here began before this message, and none of its heartbeats was answered after
+  // it, so its lease lasts at most this long. With the expiry of the incarnation before, this one would be
+  // declared over while it lives.
+  if (report.incarnation != machine.incarnation)
+    machine.lease_expires_at = std::max(machine.lease_expires_at, worker_lease_expiry(out_.now()));
+  machine.has_incarnation = true;
+  machine.incarnation = report.incarnation;
+  machine.sequence = report.sequence;
+  machine.last_contact_at = out_.now();
+  machine.delivery.failed_calls = 0;
+  machine.delivery.unanswered_since = ports::kNever;
+  if (zones_.on_contact(machine.zone, out_.now()))
+    probe_returned_zone(machine.zone);
+  update_expected(machine);
+  machine.preemption_at =
+      report.preemption_in_s ? std::optional<Seconds>(out_.now() + *report.preemption_in_s) : std::nullopt;
+  unresponsive_machines_.erase(machine.index);
 }
 
-// Takes in what the report says of each task; whether room came free.
-bool WorkerManager::reconcile_tasks(Machine& m, const wire::Heartbeat& r, HeartbeatSource source) {
-  const std::size_t known = m.allocations.size();
+// Takes in what the heartbeat says of each task; returns whether resources were freed.
+bool WorkerManager::reconcile_tasks(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source) {
+  const std::size_t known = machine.allocations.size();
   std::vector<bool> listed(known, false);
-  bool room = false;
-  // A worker has one report under way at a time: this one says that it has acted on the answer to the one
+  bool capacity_freed = false;
+  // A worker has one heartbeat under way at a time: this one proves that it has acted on the reply to the one
   // before, or never will.
   if (source == HeartbeatSource::worker) {
-    for (Allocation& s : m.allocations) {
-      s.start_in_reply_until = 0;
-      s.start_unproven = false;
+    for (Allocation& allocation : machine.allocations) {
+      allocation.start_in_reply_until = 0;
+      allocation.start_in_reply_unconfirmed = false;
     }
   }
-  std::size_t hint = 0;  // reports list tasks in the order in which they came
-  for (const wire::TaskStatus& t : r.tasks) {
-    const std::optional<std::size_t> found = find_allocation(m, t, known, hint);
+  std::size_t hint = 0;  // heartbeats list tasks in the order in which they were started
+  for (const wire::TaskStatus& status : report.tasks) {
+    const std::optional<std::size_t> found = find_allocation(machine, status, known, hint);
     if (!found) {
-      adopt_task(m, t);
+      adopt_task(machine, status);
       continue;
     }
     hint = *found + 1;
     listed[*found] = true;
-    const bool counted = m.allocations[*found].occupies_machine;
-    update_allocation(m, m.allocations[*found], t);
-    room |= counted && !m.allocations[*found].occupies_machine;
+    const bool counted = machine.allocations[*found].occupies_machine;
+    update_allocation(machine, machine.allocations[*found], status);
+    capacity_freed |= counted && !machine.allocations[*found].occupies_machine;
   }
   for (std::size_t i = known; i-- > 0;) {
-    // A start that has not arrived yet is missing from the report and stays in doubt. Anything else that was
-    // seen before and is missing now was forgotten by the worker.
-    if (listed[i] || m.allocations[i].phase == Allocation::Phase::ordered)
+    // A start that may still arrive is not listed, and stays uncertain. Anything else that was listed before
+    // and is not now was forgotten by the worker.
+    if (listed[i] || machine.allocations[i].phase == Allocation::Phase::requested)
       continue;
-    room |= m.allocations[i].occupies_machine;
-    drop_allocation(m, i);
+    capacity_freed |= machine.allocations[i].occupies_machine;
+    drop_allocation(machine, i);
   }
-  return room;
+  return capacity_freed;
 }
 
-// The slot that the report's entry is about, among the first `known`, beginning at `hint`.
-std::optional<std::size_t> WorkerManager::find_allocation(const Machine& m, const wire::TaskStatus& t,
-                                                          std::size_t known, std::size_t hint) {
-  for (std::size_t k = 0; k < known; ++k) {
-    const std::size_t i = (hint + k) % known;
-    const Allocation& s = m.allocations[i];
-    if (s.attempt == t.attempt && s.task == t.task && s.belongs_to(t.ref))
+// The position of the allocation that the entry is about, among the first `known`; the search begins at
+// `hint`.
+std::optional<std::size_t> WorkerManager::find_allocation(const Machine& machine,
+                                                          const wire::TaskStatus& status, std::size_t known,
+                                                          std::size_t hint) {
+  for (std::size_t offset = 0; offset < known; ++offset) {
+    const std::size_t i = (hint + offset) % known;
+    const Allocation& allocation = machine.allocations[i];
+    if (allocation.attempt == status.attempt && allocation.task == status.task &&
+        allocation.belongs_to(status.ref))
       return i;
   }
   return std::nullopt;
 }
 
-void WorkerManager::update_idle_since(Machine& m) {
-  if (m.busy()) {
-    m.idle_since = 0;
-  } else if (m.idle_since == 0) {
-    m.idle_since = out_.now();
+void WorkerManager::update_idle_since(Machine& machine) {
+  if (machine.busy()) {
+    machine.idle_since = 0;
+  } else if (machine.idle_since == 0) {
+    machine.idle_since = out_.now();
   }
 }
 
-// What ended makes room, and whoever hears of it starts tasks at once, here too: so not before the report has
-// been taken in whole. Told half-way, a start grew `slots` under the references in use. False: the leadership
-// has ended.
-bool WorkerManager::notify_ended(Machine& m) {
+// Reports the allocations that have ended. The receivers start other tasks at once, perhaps on this machine,
+// which would invalidate references into its allocations; so this happens only after the whole heartbeat has
+// been taken in. False: the leadership has ended.
+bool WorkerManager::notify_ended(Machine& machine) {
   const std::uint64_t term = term_;
-  for (const Allocation& s : std::exchange(ended_allocations_, {})) {
-    events_.on_task_exited(m, s);
+  for (const Allocation& allocation : std::exchange(ended_allocations_, {})) {
+    events_.on_task_exited(machine, allocation);
     if (term != term_)
       return false;
   }
   return true;
 }
 
-void WorkerManager::adopt_task(Machine& m, const wire::TaskStatus& t) {
-  Allocation s;
-  s.task = t.task;
-  s.attempt = t.attempt;
-  s.ordered_at = out_.now();
-  s.name = wire::task_name(t.ref, t.task);
-  s.adopted = true;
-  const bool exited = t.phase == wire::TaskPhase::exited;
-  if (exited && t.cause != wire::ExitCause::done) {
-    s.occupies_machine = false;
-    s.phase = Allocation::Phase::exited;
-    s.end_persisted = true;
-    m.allocations.push_back(std::move(s));
+// Adds a task that the heartbeat lists and that is not known on the machine.
+void WorkerManager::adopt_task(Machine& machine, const wire::TaskStatus& status) {
+  Allocation allocation;
+  allocation.task = status.task;
+  allocation.attempt = status.attempt;
+  allocation.requested_at = out_.now();
+  allocation.name = wire::task_name(status.ref, status.task);
+  allocation.adopted = true;
+  const bool exited = status.phase == wire::TaskPhase::exited;
+  if (exited && status.cause != wire::ExitCause::done) {
+    allocation.occupies_machine = false;
+    allocation.phase = Allocation::Phase::exited;
+    allocation.end_persisted = true;
+    machine.allocations.push_back(std::move(allocation));
     return;
   }
-  jobs::Job* job = registry_.find(t.ref);
-  const bool known = job && job->is_open() && t.task < job->tasks.size();
-  const bool pending = known && job->tasks[t.task].state == jobs::TaskState::pending;
-  // Every other one begins as a copy beside what is placed. One that has exited ends as such in update(), so
-  // that its result counts wherever the task seems to be.
-  m.allocations.push_back(std::move(s));
-  Allocation& slot = m.allocations.back();
-  add_stray(m, slot);
+  jobs::Job* job = registry_.find(status.ref);
+  const bool known = job && job->is_open() && status.task < job->tasks.size();
+  const bool pending = known && job->tasks[status.task].state == jobs::TaskState::pending;
+  // Every other one begins as a stray instance. One that has exited ends as such in update_allocation(), so
+  // that its result counts wherever the task is placed.
+  machine.allocations.push_back(std::move(allocation));
+  Allocation& added = machine.allocations.back();
+  add_stray(machine, added);
   if (pending) {
-    adopt_stray_instances(*job, t.task);
+    adopt_stray_instance(*job, status.task);
     if (job->cancelling)
-      stop_task(m, slot, 0);  // found only now, of a job whose cancellation is under way
-  } else if (!exited && !(known && placement_uncertain(job->tasks[t.task]))) {
-    // Done already, or (which the rules forbid, and so must not be made worse) on another machine.
+      stop_task(machine, added, 0);  // first seen after its job's cancellation began
+  } else if (!exited && !(known && placement_uncertain(job->tasks[status.task]))) {
+    // The task is done, its job is over, or it is certainly placed on another machine, which the protocol
+    // forbids: this instance is stopped.
     if (!job || !job->is_open())
-      spdlog::info("{} holds {} of a job that is over: stopping it", m.host, slot.name);
-    stop_task(m, slot, 0);
+      spdlog::info("workers: stopping task of finished or unknown job host={} task={}", machine.host,
+                   added.name);
+    stop_task(machine, added, 0);
   }
-  update_allocation(m, slot, t);
+  update_allocation(machine, added, status);
 }
 
-void WorkerManager::update_allocation(Machine& m, Allocation& s, const wire::TaskStatus& t) {
-  using P = wire::TaskPhase;
-  jobs::Job* job = registry_.job_at(s.job);
-  if (t.phase != P::exited) {
-    const bool ran = s.phase == Allocation::Phase::running || s.phase == Allocation::Phase::saving;
-    s.phase = t.phase == P::running  ? Allocation::Phase::running
-              : t.phase == P::saving ? Allocation::Phase::saving
-                                     : Allocation::Phase::fetching;
-    if (!ran && s.phase == Allocation::Phase::running && job) {
-      s.running_since = out_.now();
-      registry_.set_task_running(*job, s.task, true);
-      touch_image(m, job->image);
+void WorkerManager::update_allocation(Machine& machine, Allocation& allocation,
+                                      const wire::TaskStatus& status) {
+  using TaskPhase = wire::TaskPhase;
+  jobs::Job* job = registry_.job_at(allocation.job);
+  if (status.phase != TaskPhase::exited) {
+    const bool ran =
+        allocation.phase == Allocation::Phase::running || allocation.phase == Allocation::Phase::saving;
+    allocation.phase = status.phase == TaskPhase::running  ? Allocation::Phase::running
+                       : status.phase == TaskPhase::saving ? Allocation::Phase::saving
+                                                           : Allocation::Phase::fetching;
+    if (!ran && allocation.phase == Allocation::Phase::running && job) {
+      allocation.running_since = out_.now();
+      registry_.set_task_running(*job, allocation.task, true);
+      touch_image(machine, job->image);
     }
     return;
   }
-  if (s.phase == Allocation::Phase::exited)
+  if (allocation.phase == Allocation::Phase::exited)
     return;
-  s.phase = Allocation::Phase::exited;
-  s.cause = t.cause;
-  release_allocation(m, s);
-  // A result that came in is kept even if the job is being cancelled, since a stop may have crossed with it;
-  // and also if another machine seems to have the task: forgotten, it would have to run again.
-  if (t.cause == wire::ExitCause::done) {
-    jobs::Job* whose = job ? job : registry_.find(t.ref);
-    if (whose && whose->is_open() && !whose->is_service() && s.task < whose->tasks.size() &&
-        whose->tasks[s.task].state != jobs::TaskState::done) {
-      complete_task(m, s, *whose);
-      ended_allocations_.push_back(s);
+  allocation.phase = Allocation::Phase::exited;
+  allocation.cause = status.cause;
+  release_allocation(machine, allocation);
+  // A result counts even if the job is being cancelled, since it may have crossed with the stop; and even if
+  // the task is placed on another machine: without it, the task would have to run again.
+  if (status.cause == wire::ExitCause::done) {
+    jobs::Job* job_with_result = job ? job : registry_.find(status.ref);
+    if (job_with_result && job_with_result->is_open() && !job_with_result->is_service() &&
+        allocation.task < job_with_result->tasks.size() &&
+        job_with_result->tasks[allocation.task].state != jobs::TaskState::done) {
+      complete_task(machine, allocation, *job_with_result);
+      ended_allocations_.push_back(allocation);
       return;
     }
   }
-  s.end_persisted = true;
+  allocation.end_persisted = true;
   if (!job)
     return;
-  unplace_task(*job, s.task, m);
-  ended_allocations_.push_back(s);
+  unplace_task(*job, allocation.task, machine);
+  ended_allocations_.push_back(allocation);
 }
 
 }  // namespace wingtrail::workers
--- a/src/workers/placement_index.cpp
+++ b/src/workers/placement_index.cpp
@@ -4,72 +4,73 @@
 
 namespace wingtrail::workers {
 namespace {
-constexpr double kNoRoom = 1e-6;
+constexpr double kMinFreeCores = 1e-6;  // fewer count as none: rounding errors of sums
 }
 
-PoolIndex PlacementIndex::pool_of(const Machine& m) {
+PoolIndex PlacementIndex::pool_of(const Machine& machine) {
   for (std::size_t i = 0; i < pools_.size(); ++i) {
-    const Pool& p = pools_[i];
-    if (p.type == m.type && p.zone == m.zone && p.spot == m.spot && p.short_only == m.short_only)
+    const Pool& pool = pools_[i];
+    if (pool.type == machine.type && pool.zone == machine.zone && pool.spot == machine.spot &&
+        pool.short_only == machine.short_only)
       return PoolIndex(i);
   }
-  pools_.push_back({m.type, m.zone, m.spot, m.short_only, {}, {}});
+  pools_.push_back({machine.type, machine.zone, machine.spot, machine.short_only, {}, {}});
   return PoolIndex(pools_.size() - 1);
 }
 
-void PlacementIndex::insert(Group& g, MachineIndex ix, double free) {
-  g.members.insert(std::lower_bound(g.members.begin(), g.members.end(), ix), ix);
-  if (free > kNoRoom)
-    g.by_free_cores.emplace(free, ix);
+void PlacementIndex::insert(Group& group, MachineIndex index, double free) {
+  group.members.insert(std::lower_bound(group.members.begin(), group.members.end(), index), index);
+  if (free > kMinFreeCores)
+    group.by_free_cores.emplace(free, index);
 }
 
-void PlacementIndex::erase(Group& g, MachineIndex ix, double free) {
-  const auto it = std::lower_bound(g.members.begin(), g.members.end(), ix);
-  if (it != g.members.end() && *it == ix)
-    g.members.erase(it);
-  g.by_free_cores.erase({free, ix});
+void PlacementIndex::erase(Group& group, MachineIndex index, double free) {
+  const auto it = std::lower_bound(group.members.begin(), group.members.end(), index);
+  if (it != group.members.end() && *it == index)
+    group.members.erase(it);
+  group.by_free_cores.erase({free, index});
 }
 
-void PlacementIndex::move(Group& g, MachineIndex ix, double from, double to) {
-  g.by_free_cores.erase({from, ix});
-  if (to > kNoRoom)
-    g.by_free_cores.emplace(to, ix);
+void PlacementIndex::move(Group& group, MachineIndex index, double from, double to) {
+  group.by_free_cores.erase({from, index});
+  if (to > kMinFreeCores)
+    group.by_free_cores.emplace(to, index);
 }
 
-void PlacementIndex::update(Machine& m, bool open) {
-  const double free = m.cpus - m.used.cpus;
-  const PoolIndex pool = open ? pool_of(m) : kNoIndex;
+void PlacementIndex::update(Machine& machine, bool accepts_tasks) {
+  const double free = machine.cpus - machine.used.cpus;
+  const PoolIndex new_pool = accepts_tasks ? pool_of(machine) : kNoIndex;
   const bool same_images =
-      m.images.size() == m.indexed_images.size() &&
-      std::equal(m.images.begin(), m.images.end(), m.indexed_images.begin(),
+      machine.images.size() == machine.index_position.images.size() &&
+      std::equal(machine.images.begin(), machine.images.end(), machine.index_position.images.begin(),
                  [](const auto& image, ImageIndex indexed) { return image.first == indexed; });
-  if (pool == m.pool && same_images) {
-    if (pool == kNoIndex || free == m.indexed_free)
+  if (new_pool == machine.index_position.pool && same_images) {
+    if (new_pool == kNoIndex || free == machine.index_position.free_cores)
       return;
-    Pool& p = pools_[pool];
-    move(p.all_machines, m.index, m.indexed_free, free);
-    for (const ImageIndex image : m.indexed_images)
-      move(p.by_image[image], m.index, m.indexed_free, free);
-    m.indexed_free = free;
+    Pool& pool = pools_[new_pool];
+    move(pool.all_machines, machine.index, machine.index_position.free_cores, free);
+    for (const ImageIndex image : machine.index_position.images)
+      move(pool.by_image[image], machine.index, machine.index_position.free_cores, free);
+    machine.index_position.free_cores = free;
     return;
   }
-  if (m.pool != kNoIndex) {
-    Pool& p = pools_[m.pool];
-    erase(p.all_machines, m.index, m.indexed_free);
-    for (const ImageIndex image : m.indexed_images)
-      erase(p.by_image[image], m.index, m.indexed_free);
+  if (machine.index_position.pool != kNoIndex) {
+    Pool& pool = pools_[machine.index_position.pool];
+    erase(pool.all_machines, machine.index, machine.index_position.free_cores);
+    for (const ImageIndex image : machine.index_position.images)
+      erase(pool.by_image[image], machine.index, machine.index_position.free_cores);
   }
-  m.pool = pool;
-  m.indexed_free = free;
-  m.indexed_images.clear();
-  for (const auto& image : m.images)
-    m.indexed_images.push_back(image.first);
-  if (pool == kNoIndex)
+  machine.index_position.pool = new_pool;
+  machine.index_position.free_cores = free;
+  machine.index_position.images.clear();
+  for (const auto& image : machine.images)
+    machine.index_position.images.push_back(image.first);
+  if (new_pool == kNoIndex)
     return;
-  Pool& p = pools_[pool];
-  insert(p.all_machines, m.index, free);
-  for (const ImageIndex image : m.indexed_images)
-    insert(p.by_image[image], m.index, free);
+  Pool& pool = pools_[new_pool];
+  insert(pool.all_machines, machine.index, free);
+  for (const ImageIndex image : machine.index_position.images)
+    insert(pool.by_image[image], machine.index, free);
 }
 
 }  // namespace wingtrail::workers
--- a/src/workers/resources.hpp
+++ b/src/workers/resources.hpp
@@ -1,4 +1,5 @@
-// Sums of resources.
+/// \file
+/// Sums of resources.
 #pragma once
 
 #include "wire/messages.hpp"
--- a/src/zones/zone_tracker.cpp
+++ b/src/zones/zone_tracker.cpp
@@ -3,12 +3,15 @@
 #include <algorithm>
 
 namespace wingtrail::zones {
+namespace {
+constexpr int kMaxDoublings = 10;  // of the recovery time; keeps the factor within an int
+}
 
-std::string_view name(ZoneState life) {
-  switch (life) {
+std::string_view name(ZoneState state) {
+  switch (state) {
     case ZoneState::healthy:
       return "sound";
-    case ZoneState::silent:
+    case ZoneState::unresponsive:
       return "quiet";
     case ZoneState::unreachable:
       return "cut";
@@ -34,31 +37,34 @@
 }
 
 bool ZoneTracker::on_contact(std::size_t zone, Seconds now) {
-  const bool was_cut = is_unreachable(zone, now);
-  Zone& z = zone_at(zone);
-  z.last_contact_at = now;
-  if (!was_cut)
+  const bool was_unreachable = is_unreachable(zone, now);
+  Zone& contacted = zone_at(zone);
+  contacted.last_contact_at = now;
+  if (!was_unreachable)
     return false;
-  z.returned_at = now;
-  z.lost_at = -1;
-  if (!whole_)
+  contacted.returned_at = now;
+  contacted.lost_at = -1;
+  if (!track_loss_)
     return true;
-  // Two rounds of reports tell what is left of it. A zone that was cut off again before it had rested for as
-  // long as it last took to settle is given twice that, up to a lease.
-  const Seconds round = 2 * heartbeat_interval_s_;
-  const Seconds last = std::min(worker_lease_s_, round * (1 << std::min(z.flaps, 10)));
-  z.flaps = z.flaps > 0 && now < z.stable_at + last ? z.flaps + 1 : 1;
-  z.stable_at = now + std::min(std::max(worker_lease_s_, round), round * (1 << std::min(z.flaps - 1, 10)));
+  // After two heartbeat intervals it is known what is left of the zone. If it became unreachable again before
+  // it had been stable for as long as the recovery before took, it recovers for twice as long, up to a lease.
+  const Seconds shortest = 2 * heartbeat_interval_s_;
+  const Seconds previous =
+      std::min(worker_lease_s_, shortest * (1 << std::min(contacted.flaps, kMaxDoublings)));
+  const bool flapping = contacted.flaps > 0 && now < contacted.stable_at + previous;
+  contacted.flaps = flapping ? contacted.flaps + 1 : 1;
+  contacted.stable_at = now + std::min(std::max(worker_lease_s_, shortest),
+                                       shortest * (1 << std::min(contacted.flaps - 1, kMaxDoublings)));
   return true;
 }
 
-void ZoneTracker::set_expected(std::size_t zone, int more) {
-  zone_at(zone).workers += more;
+void ZoneTracker::set_expected(std::size_t zone, int change) {
+  zone_at(zone).workers += change;
 }
 
 void ZoneTracker::on_lease_expired(std::size_t zone, Seconds now) {
-  // Of a zone within reach it is that machine's own end.
-  if (whole_ && !is_lost(zone) && is_unreachable(zone, now))
+  // In a reachable zone only that machine has failed.
+  if (track_loss_ && !is_lost(zone) && is_unreachable(zone, now))
     zone_at(zone).lost_at = now;
 }
 
@@ -67,29 +73,29 @@
     return ZoneState::lost;
   if (is_unreachable(zone, now))
     return ZoneState::unreachable;
-  if (is_silent(zone, now))
-    return ZoneState::silent;
+  if (is_unresponsive(zone, now))
+    return ZoneState::unresponsive;
   return zone < zones_.size() && now < zones_[zone].stable_at ? ZoneState::recovering : ZoneState::healthy;
 }
 
 bool ZoneTracker::any_unstable(Seconds now) const {
-  if (!whole_)
+  if (!track_loss_)
     return false;
-  for (std::size_t z = 0; z < zones_.size(); ++z) {
-    if (is_lost(z) || now < zones_[z].stable_at)
+  for (std::size_t zone = 0; zone < zones_.size(); ++zone) {
+    if (is_lost(zone) || now < zones_[zone].stable_at)
       return true;
   }
   return false;
 }
 
-bool ZoneTracker::silent_for(std::size_t zone, Seconds now, Seconds least, double reports) const {
+bool ZoneTracker::no_contact_for(std::size_t zone, Seconds now, Seconds least, double heartbeats) const {
   if (zone >= zones_.size() || zones_[zone].workers == 0)
     return false;
   return now - zones_[zone].last_contact_at >
-         std::max(least, reports * heartbeat_interval_s_ / zones_[zone].workers);
+         std::max(least, heartbeats * heartbeat_interval_s_ / zones_[zone].workers);
 }
 
-int missed(std::uint32_t replicas, std::uint32_t left) {
+int replica_loss_rank(std::uint32_t replicas, std::uint32_t left) {
   if (left == 0)
     return 0;
   if (2 * left < replicas)
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -317,9 +317,9 @@
   for (double t = 1; t < 10; t += 0.05)
     links.on_contact(0, t);
   links.on_contact(1, 9);
-  EXPECT_FALSE(links.is_silent(0, 10));
-  EXPECT_TRUE(links.is_silent(0, 10.5)) << "forty reports a second, and none for half of one";
-  EXPECT_FALSE(links.is_silent(1, 20)) << "four machines are silent for that long now and then";
+  EXPECT_FALSE(links.is_unresponsive(0, 10));
+  EXPECT_TRUE(links.is_unresponsive(0, 10.5)) << "forty reports a second, and none for half of one";
+  EXPECT_FALSE(links.is_unresponsive(1, 20)) << "four machines are silent for that long now and then";
   EXPECT_FALSE(links.is_unreachable(0, 10.5));
   EXPECT_TRUE(links.is_unreachable(0, 12.5));
   EXPECT_TRUE(links.is_unreachable(1, 60));
