--- a/src/autoscaling/scale_in.cpp
+++ b/src/autoscaling/scale_in.cpp
@@ -15,7 +15,7 @@
     excess_since_ = 0;
     return;
   }
-  const auto d = scheduler_.demand(typical_boot_s());
+  const auto d = scheduler_.demand_forecast().demand(typical_boot_s());
   const double ordinary = available_cores(false), spot = available_cores(true);
   const double headroom = settings_.tunables.headroom;
   const double services = std::max(d.ordinary, smooth_ordinary_) * (1 + headroom / 2);
--- a/src/autoscaling/scale_out.cpp
+++ b/src/autoscaling/scale_out.cpp
@@ -95,7 +95,7 @@
 }
 
 void Autoscaler::scale_out() {
-  const auto d = scheduler_.demand(typical_boot_s());
+  const auto d = scheduler_.demand_forecast().demand(typical_boot_s());
   // Short swings are not worth a boot: the load counts as its recent mean, and beyond that what waits and
   // would be late otherwise.
   const double flexible_now = d.flexible;
@@ -217,7 +217,7 @@
       out_.now() - restricted_job_requested_at_[job.index] > typical_boot_s()) {
     restricted_job_requested_at_[job.index] = out_.now();
     if (request_for_job(job, static_cast<double>(job.pending_tasks.size()) *
-                                 scheduler_.urgent_fraction(job, typical_boot_s())))
+                                 scheduler_.demand_forecast().urgent_fraction(job, typical_boot_s())))
       return;
   }
   if (!together && present({}) >= needed)
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -39,7 +39,7 @@
     return true;
   // One gang, tied to a type and a zone, whose only machine was slow, waited for ever (seed 2037 of several
   // cells): it was past every time by which it could be of use.
-  const Seconds at = next_deadline(job, 0), rest = estimated_run_time(job);
+  const Seconds at = objectives_.next_deadline(job, 0), rest = estimated_run_time(job);
   return out_.now() + rest * m.slowdown <= at || out_.now() + rest > at;
 }
 
--- a/src/scheduling/migration.cpp
+++ b/src/scheduling/migration.cpp
@@ -11,22 +11,8 @@
 constexpr double kEps = 1e-6;
 }
 
-// What a task of the job takes on a sound machine: by its others, once enough of them have ended to tell,
-// since the first to end are the shortest; by its estimate before that, which is less sure.
-std::optional<Scheduler::TypicalRunTime> Scheduler::typical_run_time(const Job& job) const {
-  constexpr int kEnough = 5;
-  constexpr double kMostOf = 0.5;
-  if (!balancing_enabled_)
-    return std::nullopt;
-  const auto it = job_times_.find(job.index);
-  if (it != job_times_.end() && it->second.second >= std::max<double>(kEnough, kMostOf * job.spec.tasks))
-    return TypicalRunTime{it->second.first, 0};
-  // Owners whose estimates are mostly far off make sound machines look slow (cub-meterlink-fleet: 58 in a
-  // calm day).
-  constexpr double kSureEnough = 0.35;
-  if (job.spec.estimate_s <= 0 || estimate_log_variance_ > kSureEnough * kSureEnough)
-    return std::nullopt;
-  return TypicalRunTime{estimated_run_time(job), std::sqrt(estimate_log_variance_)};
+std::optional<RunTimeEstimates::TypicalRunTime> Scheduler::typical_run_time(const Job& job) const {
+  return balancing_enabled_ ? estimates_.typical_run_time(job) : std::nullopt;
 }
 
 // Once a second, what runs on each machine is held against its job's other tasks.
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -86,23 +86,6 @@
   return best;
 }
 
-// Within what time the class's tasks should start; nothing is won by starting sooner.
-Seconds Scheduler::start_objective_s(const Job& job) const {
-  Seconds least = 0;
-  for (const CompletionObjective& aim : objectives(job.job_class)) {
-    if (aim.kind == CompletionObjective::Kind::wait)
-      least = least > 0 ? std::min(least, aim.value) : aim.value;
-  }
-  return least;
-}
-
-// Whether a fetch of that long ends within the aim.
-bool Scheduler::in_time(const Job& job, Seconds fetch) const {
-  constexpr double kFetchVaries = 1.33;  // PROTOCOL: give or take a third
-  constexpr Seconds kOnTheWay = 0.3;     // submission, order and report
-  return out_.now() - job.eligible_since + fetch * kFetchVaries + kOnTheWay < start_objective_s(job);
-}
-
 // What it is worth, in seconds, to put the service's next task elsewhere than on this machine. Its image is
 // needed where it can be had at once later on: beside work that gives way. A machine full of services has no
 // such place, however many images it holds, and takes more of them with it when it is lost.
@@ -117,7 +100,7 @@
   double cost = kFull * services / std::max(m.cpus, 1.0) + waiting_jobs(m, job);
   // A fetch that ends within the aim costs nothing.
   const Seconds fetch = m.has_image(job.image) ? 0 : fetch_s(m.type, job);
-  if (fetch > 0 && in_time(job, fetch))
+  if (fetch > 0 && objectives_.starts_in_time_after_fetch(job, fetch))
     cost -= fetch;
   return cost;
 }
@@ -171,7 +154,8 @@
     // and has not run for longer than the fetch takes: its job waits for that once more.
     constexpr double kFetchWorthPreempting = 1.0;
     const double wait = waiting_jobs(*m, job);
-    const bool worth = wait > kFetchWorthPreempting && !(spread_out && in_time(job, wait));
+    const bool worth =
+        wait > kFetchWorthPreempting && !(spread_out && objectives_.starts_in_time_after_fetch(job, wait));
     if (job.is_service() && worth && preempt_for_job(job, wait))
       continue;
     start_task(*m, job);
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -66,9 +66,7 @@
       10;  // until it finds room again; on a full fleet some task ends all the time
   const Seconds run = estimated_run_time(*job), ends = slot.running_since + run,
                 later = out_.now() + kSomewhere + run;
-  bool same = true;
-  for_each_deadline(*job, [&](Seconds at) { same &= (ends <= at) == (later <= at); });
-  return same;
+  return objectives_.meets_same_deadlines(*job, ends, later);
 }
 
 // Makes room for a task of higher priority by stopping lower ones on one machine, and starts it there.
@@ -166,7 +164,7 @@
     if (!job || !within_guarantee(*job) || !has_startable_task(*job) ||
         out_.now() - job->eligible_since < kPatience)
       continue;
-    const Seconds spare = next_deadline(*job, 0) - job->eligible_since - estimated_run_time(*job);
+    const Seconds spare = objectives_.next_deadline(*job, 0) - job->eligible_since - estimated_run_time(*job);
     if (!job->is_service() && out_.now() - job->eligible_since < part * spare)
       continue;
     if (fails_everywhere(*job))
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -28,7 +28,10 @@
       registry_(registry),
       workers_(agents),
       balancing_enabled_(room_is_guaranteed(settings)),
+      estimates_(settings),
+      objectives_(out, settings, registry, estimates_),
       filters_(out, settings, agents, load_, std::move(token)),
+      demand_forecast_(out, settings, registry, agents, filters_, estimates_, objectives_),
       rng_(seed) {
   registry_.on_placed = [this](const Job& job, ZoneIndex zone, int tasks) {
     load_.on_placed(job, zone, tasks);
@@ -53,12 +56,12 @@
   is_waiting_.clear();
   long_jobs_.clear();
   overdue_jobs_.clear();
-  job_times_.clear();
+  estimates_.clear_jobs();
   load_.clear();
   speeds_.clear();
   migrations_.clear();
   slow_machines_ = 0;
-  offered_cores_ = 0;
+  demand_forecast_.clear();
 }
 
 void Scheduler::enqueue(Job& job) {
@@ -111,14 +114,8 @@
 
 void Scheduler::on_job_over(const Job& job) {
   load_.on_ended(job);
-  // How far estimates are off, once corrected by what was seen of the class.
-  if (const auto it = job_times_.find(job.index); it != job_times_.end() && job.spec.estimate_s > 0) {
-    constexpr double kLearns = 0.05;
-    const double off = std::log(it->second.first / estimated_run_time(job));
-    estimate_log_variance_ += (std::min(1.0, off * off) - estimate_log_variance_) * kLearns;
-  }
   reserved_.erase(job.index);
-  job_times_.erase(job.index);
+  estimates_.on_job_over(job);
 }
 
 void Scheduler::on_task_exited(Machine& m, const Allocation& slot) {
@@ -139,22 +136,12 @@
       return;  // an earlier leader saw it start
     if (const auto mean = typical_run_time(*job))
       speeds_.on_task_completed(m.index, job->index, std::log(took / mean->run_s), mean->log_deviation);
-    auto& [mean, n] = job_times_[job->index];
-    if (n >= 3) {
-      const double ratio = std::clamp(took / mean, 0.2, 10.0);
+    if (const auto mean = estimates_.mean_run_time(*job, 3)) {
+      const double ratio = std::clamp(took / *mean, 0.2, 10.0);
       m.observed_slowdown += (ratio - m.observed_slowdown) * 0.15;
       ++m.slowdown_samples;
     }
-    mean = (mean * n + took) / (n + 1);
-    ++n;
-    if (classes_.size() <= job->job_class)
-      classes_.resize(job->job_class + 1);
-    ClassStats& c = classes_[job->job_class];
-    if (job->spec.estimate_s > 0) {
-      const double ratio = std::clamp(took / job->spec.estimate_s, 0.1, 10.0);
-      const double weight = std::max(0.01, 1.0 / (++c.samples + 4));
-      c.estimate_ratio += (ratio - c.estimate_ratio) * weight;
-    }
+    estimates_.on_task_completed(*job, took);
     return;
   }
   if (slot.cause == wire::ExitCause::error) {
@@ -255,6 +242,32 @@
     update_machine_speeds(), plan_migrations();
 }
 
+double Scheduler::estimated_run_time(const Job& job) const {
+  return estimates_.estimated_run_time(job);
+}
+
+Seconds Scheduler::expected_duration(const Job& job) const {
+  double slowest_fetch = 0;  // GB/s
+  for (const auto& type : catalog_)
+    slowest_fetch = slowest_fetch <= 0 ? type.fetch_gb_per_s : std::min(slowest_fetch, type.fetch_gb_per_s);
+  return estimated_run_time(job) + (slowest_fetch > 0 ? job.spec.image_gb / slowest_fetch : 0);
+}
+
+bool Scheduler::is_long(const Job& job) const {
+  return estimates_.is_long(job);
+}
+
+void Scheduler::record_arrival(const Job& job) {
+  load_.on_arrival(job,
+                   job.spec.tasks * job.spec.task_resources.cpus * std::max(1.0, estimated_run_time(job)),
+                   out_.now());
+  demand_forecast_.record_arrival(job);
+}
+
+ZoneLossImpact Scheduler::zone_loss_impact(ZoneIndex zone) const {
+  return scheduling::zone_loss_impact(zone, registry_, workers_, out_.now());
+}
+
 // Of every job that waits, why.
 void Scheduler::update_waiting_load() {
   load_.begin_waiting_update();
@@ -262,8 +275,7 @@
     const Job* job = registry_.job_at(ix);
     if (!job || !job->is_open() || job->pending_tasks.empty())
       continue;
-    bool late = true;
-    for_each_deadline(*job, [&](Seconds at) { late &= out_.now() > at; });
+    const bool late = objectives_.all_deadlines_passed(*job);
     load_.add_waiting(*job, filters_.waiting_reason(*job), out_.now() - job->eligible_since,
                       late && !job->is_service());
   }
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -12,6 +12,10 @@
 #include "balancing/migrations.hpp"
 #include "balancing/speed_estimator.hpp"
 #include "filters/filter.hpp"
+#include "scheduling/demand_forecast.hpp"
+#include "scheduling/run_time_estimates.hpp"
+#include "scheduling/service_objectives.hpp"
+#include "scheduling/zone_loss.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::scheduling {
@@ -50,24 +54,12 @@
   double estimated_run_time(const Job& job) const;  // the owner's, corrected by what was seen of the class
   Seconds expected_duration(
       const Job& job) const;  // from when it may start until it is over, if it finds room at once
-  // Cores in use, and those that waiting work needs beside them to be in time: for work that is better off on
-  // ordinary machines, and for work that may use spot machines. `waiting` is all that waits.
-  struct Demand {
-    double ordinary = 0, flexible = 0, waiting_ordinary = 0, waiting_flexible = 0;
-    std::size_t replicas = 0;  // that are placed
-  };
-  Demand demand(Seconds boot_s);
-  // What the loss of a zone takes, and what can be made good elsewhere; walks over all jobs and machines.
-  struct ZoneLossImpact {
-    std::size_t services_affected = 0,
-                services_without_replicas = 0;  // that lose replicas; that have none left then
-    double cores_in_use = 0;                    // in use there
-    double cores_movable = 0;                   // of these, what may run in zones within reach
-    double cores_free_elsewhere = 0;            // free there now
-  };
-  ZoneLossImpact zone_loss_impact(ZoneIndex zone);
-  // The part of its waiting tasks for which the job needs room of its own to be in time.
-  double urgent_fraction(const Job& job, Seconds boot_s) const;
+  /// What machines the work needs; read by the autoscaler.
+  DemandForecast& demand_forecast() {
+    return demand_forecast_;
+  }
+  using ZoneLossImpact = scheduling::ZoneLossImpact;
+  ZoneLossImpact zone_loss_impact(ZoneIndex zone) const;
   bool balancing_enabled() const {
     return balancing_enabled_;
   }  // the spread is on, and room may stand idle
@@ -124,10 +116,6 @@
   bool has_startable_task(const Job& job) const;
   bool can_start_on(const Machine& m, const Job& job, bool ignore_room = false) const;
   bool within_guarantee(const Job& job) const;
-  // How many more of the job's tasks zones within reach may take, if it has so many tasks to start;
-  // `without`: a zone that counts as out of reach, with what it holds gone.
-  std::uint32_t tasks_within_zone_loss_bound(const Job& job, std::uint32_t wanted,
-                                             ZoneIndex without = jobs::kNoIndex) const;
   bool gang_fits(const Job& job);
   bool fails_everywhere(const Job& job) const;
   void reserve(Job& job, std::uint32_t tasks);
@@ -137,31 +125,6 @@
   bool is_overdue(const Job& job) const;
   Job* first_overdue(const Machine& m);
   void start_overdue_jobs();
-  // By when a job should be over: so long after its times began, or that many times its own deadline.
-  struct CompletionObjective {
-    enum class Kind : std::uint8_t { finished, deadline, wait } kind;
-    double value;
-  };
-  const std::vector<CompletionObjective>& objectives(ClassIndex job_class) const;
-  Seconds objective_deadline(const Job& job, const CompletionObjective& aim) const;
-  // By its class's aims, by what needs it, or, without any of these, by its own deadline.
-  template <typename F>
-  void for_each_deadline(const Job& job, F f) const {
-    bool any = false;
-    for (const CompletionObjective& aim : objectives(job.job_class)) {
-      const Seconds at = objective_deadline(job, aim);
-      if (at != ports::kNever)
-        f(at), any = true;
-    }
-    if (job.latest_finish != ports::kNever)
-      f(job.latest_finish), any = true;
-    if (!any && job.spec.deadline_s)
-      f(job.submitted_at + *job.spec.deadline_s);
-  }
-  Seconds next_deadline(const Job& job, Seconds later) const;
-  int missed_deadlines(const Job& job, Seconds later = 0) const;
-  double work_left(const Job& job) const;
-  double objective_cost(const Job& job) const;
   void start_task(Machine& m, Job& job);
   bool serve_next(Machine& m);
   void serve_queue(Machine& m);
@@ -172,15 +135,10 @@
   Machine* least_waiting(const Job& job, bool cached_only = false);
   Machine* least_crowded(const Job& job);
   double crowding(const Machine& m, const Job& job) const;
-  bool in_time(const Job& job, Seconds fetch) const;
-  Seconds start_objective_s(const Job& job) const;
   Seconds fetch_s(MachineTypeIndex type, const Job& job) const;
   static bool zone_allows_migration(ZoneIndex zone, const Job& job, const Machine& from);
   void update_waiting_load();
-  struct TypicalRunTime {
-    double run_s, log_deviation;  // `unsure`: of its logarithm, as a standard deviation
-  };
-  std::optional<TypicalRunTime> typical_run_time(const Job& job) const;
+  std::optional<RunTimeEstimates::TypicalRunTime> typical_run_time(const Job& job) const;
   void update_machine_speeds();
   void plan_migrations();
   Machine* migration_target(const Job& job, const Machine& from);
@@ -189,7 +147,6 @@
   bool fast_enough(const Machine& m, const Job& job) const;
   double waiting_jobs(const Machine& m, const Job& job) const;
   double spot_risk_s(const Machine& m, const Job& job) const;
-  bool prefers_spot(const Job& job) const;
   // `saves_s`: the wait that it is to spare the task; nothing: there is no other way.
   // `guests`: only what another cell handed on gives way.
   bool preempt_for_job(Job& job, std::optional<double> saves_s, bool guests = false);
@@ -205,12 +162,14 @@
   jobs::JobRegistry& registry_;
   workers::WorkerManager& workers_;
   bool balancing_enabled_;
+  RunTimeEstimates estimates_;
+  ServiceObjectives objectives_;
   balancing::LoadSnapshot load_;
   balancing::SpeedEstimator speeds_;
   balancing::Migrations migrations_;
   std::size_t slow_machines_ = 0;
-  double estimate_log_variance_ = 1;  // variance of the logarithm of jobs' run times against their estimates
   filters::FilterChain filters_;
+  DemandForecast demand_forecast_;
   pcg32 rng_;
   std::vector<wire::MachineType> catalog_;
   std::vector<std::vector<Reservation>> queues_;   // by machine
@@ -221,18 +180,7 @@
   std::vector<bool> is_waiting_;                          // by job
   std::vector<JobIndex> long_jobs_;     // of these the long ones, in the order as of the last pass
   std::vector<JobIndex> overdue_jobs_;  // of these the ones that must begin, those that wait longest first
-  struct ClassStats {
-    double estimate_ratio = 1;
-    int samples = 0;
-  };
-  std::vector<ClassStats> classes_;
-  mutable std::vector<std::optional<std::vector<CompletionObjective>>> objectives_;  // by class
-  std::unordered_map<JobIndex, std::pair<double, int>>
-      job_times_;                // mean run time of a job's completed tasks
-  bool zones_unstable_ = false;  // a zone is lost or on its way back, as of this pass
-  double offered_cores_ =
-      0;  // cores that flexible work would keep busy at the rate at which it has been coming
-  Seconds offered_updated_at_ = 0;
+  bool zones_unstable_ = false;         // a zone is lost or on its way back, as of this pass
   Seconds last_second_ = 0;
   // Preemptions sought in vain in this pass, by priority: arrays that find nothing lower to stop must not use
   // up what services may try (on busy days of roamkvitto-core-fleet they did, and services fetched instead).
