--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,17 +1,18 @@
-// Stopping tasks: for higher priority, and to give a team its guarantee.
+// Preemption for higher priority, and reclaiming of guaranteed capacity.
 #include <algorithm>
 
 #include "scheduling/scheduler.hpp"
 
 namespace wingtrail::scheduling {
 namespace {
-constexpr double kEps = 1e-6;
+constexpr double kEps = 1e-6;  // of cores, GPUs and GB: rounding of sums
 }
 
 void Scheduler::consider_preempting(const PlacementIndex::Group& group, const Job& job, double most_lost_s,
-                                    bool guests, PreemptionPlan& best) {
+                                    bool other_cells_only, PreemptionPlan& best) {
   if (group.members.empty())
     return;
+  constexpr double kDelayWeight = 5;  // against the seconds of work thrown away
   const Seconds now = out_.now();
   for (int i = 0; i < 2 * settings_.tunables.steal_sample; ++i) {
     Machine& m = workers_.machine_at(group.members[rng_(static_cast<std::uint32_t>(group.members.size()))]);
@@ -19,62 +20,65 @@
     if (!can_start_on(m, job, true))
       continue;
     // Youngest first: that loses the least work.
-    std::vector<std::size_t> order;
+    std::vector<std::size_t> candidates;
     for (std::size_t s = 0; s < m.allocations.size(); ++s) {
-      const Allocation& slot = m.allocations[s];
-      const Job* other = registry_.job_at(slot.job);
-      if (!other || !slot.occupies_machine || slot.stop_requested ||
+      const Allocation& allocation = m.allocations[s];
+      const Job* other = registry_.job_at(allocation.job);
+      if (!other || !allocation.occupies_machine || allocation.stop_requested ||
           other->effective_priority >= job.effective_priority)
         continue;
-      if (guests && other->origin_cell.empty())
+      if (other_cells_only && other->origin_cell.empty())
         continue;
       if (other->spec.checkpoint_interval_s > 0 && other->spec.checkpoint_cost_s > 0)
-        continue;  // its saving would take too long here
-      order.push_back(s);
+        continue;  // its checkpoint would take too long here
+      candidates.push_back(s);
     }
     auto age = [&](std::size_t s) {
       return m.allocations[s].running_since > 0 ? now - m.allocations[s].running_since : 0.0;
     };
-    std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) { return age(a) < age(b); });
-    Machine after;  // only its sizes matter
-    after.cpus = m.cpus, after.gpus = m.gpus, after.memory_gb = m.memory_gb, after.used = m.used;
+    std::sort(candidates.begin(), candidates.end(),
+              [&](std::size_t a, std::size_t b) { return age(a) < age(b); });
+    Machine after;  // the machine without the victims; only its sizes are set
+    after.cpus = m.cpus;
+    after.gpus = m.gpus;
+    after.memory_gb = m.memory_gb;
+    after.used = m.used;
     std::vector<std::size_t> victims;
-    double cost = waiting_jobs(m, job) * 5, lost = 0;
-    for (const std::size_t s : order) {
+    double cost = start_delay_s(m, job) * kDelayWeight, lost_s = 0;
+    for (const std::size_t s : candidates) {
       if (after.fits(job.spec.task_resources))
         break;
       after.used.cpus -= m.allocations[s].resources.cpus;
       after.used.gpus -= m.allocations[s].resources.gpus;
       after.used.memory_gb -= m.allocations[s].resources.memory_gb;
       cost += 1 + age(s);
-      lost += balancing_enabled_ && stop_loses_nothing(m.allocations[s]) ? 0 : age(s);
+      lost_s += balancing_enabled_ && stop_loses_nothing(m.allocations[s]) ? 0 : age(s);
       victims.push_back(s);
     }
-    if (lost > most_lost_s || victims.empty() || !after.fits(job.spec.task_resources))
+    if (lost_s > most_lost_s || victims.empty() || !after.fits(job.spec.task_resources))
       continue;
     if (!best.machine || cost < best.cost)
       best = {&m, cost, victims};
   }
 }
 
-// Whether the task's job meets the same aims if the task has to run once more from now on.
-bool Scheduler::stop_loses_nothing(const Allocation& slot) const {
-  const Job* job = registry_.job_at(slot.job);
-  if (!job || slot.running_since <= 0)
+// Whether the task's job meets the same deadlines if the task has to run once more from now on.
+bool Scheduler::stop_loses_nothing(const Allocation& allocation) const {
+  const Job* job = registry_.job_at(allocation.job);
+  if (!job || allocation.running_since <= 0)
     return true;
-  constexpr Seconds kSomewhere =
-      10;  // until it finds room again; on a full fleet some task ends all the time
-  const Seconds run = estimated_run_time(*job), ends = slot.running_since + run,
-                later = out_.now() + kSomewhere + run;
+  constexpr Seconds kRestartDelay = 10;  // until it starts again; on a full fleet some task ends all the time
+  const Seconds run = estimated_run_time(*job), ends = allocation.running_since + run,
+                later = out_.now() + kRestartDelay + run;
   return objectives_.meets_same_deadlines(*job, ends, later);
 }
 
-// Makes room for a task of higher priority by stopping lower ones on one machine, and starts it there.
-bool Scheduler::preempt_for_job(Job& job, std::optional<double> saves_s, bool guests) {
+// Stops tasks of lower priority on one machine, and starts a task of the job there.
+bool Scheduler::preempt_for_job(Job& job, std::optional<double> saves_s, bool other_cells_only) {
   const double most_lost_s = saves_s.value_or(1e9);
-  // When all that runs is as important, every search is in vain; a few a pass notice when that changes.
-  int& vain = failed_preemptions_[static_cast<std::size_t>(job.effective_priority)];
-  if (vain >= settings_.tunables.steal_sample || !has_startable_task(job) || fails_everywhere(job))
+  // When all that runs has as high a priority every search fails; a few in a pass notice when that changes.
+  int& failed = failed_preemptions_[static_cast<std::size_t>(job.effective_priority)];
+  if (failed >= settings_.tunables.steal_sample || !has_startable_task(job) || fails_everywhere(job))
     return false;
   PreemptionPlan best;
   for (const bool cached : {true, false}) {
@@ -85,15 +89,15 @@
       }
       const PlacementIndex::Group* with = p.group_with_image(job.image);
       if (cached && with)
-        consider_preempting(*with, job, most_lost_s, guests, best);
+        consider_preempting(*with, job, most_lost_s, other_cells_only, best);
       if (!cached)
-        consider_preempting(p.all_machines, job, most_lost_s, guests, best);
+        consider_preempting(p.all_machines, job, most_lost_s, other_cells_only, best);
     }
     if (best.machine || saves_s)
       break;
   }
   if (!best.machine) {
-    ++vain;
+    ++failed;
     return false;
   }
   tasks_preempted_ += best.victims.size();
@@ -103,14 +107,14 @@
   return true;
 }
 
-// Stops the victim's youngest tasks whose room the job can use; returns how many.
+// Stops the victim's youngest tasks on machines that the job can use; returns how many.
 std::size_t Scheduler::reclaim_from(Job& victim, Job& job) {
-  struct Found {
-    Seconds since;
+  struct Candidate {
+    Seconds running_since;
     MachineIndex machine;
     std::uint32_t task;
   };
-  std::vector<Found> found;
+  std::vector<Candidate> candidates;
   for (std::uint32_t i = 0; i < victim.tasks.size(); ++i) {
     if (victim.tasks[i].state != jobs::TaskState::placed)
       continue;
@@ -120,30 +124,31 @@
       continue;
     for (const Allocation& s : m.allocations) {
       if (s.job == victim.index && s.task == i && s.occupies_machine && !s.stop_requested)
-        found.push_back({s.running_since, m.index, i});
+        candidates.push_back({s.running_since, m.index, i});
     }
   }
-  std::sort(found.begin(), found.end(), [](const Found& a, const Found& b) { return a.since > b.since; });
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Candidate& a, const Candidate& b) { return a.running_since > b.running_since; });
   std::size_t stopped = 0;
   const settings::Team& team = settings_.teams[victim.team];
-  for (const Found& f : found) {
+  for (const Candidate& candidate : candidates) {
     if (!within_guarantee(job) || !has_startable_task(job))
       break;
     if (workers_.team_usage(victim.team).cpus <= team.cpus + kEps)
       break;
-    Machine& m = workers_.machine_at(f.machine);
+    Machine& m = workers_.machine_at(candidate.machine);
     if (!can_start_on(m, job, true))
       continue;
-    const bool saves = victim.spec.checkpoint_interval_s > 0;
+    const bool checkpoints = victim.spec.checkpoint_interval_s > 0;
     for (Allocation& s : m.allocations) {
-      if (s.job == victim.index && s.task == f.task && s.occupies_machine) {
-        workers_.stop_task(m, s, saves ? victim.spec.checkpoint_cost_s + 1 : 0);
+      if (s.job == victim.index && s.task == candidate.task && s.occupies_machine) {
+        workers_.stop_task(m, s, checkpoints ? victim.spec.checkpoint_cost_s + 1 : 0);
         ++stopped;
         ++tasks_reclaimed_;
         break;
       }
     }
-    if (!saves)
+    if (!checkpoints)
       start_task(m, job);
   }
   return stopped;
@@ -153,19 +158,18 @@
 void Scheduler::reclaim_guarantees() {
   // Tasks end all the time, and what comes free goes to those within their guarantee first; stopping one
   // throws its work away. So a job that can spare the time waits for a part of it.
-  constexpr Seconds kPatience = 3;
-  // Of every ten core-seconds that were held beyond a guarantee on calm days of roamkvitto-core-fleet one was
-  // thrown away so, mostly the same tasks again and again, for jobs that had most of their time left.
-  const double part = balancing_enabled_ ? 0.4 : 0.1;
+  constexpr Seconds kMinPatience = 3;
+  // With little patience the same tasks are stopped again and again, for jobs with most of their time left.
+  const double patience_share = balancing_enabled_ ? 0.4 : 0.1;  // of the time the job can spare
   // Jobs of teams beyond their guarantee, the one that comes last first.
   std::optional<std::vector<Job*>> victims;
   for (const JobIndex ix : std::vector<JobIndex>(waiting_jobs_)) {
     Job* job = registry_.job_at(ix);
     if (!job || !within_guarantee(*job) || !has_startable_task(*job) ||
-        out_.now() - job->eligible_since < kPatience)
+        out_.now() - job->eligible_since < kMinPatience)
       continue;
     const Seconds spare = objectives_.next_deadline(*job, 0) - job->eligible_since - estimated_run_time(*job);
-    if (!job->is_service() && out_.now() - job->eligible_since < part * spare)
+    if (!job->is_service() && out_.now() - job->eligible_since < patience_share * spare)
       continue;
     if (fails_everywhere(*job))
       continue;
@@ -182,7 +186,7 @@
                 [this](const Job* a, const Job* b) { return precedes(*b, *a); });
     }
     // Over all machines a task of the job that comes last, and of these the youngest. Going by machine
-    // instead hit a small job that sat together on the first one again and again.
+    // instead would stop a small job whose tasks share the first machine again and again.
     for (Job* victim : *victims) {
       if (!within_guarantee(*job) || !has_startable_task(*job))
         break;
--- a/src/scheduling/reservations.cpp
+++ b/src/scheduling/reservations.cpp
@@ -1,4 +1,4 @@
-// Short tasks: reservations with late binding, stealing, and the partition that long tasks may not use.
+// Placement of short jobs: reservations with late binding, and stealing; serving of machines with free cores.
 #include <algorithm>
 #include <cmath>
 
@@ -9,85 +9,57 @@
 constexpr double kEps = 1e-6;
 }
 
-// Hawk's short partition: some machines refuse long tasks. Spot machines take no services anyway and so are
-// its natural part; ordinary ones make up the rest, the longest known first.
-void Scheduler::update_short_partition() {
-  std::size_t spot = 0, all = 0;
-  for (const MachineIndex ix : workers_.live_machines()) {
-    const Machine& m = workers_.machine_at(ix);
-    all += m.has_incarnation;
-    spot += m.has_incarnation && m.spot;
-  }
-  const auto wanted = static_cast<std::size_t>(settings_.tunables.short_partition * static_cast<double>(all));
-  std::size_t ordinary = spot < wanted ? wanted - spot : 0;
-  for (const MachineIndex ix : workers_.live_machines()) {
-    Machine& m = workers_.machine_at(ix);
-    bool refuses = m.spot && wanted > 0 && spot <= wanted;
-    if (!m.spot && m.has_incarnation && ordinary > 0)
-      refuses = true, --ordinary;
-    if (refuses == m.short_only)
+// How many of the probes fall on which machine, drawn from all machines that the job may use.
+std::unordered_map<MachineIndex, std::uint32_t> Scheduler::sample_machines(const Job& job,
+                                                                           std::uint32_t probes) {
+  std::vector<const std::vector<MachineIndex>*> pools;
+  std::size_t machines = 0;
+  for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+    if (!filters::placement_allowed(job, pool.type, pool.zone, pool.spot) ||
+        !filters_.zones().admits_zone(pool.zone, job) || pool.all_machines.members.empty())
       continue;
-    m.short_only = refuses;
-    workers_.mark_changed(m);
+    pools.push_back(&pool.all_machines.members);
+    machines += pool.all_machines.members.size();
   }
-}
-
-void Scheduler::cancel_reservation(JobIndex job, std::uint32_t tasks) {
-  auto it = reserved_.find(job);
-  if (it != reserved_.end())
-    it->second -= std::min(it->second, tasks);
-}
-
-void Scheduler::reserve(Job& job, std::uint32_t tasks) {
-  // Members of the pools that the job may use, as one list to draw from.
-  std::vector<const std::vector<MachineIndex>*> lists;
-  std::size_t total = 0;
-  for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-    if (!filters::placement_allowed(job, p.type, p.zone, p.spot) ||
-        !filters_.zones().admits_zone(p.zone, job) || p.all_machines.members.empty())
-      continue;
-    lists.push_back(&p.all_machines.members);
-    total += p.all_machines.members.size();
-  }
-  if (total == 0)
-    return;
-  const auto probes = static_cast<std::uint32_t>(std::ceil(tasks * settings_.tunables.reservations_per_task));
   std::unordered_map<MachineIndex, std::uint32_t> sample;
-  for (std::uint32_t i = 0; i < probes; ++i) {
-    std::size_t at = rng_(static_cast<std::uint32_t>(total));
-    for (const auto* list : lists) {
-      if (at < list->size()) {
-        ++sample[(*list)[at]];
+  if (machines == 0)
+    return sample;
+  for (std::uint32_t probe = 0; probe < probes; ++probe) {
+    std::size_t position = rng_(static_cast<std::uint32_t>(machines));
+    for (const auto* members : pools) {
+      if (position < members->size()) {
+        ++sample[(*members)[position]];
         break;
       }
-      at -= list->size();
+      position -= members->size();
     }
   }
-  struct Probe {
-    double wait;
+  return sample;
+}
+
+void Scheduler::reserve(Job& job, std::uint32_t tasks) {
+  const auto probes = static_cast<std::uint32_t>(std::ceil(tasks * settings_.tunables.reservations_per_task));
+  struct Candidate {
+    double start_delay_s;
     MachineIndex machine;
   };
-  std::vector<Probe> order;
-  for (const auto& [ix, n] : sample) {
-    if (queues_.size() <= ix)
-      queues_.resize(ix + 1), has_queue_.resize(ix + 1);
-    queues_[ix].push_back({job.index, n});
-    if (!has_queue_[ix])
-      has_queue_[ix] = true, machines_with_queue_.push_back(ix);
-    reserved_[job.index] += n;
+  std::vector<Candidate> candidates;
+  for (const auto& [machine, count] : sample_machines(job, probes)) {
+    reservations_.add(machine, job.index, count);
     ++machines_examined_;
-    const Machine& m = workers_.machine_at(ix);
+    const Machine& m = workers_.machine_at(machine);
     if (m.fits(job.spec.task_resources))
-      order.push_back({waiting_jobs(m, job), ix});
+      candidates.push_back({start_delay_s(m, job), machine});
   }
-  // All queues are in this process, so the sampled machines are asked in the order in which they could begin.
-  std::sort(order.begin(), order.end(), [](const Probe& a, const Probe& b) {
-    return a.wait != b.wait ? a.wait < b.wait : a.machine < b.machine;
+  // All queues are in this process, so the sampled machines are served in the order in which they could
+  // begin.
+  std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
+    return a.start_delay_s != b.start_delay_s ? a.start_delay_s < b.start_delay_s : a.machine < b.machine;
   });
-  for (const Probe& p : order) {
+  for (const Candidate& candidate : candidates) {
     if (job.pending_tasks.empty())
       break;
-    serve_queue(workers_.machine_at(p.machine));
+    serve_queue(workers_.machine_at(candidate.machine));
   }
 }
 
@@ -106,25 +78,24 @@
   return nullptr;
 }
 
-// The order of aims serves the cheapest first, and so the largest arrays never as long as more comes than
-// there is room for (a day of our own on roamkvitto-core-hunt at six times the arrays: 90 of the 203 largest
-// had begun). Each of them costs the others one task this way.
+// The order by cost serves the cheapest first, and so the largest arrays never while more arrives than there
+// is capacity for. Each of them costs the others one task this way.
 bool Scheduler::is_overdue(const Job& job) const {
-  constexpr double kForRoomAndFetch = 1.0 / 3;  // of the time: a place comes free, and the image is fetched
+  constexpr double kStartShare = 1.0 / 3;  // of the time: until capacity comes free and the image is there
   return settings_.tunables.begin_within_s > 0 && !job.is_service() && !job.is_gang() &&
          job.origin_cell.empty() && job.placed_tasks == 0 && job.done_tasks == 0 && !fails_everywhere(job) &&
-         out_.now() - job.eligible_since > settings_.tunables.begin_within_s * (1 - kForRoomAndFetch);
+         out_.now() - job.eligible_since > settings_.tunables.begin_within_s * (1 - kStartShare);
 }
 
-// Where every place that comes free is taken at once, a pass finds none; so it is asked for as it comes free.
+// On a full fleet a pass finds no free capacity, so overdue jobs are also tried on what comes free.
 Job* Scheduler::first_overdue(const Machine& m) {
-  constexpr int kLookAt = 16;  // the others' turn comes when these have begun
-  int looked = 0;
+  constexpr int kMaxExamined = 16;  // the others follow when these have begun
+  int examined = 0;
   for (const JobIndex ix : overdue_jobs_) {
     Job* job = registry_.job_at(ix);
     if (!job || !job->is_open() || job->pending_tasks.empty() || !is_overdue(*job))
       continue;
-    if (++looked > kLookAt)
+    if (++examined > kMaxExamined)
       return nullptr;
     ++jobs_examined_;
     if (can_start_on(m, *job))
@@ -147,43 +118,35 @@
   }
 }
 
-// Starts the task that comes first of those that wait for room here: in the machine's queue, or long.
-bool Scheduler::serve_next(Machine& m) {
-  Job* first = first_long(m);
-  // Services and long work within a guarantee go before one that must begin.
-  const auto yields = [this](const Job* job) {
-    return !job || !within_guarantee(*job);
-  };
-  if (Job* overdue = yields(first) ? first_overdue(m) : nullptr)
-    return start_task(m, *overdue), true;
-  if (queues_.size() <= m.index)
-    queues_.resize(m.index + 1), has_queue_.resize(m.index + 1);
-  auto& queue = queues_[m.index];
-  // Late binding: a reservation whose job has nothing left to start is dropped.
-  std::erase_if(queue, [&](const Reservation& r) {
-    const Job* job = registry_.job_at(r.job);
-    const bool over = !job || !job->is_open() || job->pending_tasks.empty();
-    if (over)
-      cancel_reservation(r.job, r.tasks);
-    return over;
+// Starts the task that comes first of those that wait for the machine: reserved, long or overdue.
+bool Scheduler::serve_next(Machine& machine) {
+  Job* first = first_long(machine);
+  // Services and long work within a guarantee go before an overdue job.
+  if (!first || !within_guarantee(*first)) {
+    if (Job* overdue = first_overdue(machine)) {
+      start_task(machine, *overdue);
+      return true;
+    }
+  }
+  reservations_.drop_over(machine.index, [this](JobIndex index) {
+    const Job* job = registry_.job_at(index);
+    return !job || !job->is_open() || job->pending_tasks.empty();
   });
-  std::size_t best = queue.size();
-  for (std::size_t i = 0; i < queue.size(); ++i) {
-    Job& job = *registry_.job_at(queue[i].job);
+  const auto& queue = reservations_.queue(machine.index);
+  std::optional<std::size_t> reservation;
+  for (std::size_t position = 0; position < queue.size(); ++position) {
+    Job& job = *registry_.job_at(queue[position].job);
     ++jobs_examined_;
-    if (!can_start_on(m, job) || (first && !precedes(job, *first)))
+    if (!can_start_on(machine, job) || (first && !precedes(job, *first)))
       continue;
     first = &job;
-    best = i;
+    reservation = position;
   }
   if (!first)
     return false;
-  start_task(m, *first);
-  if (best == queue.size())
-    return true;
-  cancel_reservation(first->index, 1);
-  if (--queue[best].tasks == 0)
-    queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(best));
+  start_task(machine, *first);
+  if (reservation)
+    reservations_.use_one(machine.index, *reservation);
   return true;
 }
 
@@ -197,38 +160,17 @@
   }
 }
 
-// An idle machine looks at some others and takes the first short group that waits there and could run here.
-bool Scheduler::steal(Machine& m) {
-  for (int i = 0; i < settings_.tunables.steal_sample && !machines_with_queue_.empty(); ++i) {
-    const std::size_t at = rng_(static_cast<std::uint32_t>(machines_with_queue_.size()));
-    const MachineIndex victim = machines_with_queue_[at];
-    auto& queue = queues_[victim];
-    if (queue.empty()) {
-      has_queue_[victim] = false;
-      machines_with_queue_[at] = machines_with_queue_.back();
-      machines_with_queue_.pop_back();
-      continue;
-    }
-    if (victim == m.index)
-      continue;
-    for (std::size_t q = 0; q < queue.size(); ++q) {
-      const Job* job = registry_.job_at(queue[q].job);
-      ++jobs_examined_;
-      if (!job || !can_start_on(m, *job))
-        continue;
-      const Reservation group = queue[q];
-      queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(q));
-      queues_[m.index].push_back(group);
-      if (!has_queue_[m.index])
-        has_queue_[m.index] = true, machines_with_queue_.push_back(m.index);
-      return true;
-    }
-  }
-  return false;
+// An idle machine samples some others and takes the first reservation queued there that it could serve.
+bool Scheduler::steal(const Machine& thief) {
+  return reservations_.steal(thief.index, settings_.tunables.steal_sample, rng_, [&](JobIndex index) {
+    const Job* job = registry_.job_at(index);
+    ++jobs_examined_;
+    return job && can_start_on(thief, *job);
+  });
 }
 
-// Stealing seen from the other side: tasks whose sampled machines are full go where there is room. Sampling
-// alone leaves much of it unused, since only a few of so many machines have any.
+// The reverse of stealing: tasks whose sampled machines are full go where there is capacity.
+// Sampling alone leaves much of it unused, since only few machines have any.
 void Scheduler::place_short(Job& job) {
   while (has_startable_task(job)) {
     Machine* m = least_waiting(job);
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -5,13 +5,15 @@
 #include <algorithm>
 #include <cmath>
 
+#include "scheduling/short_partition.hpp"
+
 namespace wingtrail::scheduling {
 
 namespace {
 
-// Room that is guaranteed to teams has to be there, used or not; a fleet that guarantees none, or whose aims
-// name money, is kept as small as its load allows.
-bool room_is_guaranteed(const settings::Settings& settings) {
+// Capacity that is guaranteed to teams has to be there, used or not; a fleet that guarantees none, or whose
+// objectives name cost, is kept as small as its load allows.
+bool capacity_is_guaranteed(const settings::Settings& settings) {
   const auto& all = settings.teams;
   return settings.tunables.load_balancing &&
          std::any_of(all.begin(), all.end(), [](const auto& t) { return t.cpus > 0 || t.gpus > 0; }) &&
@@ -22,16 +24,17 @@
 }  // namespace
 
 Scheduler::Scheduler(ports::Outbox& out, const settings::Settings& settings, jobs::JobRegistry& registry,
-                     workers::WorkerManager& agents, std::function<std::uint64_t()> token, std::uint64_t seed)
+                     workers::WorkerManager& workers, std::function<std::uint64_t()> token,
+                     std::uint64_t seed)
     : out_(out),
       settings_(settings),
       registry_(registry),
-      workers_(agents),
-      balancing_enabled_(room_is_guaranteed(settings)),
+      workers_(workers),
+      balancing_enabled_(capacity_is_guaranteed(settings)),
       estimates_(settings),
       objectives_(out, settings, registry, estimates_),
-      filters_(out, settings, agents, load_, std::move(token)),
-      demand_forecast_(out, settings, registry, agents, filters_, estimates_, objectives_),
+      filters_(out, settings, workers, load_, std::move(token)),
+      demand_forecast_(out, settings, registry, workers, filters_, estimates_, objectives_),
       rng_(seed) {
   registry_.on_placed = [this](const Job& job, ZoneIndex zone, int tasks) {
     load_.on_placed(job, zone, tasks);
@@ -48,10 +51,7 @@
 }
 
 void Scheduler::clear() {
-  queues_.clear();
-  machines_with_queue_.clear();
-  has_queue_.clear();
-  reserved_.clear();
+  reservations_.clear();
   waiting_jobs_.clear();
   is_waiting_.clear();
   long_jobs_.clear();
@@ -84,7 +84,7 @@
   if (is_long(job))
     return place_long(job);
   const auto missing = static_cast<std::uint32_t>(job.pending_tasks.size());
-  if (reserved_[job.index] < missing)
+  if (reservations_.reserved_tasks(job.index) < missing)
     reserve(job, missing);
 }
 
@@ -102,144 +102,179 @@
 
 void Scheduler::on_machine_gone(Machine& m) {
   speeds_.forget(m.index);
-  for (const balancing::Migration& move : migrations_.take_of_machine(m.index)) {
-    abandon_migration(move);
-    migrations_.on_finished(move, false);
+  for (const balancing::Migration& migration : migrations_.take_of_machine(m.index)) {
+    abandon_migration(migration);
+    migrations_.on_finished(migration, false);
   }
-  if (queues_.size() <= m.index)
-    return;
-  for (const Reservation& r : std::exchange(queues_[m.index], {}))
-    cancel_reservation(r.job, r.tasks);
+  reservations_.drop_machine(m.index);
 }
 
 void Scheduler::on_job_over(const Job& job) {
   load_.on_ended(job);
-  reserved_.erase(job.index);
+  reservations_.forget_job(job.index);
   estimates_.on_job_over(job);
 }
 
-void Scheduler::on_task_exited(Machine& m, const Allocation& slot) {
-  Job* job = registry_.job_at(slot.job);
+void Scheduler::on_task_exited(Machine& machine, const Allocation& allocation) {
+  Job* job = registry_.job_at(allocation.job);
   if (!job)
     return;
-  const Seconds now = out_.now();
-  if (slot.cause == wire::ExitCause::done) {
-    m.failed_jobs.clear();
-    if (m.health != workers::Health::healthy)
-      workers_.mark_changed(m);
-    m.health = workers::Health::healthy;
-    job->has_succeeded = true;
-    const double took = now - slot.running_since;
-    if (slot.running_since <= 0 || took < 0.5)
-      return;  // it was seen only at its end
-    if (balancing_enabled_ && slot.adopted)
-      return;  // an earlier leader saw it start
-    if (const auto mean = typical_run_time(*job))
-      speeds_.on_task_completed(m.index, job->index, std::log(took / mean->run_s), mean->log_deviation);
-    if (const auto mean = estimates_.mean_run_time(*job, 3)) {
-      const double ratio = std::clamp(took / *mean, 0.2, 10.0);
-      m.observed_slowdown += (ratio - m.observed_slowdown) * 0.15;
-      ++m.slowdown_samples;
-    }
-    estimates_.on_task_completed(*job, took);
+  if (allocation.cause == wire::ExitCause::done)
+    return on_task_completed(machine, *job, allocation);
+  if (allocation.cause == wire::ExitCause::error) {
+    on_task_failed(machine, *job);
+  } else if (allocation.cause == wire::ExitCause::no_room || allocation.cause == wire::ExitCause::unknown ||
+             allocation.cause == wire::ExitCause::busy) {
+    // Refused: the machine runs something unknown here, or the job's description has not arrived yet.
+    constexpr Seconds kRefusalBackoff = 0.5;
+    job->not_before = out_.now() + kRefusalBackoff;
+  }
+  workers_.mark_changed(machine);
+  if (const auto migration = migrations_.on_task_gone(job->index, allocation.task))
+    migrations_.on_finished(*migration, finish_migration(*migration));
+  on_job_ready(*job);
+}
+
+void Scheduler::on_task_completed(Machine& machine, Job& job, const Allocation& allocation) {
+  constexpr Seconds kMinRunTime = 0.5;  // what ran for less was observed only at its end
+  constexpr double kMinSamples = 3;
+  constexpr double kMinRatio = 0.2, kMaxRatio = 10.0;
+  constexpr double kSampleWeight = 0.15;
+  machine.failed_jobs.clear();
+  if (machine.health != workers::Health::healthy)
+    workers_.mark_changed(machine);
+  machine.health = workers::Health::healthy;
+  job.has_succeeded = true;
+  const double run_s = out_.now() - allocation.running_since;
+  if (allocation.running_since <= 0 || run_s < kMinRunTime)
     return;
+  if (balancing_enabled_ && allocation.adopted)
+    return;  // an earlier leader observed its start
+  if (const auto typical = typical_run_time(job)) {
+    speeds_.on_task_completed(machine.index, job.index, std::log(run_s / typical->run_s),
+                              typical->log_deviation);
   }
-  if (slot.cause == wire::ExitCause::error) {
-    ++job->error_count;
-    if (std::find(job->failed_machines.begin(), job->failed_machines.end(), m.index) ==
-        job->failed_machines.end()) {
-      job->failed_machines.push_back(m.index);
-    }
-    // A job that failed on three machines and succeeded on none is at fault itself: it backs off, and its
-    // machines are not blamed.
-    if (!job->has_succeeded && job->failed_machines.size() >= 3) {
-      job->not_before = now + std::min(60.0, std::pow(2.0, std::min(job->error_count, 6U)));
-      for (const MachineIndex ix : job->failed_machines)
-        std::erase(workers_.machine_at(ix).failed_jobs, job->index);
-      job->failed_machines.clear();
-    } else {
-      if (std::find(m.failed_jobs.begin(), m.failed_jobs.end(), job->index) == m.failed_jobs.end()) {
-        m.failed_jobs.push_back(job->index);
-      }
-      // One failure may be the job's; until more is known the machine gets nothing new.
-      workers_.avoid_until(m, now + 15);
-      if (m.failed_jobs.size() >= 2 || (job->has_succeeded && job->error_count >= 1)) {
-        if (m.health != workers::Health::unhealthy)
-          spdlog::warn("{}: suspected to be faulty", m.host);
-        m.health = workers::Health::unhealthy;
-      }
-    }
-  } else if (slot.cause == wire::ExitCause::no_room || slot.cause == wire::ExitCause::unknown ||
-             slot.cause == wire::ExitCause::busy) {
-    // Refused: the machine holds something unknown here, or the job's description is not there yet.
-    job->not_before = now + 0.5;
+  if (const auto mean_s = estimates_.mean_run_time(job, kMinSamples)) {
+    const double ratio = std::clamp(run_s / *mean_s, kMinRatio, kMaxRatio);
+    machine.observed_slowdown += (ratio - machine.observed_slowdown) * kSampleWeight;
+    ++machine.slowdown_samples;
+  }
+  estimates_.on_task_completed(job, run_s);
+}
+
+void Scheduler::on_task_failed(Machine& machine, Job& job) {
+  constexpr std::size_t kMaxFailedMachines = 3;  // of a job that never succeeded
+  constexpr Seconds kMaxBackoff = 60;
+  constexpr unsigned kMaxBackoffExponent = 6;
+  constexpr Seconds kMachineBackoff = 15;
+  constexpr std::size_t kJobsFailedWhenFaulty = 2;
+  const auto add_once = [](auto& list, auto index) {
+    if (std::find(list.begin(), list.end(), index) == list.end())
+      list.push_back(index);
+  };
+  ++job.error_count;
+  add_once(job.failed_machines, machine.index);
+  // A job that failed on three machines and succeeded on none is at fault itself: it backs off, and its
+  // machines are not blamed.
+  if (!job.has_succeeded && job.failed_machines.size() >= kMaxFailedMachines) {
+    job.not_before =
+        out_.now() + std::min(kMaxBackoff, std::pow(2.0, std::min(job.error_count, kMaxBackoffExponent)));
+    for (const MachineIndex index : job.failed_machines)
+      std::erase(workers_.machine_at(index).failed_jobs, job.index);
+    job.failed_machines.clear();
+    return;
+  }
+  add_once(machine.failed_jobs, job.index);
+  // One failure may be the job's; until more is known the machine gets nothing new.
+  workers_.avoid_until(machine, out_.now() + kMachineBackoff);
+  if (machine.failed_jobs.size() >= kJobsFailedWhenFaulty || (job.has_succeeded && job.error_count >= 1)) {
+    if (machine.health != workers::Health::unhealthy)
+      spdlog::warn("scheduler: machine suspected faulty host={}", machine.host);
+    machine.health = workers::Health::unhealthy;
   }
-  workers_.mark_changed(m);
-  if (const auto move = migrations_.on_task_gone(job->index, slot.task))
-    migrations_.on_finished(*move, finish_migration(*move));
-  on_job_ready(*job);
 }
 
 void Scheduler::run_pass() {
   failed_preemptions_.fill(0);
   zones_unstable_ = workers_.zones().any_unstable(out_.now());
-  const bool second = out_.now() - last_second_ >= 1;
-  if (second) {
+  const bool once_a_second = out_.now() - last_second_ >= 1;
+  if (once_a_second) {
     workers_.observe_spot_time(std::min(2.0, out_.now() - last_second_));
     last_second_ = out_.now();
-    update_short_partition();
+    update_short_partition(workers_, settings_.tunables.short_partition);
   }
-  std::erase_if(waiting_jobs_, [this](JobIndex ix) {
-    const Job* job = registry_.job_at(ix);
+  std::erase_if(waiting_jobs_, [this](JobIndex index) {
+    const Job* job = registry_.job_at(index);
     const bool over = !job || !job->is_open() || job->pending_tasks.empty();
     if (over)
-      is_waiting_[ix] = false;
+      is_waiting_[index] = false;
     return over;
   });
-  if (settings_.cells.enabled()) {
-    filters_.cells().begin_pass();
-    for (const JobIndex ix : waiting_jobs_) {
-      const Job& job = *registry_.job_at(ix);
-      if (job.origin_cell.empty() && filters_.admits(job))
-        filters_.cells().note_own_work_waiting(job.team);
-    }
+  if (settings_.cells.enabled())
+    note_own_waiting_work();
+  std::vector<Job*> short_jobs = classify_waiting_jobs();
+  start_overdue_jobs();
+  place_long_jobs();
+  place_short_jobs(std::move(short_jobs));
+  if (once_a_second && !waiting_jobs_.empty())
+    reclaim_guarantees();
+  if (once_a_second)
+    update_waiting_load();
+  if (once_a_second && balancing_enabled_) {
+    update_machine_speeds();
+    plan_migrations();
   }
+}
+
+// Work of other cells yields to this cell's own work that waits.
+void Scheduler::note_own_waiting_work() {
+  filters_.cells().begin_pass();
+  for (const JobIndex index : waiting_jobs_) {
+    const Job& job = *registry_.job_at(index);
+    if (job.origin_cell.empty() && filters_.admits(job))
+      filters_.cells().note_own_work_waiting(job.team);
+  }
+}
+
+// Lists the long and the overdue jobs of those that wait; returns the short ones that could start.
+std::vector<Job*> Scheduler::classify_waiting_jobs() {
   long_jobs_.clear();
   overdue_jobs_.clear();
   std::vector<Job*> short_jobs;
-  for (const JobIndex ix : waiting_jobs_) {
-    Job* job = registry_.job_at(ix);
+  for (const JobIndex index : waiting_jobs_) {
+    Job* job = registry_.job_at(index);
     ++jobs_examined_;
     if (is_overdue(*job))
-      overdue_jobs_.push_back(ix);
+      overdue_jobs_.push_back(index);
     if (is_long(*job)) {
-      long_jobs_.push_back(ix);
+      long_jobs_.push_back(index);
     } else if (has_startable_task(*job)) {
       short_jobs.push_back(job);
     }
   }
-  start_overdue_jobs();
+  return short_jobs;
+}
+
+void Scheduler::place_long_jobs() {
   std::sort(long_jobs_.begin(), long_jobs_.end(),
             [this](JobIndex a, JobIndex b) { return precedes(*registry_.job_at(a), *registry_.job_at(b)); });
-  for (const JobIndex ix : std::vector<JobIndex>(long_jobs_)) {
-    Job* job = registry_.job_at(ix);
+  for (const JobIndex index : std::vector<JobIndex>(long_jobs_)) {
+    Job* job = registry_.job_at(index);
     if (job && has_startable_task(*job))
       place_long(*job);
   }
+}
+
+void Scheduler::place_short_jobs(std::vector<Job*> short_jobs) {
   std::sort(short_jobs.begin(), short_jobs.end(),
             [this](const Job* a, const Job* b) { return precedes(*a, *b); });
   for (Job* job : short_jobs) {
     place_short(*job);
-    const auto missing = static_cast<std::uint32_t>(job->pending_tasks.size());
-    if (missing > 0 && reserved_[job->index] < missing)
-      reserve(*job, missing - reserved_[job->index]);
+    const auto pending = static_cast<std::uint32_t>(job->pending_tasks.size());
+    const std::uint32_t reserved = reservations_.reserved_tasks(job->index);
+    if (pending > 0 && reserved < pending)
+      reserve(*job, pending - reserved);
   }
-  if (second && !waiting_jobs_.empty())
-    reclaim_guarantees();
-  if (second)
-    update_waiting_load();
-  if (second && balancing_enabled_)
-    update_machine_speeds(), plan_migrations();
 }
 
 double Scheduler::estimated_run_time(const Job& job) const {
@@ -268,7 +303,7 @@
   return scheduling::zone_loss_impact(zone, registry_, workers_, out_.now());
 }
 
-// Of every job that waits, why.
+// Reports why jobs wait, once a second.
 void Scheduler::update_waiting_load() {
   load_.begin_waiting_update();
   for (const JobIndex ix : waiting_jobs_) {
--- a/src/scheduling/zone_loss.cpp
+++ b/src/scheduling/zone_loss.cpp
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-std::uint32_t tasks_within_zone_loss_bound(const Job& job, std::uint32_t wanted,
+std::uint32_t tasks_within_zone_loss_bound(const Job& job, std::uint32_t limit,
                                            const jobs::JobRegistry& registry,
                                            const workers::WorkerManager& workers, ports::Seconds now,
                                            ZoneIndex without) {
   if (!job.spec.spread_zones)
-    return wanted;
+    return limit;
   std::uint32_t allowed = 0;
   for (ZoneIndex zone{0}; zone < registry.zones.size(); ++zone) {
     if (zone == without || workers.zones().is_unreachable(zone, now))
@@ -29,7 +29,7 @@
     const std::uint32_t most = (job.spec.tasks + 1) / 2;
     allowed += most > placed ? most - placed : 0;
   }
-  return std::min(wanted, allowed);
+  return std::min(limit, allowed);
 }
 
 ZoneLossImpact zone_loss_impact(ZoneIndex zone, jobs::JobRegistry& registry, workers::WorkerManager& workers,
--- a/src/scheduling/zone_loss.hpp
+++ b/src/scheduling/zone_loss.hpp
@@ -19,9 +19,9 @@
 ZoneLossImpact zone_loss_impact(jobs::ZoneIndex zone, jobs::JobRegistry& registry,
                                 workers::WorkerManager& workers, ports::Seconds now);
 
-/// How many more of the job's tasks zones within reach may take, at most `wanted`. The zone `without` counts
+/// How many more of the job's tasks zones within reach may take, at most `limit`. The zone `without` counts
 /// as out of reach, with what it holds gone.
-std::uint32_t tasks_within_zone_loss_bound(const jobs::Job& job, std::uint32_t wanted,
+std::uint32_t tasks_within_zone_loss_bound(const jobs::Job& job, std::uint32_t limit,
                                            const jobs::JobRegistry& registry,
                                            const workers::WorkerManager& workers, ports::Seconds now,
                                            jobs::ZoneIndex without = jobs::kNoIndex);
