--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -6,42 +6,41 @@
 
 namespace wingtrail::autoscaling {
 namespace {
-constexpr double kBootOverrun = 2.5;  // times the catalog's boot time: then another machine is sought
-constexpr Seconds kCallTimeout = 4;
+constexpr double kBootOverrun = 2.5;   // times the catalog's boot time: then the machine no longer counts
 constexpr double kBootVaries = 1.5;    // PROTOCOL: 0.6 to 1.5 times the catalog's
 constexpr Seconds kLeastCharged = 60;  // PROTOCOL: a machine that is deleted costs at least that
-constexpr Seconds kStalled = 1;        // between two ticks: this process stood still
+constexpr Seconds kStall = 1;          // between two ticks: this process stood still
 }  // namespace
 
 Autoscaler::Autoscaler(ports::Outbox& out, const settings::Settings& settings, jobs::JobRegistry& registry,
-                       workers::WorkerManager& agents, scheduling::Scheduler& scheduler, LeadershipView link)
+                       workers::WorkerManager& workers, scheduling::Scheduler& scheduler,
+                       LeadershipView leadership)
     : out_(out),
       settings_(settings),
       registry_(registry),
-      workers_(agents),
+      workers_(workers),
       scheduler_(scheduler),
-      leadership_(std::move(link)) {
-  cloud_calls_.configure(settings.cloud_requests_per_s * 0.8);
-}
+      leadership_(std::move(leadership)),
+      catalog_(registry),
+      cloud_calls_(out, settings.cloud_requests_per_s),
+      rentals_(out, registry, workers, cloud_calls_, leadership_),
+      returns_(out, workers, cloud_calls_),
+      listing_(out, settings, workers, cloud_calls_, returns_) {}
 
 void Autoscaler::begin_leadership() {
   end_leadership();
   active_ = true;
-  next_list_at_ = 0;
-  next_scale_out_at_ = out_.now() + 1;
+  next_scaling_at_ = out_.now() + 1;
 }
 
 void Autoscaler::end_leadership() {
-  active_ = listing_ = returning_ = false;
-  ++term_;
-  rental_requests_.clear();
-  listings_.clear();
-  to_return_.clear();
-  refused_until_.clear();
+  active_ = false;
+  rentals_.clear();
+  returns_.clear();
+  listing_.clear();
   restricted_job_requested_at_.clear();
-  // What the last reckoning found names machines of a leadership that is over (seed 201: used after it was
-  // freed).
-  stock_.clear();
+  // These name machines of a leadership that is over, which may be freed.
+  capacity_.clear();
   draining_machines_.clear();
   faulty_machines_.clear();
   never_reported_.clear();
@@ -50,130 +49,46 @@
 }
 
 void Autoscaler::set_catalog(std::vector<wire::MachineType> catalog) {
-  catalog_ = std::move(catalog);
-  for (const auto& t : catalog_) {
-    const MachineTypeIndex ix = registry_.types.add(t.name);
-    if (type_by_index_.size() <= ix)
-      type_by_index_.resize(ix + 1);
-    type_by_index_[ix] = t;
-  }
-}
-
-bool Autoscaler::take_cloud_call(bool urgent) {
-  return cloud_calls_.try_take(out_.now(), 1, urgent ? 0.0 : 0.3);
+  catalog_.set(std::move(catalog));
 }
 
 void Autoscaler::tick() {
   if (!active_ || !leadership_.may_act())
     return;
-  // Calls given up by a process that stood still say nothing: their answers may lie in its sockets.
-  if (out_.now() > ticked_at_ + kStalled)
-    judge_after_ = out_.now() + 2 * kStalled;
+  // Calls that timed out while this process was stalled prove nothing: the answers may lie in its sockets.
+  if (out_.now() > ticked_at_ + kStall)
+    trust_silence_after_ = out_.now() + 2 * kStall;
   ticked_at_ = out_.now();
-  if (!listing_ && out_.now() >= next_list_at_ && take_cloud_call(false)) {
-    listing_ = true;
-    seen_in_list_.clear();
-    list_machines("");
-  }
-  watch_health();
-  if (out_.now() >= next_scale_out_at_ && !catalog_.empty()) {
-    next_scale_out_at_ = out_.now() + 1;
-    update_stock();
+  listing_.tick();
+  return_unhealthy();
+  if (out_.now() >= next_scaling_at_ && !catalog_.types().empty()) {
+    next_scaling_at_ = out_.now() + 1;
+    update_capacity();
     scale_out();
     scale_in();
   }
-  for (RentalRequest& h : rental_requests_) {
-    if (!h.in_flight && out_.now() >= h.retry_at)
-      send_rental_request(h);
-  }
-  if (!to_return_.empty())
-    send_returns();
-}
-
-void Autoscaler::list_machines(const std::string& after) {
-  ports::Call call;
-  call.target = ports::Target::cloud;
-  call.method = "GET";
-  call.path = wire::machine_list_path(after, 500);
-  call.timeout_s = kCallTimeout;
-  out_.call(std::move(call), [this, after, term = term_](const ports::Reply& r) {
-    if (term != term_)
-      return;
-    auto page = r.status == 200 ? wire::parse_machine_list(r.body)
-                                : wire::Result<wire::MachineList>::fail("status " + std::to_string(r.status));
-    if (!page) {
-      listing_ = false;
-      next_list_at_ = out_.now() + 1;
-      return;
-    }
-    on_list_page(*page, after);
-  });
-}
-
-void Autoscaler::on_list_page(const wire::MachineList& page, const std::string&) {
-  for (const wire::ListedMachine& l : page.machines) {
-    Machine* known = workers_.find(l.host);
-    const bool fresh = !known;
-    Machine& m = known ? *known : workers_.add_machine(l.host, l.address, l.type, l.zone, l.spot);
-    if (m.gone)
-      continue;
-    if (m.address.empty())
-      m.address = l.address;
-    if (fresh)
-      m.rented_at = out_.now() - l.age_s;
-    Listing& listing = listings_[m.index];
-    listing.listed = true;
-    listing.state = l.state;
-    seen_in_list_.insert(m.index);
-    if (l.state == wire::ListedMachine::State::failed) {
-      // It stopped on its own; deleting it only clears the list.
-      spdlog::warn("{}: failed", m.host);
-      workers_.mark_gone(m);
-      to_return_.insert(m.index);
+  rentals_.send();
+  returns_.send(leadership_.lease_expires_at);
+}
+
+// Machines that do not do their work are replaced; a return also ends whatever is on them, so their tasks can
+// be started elsewhere at once instead of when a lease has expired.
+void Autoscaler::return_unhealthy() {
+  // A machine of a zone out of reach continues unobserved, and a return would end what runs on it; one that
+  // is lost while its zone is in contact has nothing left to lose. Silence alone would return the machines of
+  // a zone that loses contact one after the other.
+  if (out_.now() >= trust_silence_after_ && !workers_.silent_machines().empty()) {
+    std::vector<MachineIndex> lost;
+    for (const MachineIndex index : workers_.silent_machines()) {
+      const Machine& machine = workers_.machine_at(index);
+      if (!machine.being_returned && (machine.unreachable || !machine.has_incarnation) &&
+          workers_.lost_alone(machine))
+        lost.push_back(index);
     }
+    returns_.schedule(lost, "silent");
   }
-  if (page.more && !page.machines.empty())
-    return list_machines(page.machines.back().host);
-  on_list_complete();
-}
-
-void Autoscaler::on_list_complete() {
-  listing_ = false;
-  next_list_at_ = out_.now() + std::max(1.0, settings_.cloud_list_lag_s / 2);
-  // Once listed, a machine stays listed until it is gone; but a list may be older than the one before it, so
-  // only a lasting absence counts.
-  for (auto& [ix, listing] : listings_) {
-    Machine& m = workers_.machine_at(ix);
-    if (m.gone || !listing.listed)
-      continue;
-    if (seen_in_list_.contains(ix)) {
-      listing.missing_since = 0;
-    } else if (listing.missing_since == 0) {
-      listing.missing_since = out_.now();
-    } else if (out_.now() - listing.missing_since > 2 * settings_.cloud_list_lag_s + 1 &&
-               workers_.silence_of(m) > settings_.heartbeat_interval_s * 1.5) {
-      spdlog::info("{}: no longer listed, gone", m.host);
-      workers_.mark_gone(m);
-    }
-  }
-  // A machine of the roster that neither reports nor was ever listed has been gone since before this
-  // leadership.
-  for (const MachineIndex ix : std::vector<MachineIndex>(workers_.live_machines())) {
-    Machine& m = workers_.machine_at(ix);
-    if (m.has_incarnation || listings_.contains(ix) || seen_in_list_.contains(ix))
-      continue;
-    if (out_.now() - m.first_seen_at > settings_.worker_lease_s + 3 * settings_.cloud_list_lag_s + 5)
-      workers_.mark_gone(m);
-  }
-}
-
-const wire::MachineType* Autoscaler::machine_type(MachineTypeIndex type) const {
-  return type < type_by_index_.size() && type_by_index_[type].cpus > 0 ? &type_by_index_[type] : nullptr;
-}
-
-double Autoscaler::price(const Pool& p) const {
-  const wire::MachineType* t = machine_type(p.type);
-  return t ? (p.spot ? t->spot_price : t->price) / t->cpus : 1e9;
+  returns_.schedule(std::exchange(faulty_machines_, {}), "faulty");
+  returns_.schedule(std::exchange(never_reported_, {}), "never came up");
 }
 
 // Whether the machine is, or will soon be, of use to new work.
@@ -182,20 +97,13 @@
     return false;
   if (m.has_incarnation)
     return true;
-  const wire::MachineType* t = machine_type(m.type);
+  const wire::MachineType* t = catalog_.type(m.type);
   return out_.now() - m.rented_at < kBootOverrun * (t ? t->boot_s : 60.0);
 }
 
-Seconds Autoscaler::typical_boot_s() const {
-  Seconds least = 600;
-  for (const auto& t : catalog_)
-    least = std::min(least, t.boot_s);
-  return least;
-}
-
-// The machines of a lost zone are kept until custody would be over, had any of the zone's controllers had it
-// to give, and then for as long as renting others would take and cost at most, boots that overrun included.
-// After that they are returned.
+// The machines of a lost zone stay rented until delegated lease renewal would be over, had any of the zone's
+// controllers been given it, and then for as long as renting others would take and cost at most, boots that
+// overrun included. After that they are returned.
 bool Autoscaler::zone_abandoned(ZoneIndex zone) const {
   const Seconds over = workers_.zones().last_contact_at(zone) +
                        (settings_.tunables.delegation_leases + 1) * settings_.worker_lease_s;
@@ -203,9 +111,9 @@
          out_.now() > over + std::max(kLeastCharged, kBootOverrun * typical_boot_s());
 }
 
-// The share of what runs in a zone out of reach that need not be made room for elsewhere: all of it, until
-// its leases end so soon that a machine rented now is up just then; then what may run nowhere else.
-double Autoscaler::retained_cores(ZoneIndex zone) {
+// The share of what runs in a zone out of reach that needs no capacity elsewhere: all of it, until its leases
+// expire so soon that a machine rented now is up just then; then what may run nowhere else.
+double Autoscaler::retained_share(ZoneIndex zone) {
   if (!settings_.tunables.zone_tracking || !zone_unreachable(zone) || workers_.zones().is_lost(zone) ||
       out_.now() + kBootVaries * typical_boot_s() < workers_.zone_leases_expire_at(zone))
     return 1;
@@ -214,53 +122,46 @@
 }
 
 // The one walk over the machines, once a second: what there is, and which of them need attention.
-void Autoscaler::update_stock() {
-  stock_.clear();
+void Autoscaler::update_capacity() {
   draining_machines_.clear();
   faulty_machines_.clear();
   never_reported_.clear();
-  largest_machine_cores_ = 0;
-  free_ordinary_cores_by_zone_.assign(registry_.zones.size(), 0);
-  std::vector<double> staying;
+  capacity_.begin_update(registry_.zones.size());
+  std::vector<double> retained;  // share by zone
   for (ZoneIndex zone{0}; zone < registry_.zones.size(); ++zone)
-    staying.push_back(retained_cores(zone));
-  for (const MachineIndex ix : workers_.live_machines()) {
-    const Machine& m = workers_.machine_at(ix);
-    if (counts_as_capacity(m)) {
-      PoolStock& stock = stock_[{m.type, m.zone, m.spot}];
-      // What runs in a zone out of reach goes on, but nothing more can be started there.
-      stock.cores += zone_unreachable(m.zone) ? m.used.cpus * staying[m.zone] : m.cpus / m.slowdown;
-      ++stock.machines;
-      if (!m.spot && !m.short_only && !zone_unreachable(m.zone))
-        free_ordinary_cores_by_zone_[m.zone] += m.cpus - m.used.cpus;
-      largest_machine_cores_ = std::max(largest_machine_cores_, m.cpus);
+    retained.push_back(retained_share(zone));
+  for (const MachineIndex index : workers_.live_machines()) {
+    const Machine& machine = workers_.machine_at(index);
+    if (counts_as_capacity(machine)) {
+      // What runs in a zone out of reach continues, but nothing more can be started there.
+      capacity_.add_machine({machine.type, machine.zone, machine.spot},
+                            zone_unreachable(machine.zone) ? machine.used.cpus * retained[machine.zone]
+                                                           : machine.cpus / machine.slowdown,
+                            machine.cpus);
+      if (!machine.spot && !machine.short_only && !zone_unreachable(machine.zone))
+        capacity_.add_free_ordinary(machine.zone, machine.cpus - machine.used.cpus);
     }
-    if (m.being_returned)
-      continue;
-    if (m.draining)
-      draining_machines_.push_back(ix);
-    if (m.health == workers::Health::unhealthy && m.has_incarnation && !m.busy())
-      faulty_machines_.push_back(ix);
-    // One that boots in a zone out of reach cannot say that it is up; that it did not is known later.
-    if (!m.has_incarnation && m.fenced && !counts_as_capacity(m) &&
-        (!zone_unreachable(m.zone) || zone_abandoned(m.zone)) &&
-        out_.now() > workers_.zones().returned_at(m.zone) + 2 * settings_.heartbeat_interval_s)
-      never_reported_.push_back(ix);
+    classify_machine(machine);
   }
-  for (const RentalRequest& h : rental_requests_) {
-    const wire::MachineType* t = machine_type(h.pool.type);
-    stock_[h.pool].cores += t ? t->cpus * h.count : 0;
-    stock_[h.pool].machines += h.count;
-    if (!h.pool.spot && t)
-      free_ordinary_cores_by_zone_[h.pool.zone] += t->cpus * h.count;
+  for (const RentalRequests::Request& request : rentals_.open()) {
+    const wire::MachineType* type = catalog_.type(request.pool.type);
+    capacity_.add_requested(request.pool, type ? type->cpus : 0, request.count);
   }
 }
 
-double Autoscaler::available_cores(bool spot) const {
-  double sum = 0;
-  for (const auto& [pool, stock] : stock_)
-    sum += pool.spot == spot ? stock.cores : 0;
-  return sum;
+// Lists the machine if it is being drained, is faulty or never came up.
+void Autoscaler::classify_machine(const Machine& machine) {
+  if (machine.being_returned)
+    return;
+  if (machine.draining)
+    draining_machines_.push_back(machine.index);
+  if (machine.health == workers::Health::unhealthy && machine.has_incarnation && !machine.busy())
+    faulty_machines_.push_back(machine.index);
+  // One that boots in a zone out of reach cannot report that it is up; that it did not is known later.
+  if (!machine.has_incarnation && machine.fenced && !counts_as_capacity(machine) &&
+      (!zone_unreachable(machine.zone) || zone_abandoned(machine.zone)) &&
+      out_.now() > workers_.zones().returned_at(machine.zone) + 2 * settings_.heartbeat_interval_s)
+    never_reported_.push_back(machine.index);
 }
 
 }  // namespace wingtrail::autoscaling
--- a/src/autoscaling/scale_in.cpp
+++ b/src/autoscaling/scale_in.cpp
@@ -1,4 +1,4 @@
-// A fleet that is too large: which machines are emptied, and moving what keeps them.
+// Scaling in: which machines are drained and returned, and migrating their replicas.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -8,84 +8,99 @@
 namespace wingtrail::autoscaling {
 
 // Returns what is not needed: idle machines, and after a while the emptiest ones, which are drained first.
-// Short tasks on a drained machine run to their end; replicas move to machines that have their image.
+// Short tasks on a draining machine run to their end; replicas migrate to machines that have their image.
 void Autoscaler::scale_in() {
-  // While a zone is lost or on its way back, what stands idle is what may be needed next.
+  // While a zone is lost or on its way back, what is idle may be needed next.
   if (workers_.zones().any_unstable(out_.now())) {
     excess_since_ = 0;
     return;
   }
-  const auto d = scheduler_.demand_forecast().demand(typical_boot_s());
-  const double ordinary = available_cores(false), spot = available_cores(true);
+  const auto demand = scheduler_.demand_forecast().demand(typical_boot_s());
+  const double ordinary = capacity_.cores(false), spot = capacity_.cores(true);
   const double headroom = settings_.tunables.headroom;
-  const double services = std::max(d.ordinary, smooth_ordinary_) * (1 + headroom / 2);
-  const double keep_ordinary = services + largest_machine_cores_ / 2;
-  const double keep_total = services + std::max(smooth_flexible_, d.flexible) * (1 + spare_cores());
-  double excess = ordinary + spot - keep_total, excess_ordinary = ordinary - keep_ordinary;
-  const Seconds now = out_.now();
-  // A move costs a replica a moment, so only some move at a time; but of a thousand more than of ten, or a
-  // fleet that has become too large stays so for an hour.
-  int moves = std::max(
-      1, static_cast<int>(settings_.tunables.replica_migration_rate * static_cast<double>(d.replicas)));
-  const int most_moving = 2 * moves;
-  int moving = 0;
-  for (const MachineIndex ix : draining_machines_) {
-    Machine& m = workers_.machine_at(ix);
-    if (m.gone || !m.draining || m.being_returned || zone_unreachable(m.zone))
-      continue;
-    if (!m.busy()) {
-      schedule_return({ix}, "drained");
-    } else if (excess < 0) {
-      m.draining = false;
-      workers_.mark_changed(m);
-      excess += m.cpus;
-    } else {
-      moving += replica_count(m);
-      while (moves > 0 && drain_one_replica(m))
-        --moves;
-    }
-  }
-  if (excess <= 0) {
+  const double services = std::max(demand.ordinary, smooth_ordinary_) * (1 + headroom / 2);
+  const double needed_ordinary = services + capacity_.largest_machine_cores() / 2;
+  const double needed_total = services + std::max(smooth_flexible_, demand.flexible) * (1 + spare_share());
+  Excess excess{ordinary + spot - needed_total, ordinary - needed_ordinary};
+  // A migration interrupts a replica for a moment, so only some migrate at a time; but of a thousand more
+  // than of ten, or a fleet that has become too large stays so for an hour.
+  ReplicaMigrations migrations;
+  migrations.allowed = std::max(
+      1, static_cast<int>(settings_.tunables.replica_migration_rate * static_cast<double>(demand.replicas)));
+  migrations.most_in_progress = 2 * migrations.allowed;
+  continue_draining(excess, migrations);
+  if (excess.total <= 0) {
     excess_since_ = 0;
     return;
   }
   if (excess_since_ == 0)
-    excess_since_ = now;
-  std::vector<Machine*> order;
-  for (const MachineIndex ix : workers_.live_machines()) {
-    Machine& m = workers_.machine_at(ix);
-    if (m.has_incarnation && counts_as_capacity(m) && !zone_unreachable(m.zone))
-      order.push_back(&m);
+    excess_since_ = out_.now();
+  remove_excess(excess, migrations);
+}
+
+// Returns drained machines; machines that are needed again stop draining.
+void Autoscaler::continue_draining(Excess& excess, ReplicaMigrations& migrations) {
+  for (const MachineIndex index : draining_machines_) {
+    Machine& machine = workers_.machine_at(index);
+    if (machine.gone || !machine.draining || machine.being_returned || zone_unreachable(machine.zone))
+      continue;
+    if (!machine.busy()) {
+      returns_.schedule({index}, "drained");
+    } else if (excess.total < 0) {
+      machine.draining = false;
+      workers_.mark_changed(machine);
+      excess.total += machine.cpus;
+    } else {
+      migrations.in_progress += replica_count(machine);
+      while (migrations.allowed > 0 && drain_one_replica(machine))
+        --migrations.allowed;
+    }
+  }
+}
+
+// Slow machines, then the others, by the share of their cores in use.
+std::vector<Machine*> Autoscaler::emptiest_first() {
+  std::vector<Machine*> machines;
+  for (const MachineIndex index : workers_.live_machines()) {
+    Machine& machine = workers_.machine_at(index);
+    if (machine.has_incarnation && counts_as_capacity(machine) && !zone_unreachable(machine.zone))
+      machines.push_back(&machine);
   }
-  std::stable_sort(order.begin(), order.end(), [](const Machine* a, const Machine* b) {
+  std::stable_sort(machines.begin(), machines.end(), [](const Machine* a, const Machine* b) {
     if ((a->slowdown > 1) != (b->slowdown > 1))
       return a->slowdown > 1;
     return a->used.cpus / std::max(1.0, a->cpus) < b->used.cpus / std::max(1.0, b->cpus);
   });
-  // A machine is worth keeping idle for as long as another one would boot for nothing.
+  return machines;
+}
+
+void Autoscaler::remove_excess(Excess excess, ReplicaMigrations migrations) {
+  const Seconds now = out_.now();
+  // Having an idle machine is worth as long as another one would boot without use.
   const Seconds patience = std::min(settings_.tunables.idle_return_s, typical_boot_s());
   const bool lasting = now - excess_since_ > settings_.tunables.idle_return_s;
-  for (Machine* m : order) {
-    if (m->cpus > excess || (!m->spot && m->cpus > excess_ordinary))
+  for (Machine* machine : emptiest_first()) {
+    if (machine->cpus > excess.total || (!machine->spot && machine->cpus > excess.ordinary))
       continue;
-    if (!m->busy()) {
-      if (m->idle_since == 0 || now - m->idle_since < patience)
+    if (!machine->busy()) {
+      if (machine->idle_since == 0 || now - machine->idle_since < patience)
         continue;
-      schedule_return({m->index}, "idle");
+      returns_.schedule({machine->index}, "idle");
     } else {
       if (!lasting)
         continue;
-      const int n = replica_count(*m);
-      if (n > 0 && moving > 0 && moving + n > most_moving)
+      const int replicas = replica_count(*machine);
+      if (replicas > 0 && migrations.in_progress > 0 &&
+          migrations.in_progress + replicas > migrations.most_in_progress)
         continue;
-      moving += n;
-      m->draining = true;
-      workers_.mark_changed(*m);
-      spdlog::info("draining {}", m->host);
+      migrations.in_progress += replicas;
+      machine->draining = true;
+      workers_.mark_changed(*machine);
+      spdlog::info("autoscaler: draining machine host={}", machine->host);
     }
-    excess -= m->cpus;
-    if (!m->spot)
-      excess_ordinary -= m->cpus;
+    excess.total -= machine->cpus;
+    if (!machine->spot)
+      excess.ordinary -= machine->cpus;
   }
 }
 
