--- a/src/balancing/decaying_rate.hpp
+++ b/src/balancing/decaying_rate.hpp
@@ -1,4 +1,5 @@
-// How much of something comes in a second, the recent counting more than what is long past.
+/// \file
+/// A rate of arrival in which recent arrivals weigh more than those long past.
 #pragma once
 
 #include <algorithm>
@@ -10,17 +11,20 @@
 
 using ports::Seconds;
 
+/// Exponentially weighted rate per second.
 class DecayingRate {
  public:
-  // `memory`: after this time a third of what came still counts, in seconds.
+  /// `memory`: the time constant in seconds; an arrival that old counts for about a third.
   explicit DecayingRate(Seconds memory) : memory_(memory) {}
+  /// `now` never decreases.
   void add(Seconds now, double amount) {
     if (began_at_ < 0)
       began_at_ = updated_at_ = now;
     sum_ = decayed_sum(now) + amount;
     updated_at_ = std::max(updated_at_, now);
   }
-  // Per second. What there was before the first came is not known, so a young rate is scaled by its age.
+  /// Per second. What arrived before the first call of `add` is unknown, so a young rate is scaled by its
+  /// age.
   double per_s(Seconds now) const {
     if (began_at_ < 0)
       return 0;
--- a/src/balancing/load_snapshot.cpp
+++ b/src/balancing/load_snapshot.cpp
@@ -11,10 +11,10 @@
   waiting_cores_by_reason_.clear();
 }
 
-LoadSnapshot::TeamLoad& LoadSnapshot::team(TeamIndex ix) {
-  if (teams_.size() <= ix)
-    teams_.resize(ix + 1);
-  return teams_[ix];
+LoadSnapshot::TeamLoad& LoadSnapshot::team(TeamIndex index) {
+  if (teams_.size() <= index)
+    teams_.resize(index + 1);
+  return teams_[index];
 }
 
 const LoadSnapshot::ClassLoad* LoadSnapshot::find(TeamIndex team, ClassIndex job_class) const {
@@ -29,10 +29,10 @@
     load.usual_arrivals.add(now, core_s);
     return;
   }
-  TeamLoad& t = team(job.team);
+  TeamLoad& team_load = team(job.team);
   const double cores = job.spec.tasks * job.spec.task_resources.cpus;
-  t.largest_service = std::max(t.largest_service, cores);
-  t.services.add(now, cores);
+  team_load.largest_service = std::max(team_load.largest_service, cores);
+  team_load.services.add(now, cores);
 }
 
 void LoadSnapshot::on_placed(const Job& job, ZoneIndex zone, int tasks) {
@@ -62,20 +62,20 @@
   }
 }
 
-void LoadSnapshot::add_waiting(const Job& job, std::string_view why, Seconds waited, bool late) {
+void LoadSnapshot::add_waiting(const Job& job, std::string_view reason, Seconds waited, bool late) {
   ClassLoad& load = loads_[{job.team, job.job_class}];
   const double cores = static_cast<double>(job.pending_tasks.size()) * job.spec.task_resources.cpus;
   load.cores_waiting += cores;
   load.oldest_wait = std::max(load.oldest_wait, waited);
   load.late_jobs += late;
-  waiting_cores_by_reason_[why] += cores;
+  waiting_cores_by_reason_[reason] += cores;
 }
 
 double LoadSnapshot::expected_service_cores(TeamIndex team, Seconds within, Seconds now) const {
   if (team >= teams_.size())
     return 0;
-  const TeamLoad& t = teams_[team];
-  return t.largest_service + t.services.per_s(now) * within;
+  const TeamLoad& team_load = teams_[team];
+  return team_load.largest_service + team_load.services.per_s(now) * within;
 }
 
 }  // namespace wingtrail::balancing
--- a/src/balancing/migrations.cpp
+++ b/src/balancing/migrations.cpp
@@ -15,33 +15,33 @@
 }
 
 void Migrations::clear() {
-  for (const Migration& m : migrations_)
-    on_finished(m, false);  // its task, if it lives, is found where it is
+  for (const Migration& migration : migrations_)
+    on_finished(migration, false);  // its task, if it still runs, is found where it is
   migrations_.clear();
   last_migration_at_.clear();
 }
 
-bool Migrations::may_begin(JobIndex job, std::uint32_t task, std::size_t at_once, Seconds now) const {
-  if (migrations_.size() >= at_once)
+bool Migrations::may_begin(JobIndex job, std::uint32_t task, std::size_t max_in_progress, Seconds now) const {
+  if (migrations_.size() >= max_in_progress)
     return false;
   const auto it = last_migration_at_.find(key(job, task));
   return it == last_migration_at_.end() || now - it->second > kRestBetweenMigrations;
 }
 
-void Migrations::begin(const Migration& move) {
-  Counts& c = counts_[static_cast<std::size_t>(move.cause)];
-  ++c.begun;
-  c.lost_work_s += move.lost_work_s;
-  last_migration_at_[key(move.job, move.task)] = move.began_at;
-  migrations_.push_back(move);
+void Migrations::begin(const Migration& migration) {
+  Counts& counts = counts_[static_cast<std::size_t>(migration.cause)];
+  ++counts.begun;
+  counts.lost_work_s += migration.lost_work_s;
+  last_migration_at_[key(migration.job, migration.task)] = migration.began_at;
+  migrations_.push_back(migration);
 }
 
 template <typename F>
-std::vector<Migration> Migrations::take(F wanted) {
-  const auto kept = std::stable_partition(migrations_.begin(), migrations_.end(),
-                                          [&](const Migration& m) { return !wanted(m); });
-  std::vector<Migration> taken(kept, migrations_.end());
-  migrations_.erase(kept, migrations_.end());
+std::vector<Migration> Migrations::take(F selected) {
+  const auto remaining = std::stable_partition(migrations_.begin(), migrations_.end(),
+                                          [&](const Migration& migration) { return !selected(migration); });
+  std::vector<Migration> taken(remaining, migrations_.end());
+  migrations_.erase(remaining, migrations_.end());
   return taken;
 }
 
@@ -52,9 +52,9 @@
   return taken.front();
 }
 
-void Migrations::on_finished(const Migration& move, bool started) {
-  Counts& c = counts_[static_cast<std::size_t>(move.cause)];
-  ++(started ? c.done : c.failed);
+void Migrations::on_finished(const Migration& migration, bool started) {
+  Counts& counts = counts_[static_cast<std::size_t>(migration.cause)];
+  ++(started ? counts.done : counts.failed);
 }
 
 std::vector<Migration> Migrations::take_expired(Seconds now) {
--- a/src/balancing/speed_estimator.cpp
+++ b/src/balancing/speed_estimator.cpp
@@ -6,18 +6,23 @@
 
 namespace wingtrail::balancing {
 namespace {
-constexpr std::array<double, 3> kFactors{2, 3, 5};  // what is looked for
-constexpr double kOneJob = 0.45;                    // of the verdict that one job's tasks can give at most
-constexpr std::size_t kJobs = 8;                    // remembered of a machine
-constexpr double kLearns = 0.002;
-constexpr double kLeast = 0.15, kMost = 0.6;  // standard deviations
+constexpr std::array<double, 3> kSlowdowns{2, 3, 5};  // the hypotheses
+constexpr double kMaxJobShare = 0.45;                 // of the alarm level, by one job's tasks
+constexpr std::size_t kMaxJobs = 8;                   // remembered of a machine
+constexpr double kSampleWeight = 0.002;               // of a run time in the standard deviation
+constexpr double kMinDeviation = 0.15, kMaxDeviation = 0.6;
+constexpr double kOutlierDeviations = 3;
+constexpr double kMaxLogLikelihood = 600;  // guards `exp` against overflow
 
-double alarm() {
+/// The logarithm of the likelihood ratio at which a machine counts as slow.
+double alarm_level() {
   return -std::log(SpeedEstimator::kFalseAlarmRate);
 }
-// The chance that a task takes longer than that many standard deviations above the usual.
-double beyond(double z) {
-  return std::max(1e-12, 0.5 * std::erfc(z / std::numbers::sqrt2));
+
+/// The probability of a run time more than that many standard deviations above the typical one.
+double tail_probability(double deviations) {
+  constexpr double kLeast = 1e-12;  // guards the logarithm
+  return std::max(kLeast, 0.5 * std::erfc(deviations / std::numbers::sqrt2));
 }
 }  // namespace
 
@@ -31,86 +36,92 @@
   return machines_[machine];
 }
 
-SpeedEstimator::JobEvidence& SpeedEstimator::evidence_by_job(MachineEvidence& of, JobIndex job) {
-  for (JobEvidence& s : of.by_job) {
-    if (s.job == job)
-      return s;
+SpeedEstimator::JobEvidence& SpeedEstimator::evidence_by_job(MachineEvidence& machine, JobIndex job) {
+  for (JobEvidence& evidence : machine.by_job) {
+    if (evidence.job == job)
+      return evidence;
   }
-  if (of.by_job.size() >= kJobs)
-    of.by_job.erase(of.by_job.begin());
-  return of.by_job.emplace_back(JobEvidence{job});
+  if (machine.by_job.size() >= kMaxJobs)
+    machine.by_job.erase(machine.by_job.begin());
+  return machine.by_job.emplace_back(JobEvidence{job});
 }
 
-SpeedEstimator::LogLikelihoods SpeedEstimator::total_evidence(const MachineEvidence& of) {
-  LogLikelihoods w{};
-  for (const JobEvidence& s : of.by_job) {
+SpeedEstimator::LogLikelihoods SpeedEstimator::total_evidence(const MachineEvidence& machine) {
+  LogLikelihoods total{};
+  for (const JobEvidence& evidence : machine.by_job) {
     for (std::size_t i = 0; i < kHypotheses; ++i)
-      w[i] += std::min(kOneJob * alarm(), s.ended[i] + s.running[i]);
+      total[i] += std::min(kMaxJobShare * alarm_level(), evidence.completed[i] + evidence.running[i]);
   }
-  return w;
+  return total;
 }
 
-// Of all that is supposed together, each as likely as the others beforehand.
-double SpeedEstimator::log_likelihood_ratio(const LogLikelihoods& w) {
+// Of all hypotheses together, each as likely as the others beforehand.
+double SpeedEstimator::log_likelihood_ratio(const LogLikelihoods& evidence) {
   double sum = 0;
-  for (const double x : w)
-    sum += std::exp(std::min(x, 600.0));
+  for (const double log_likelihood : evidence)
+    sum += std::exp(std::min(log_likelihood, kMaxLogLikelihood));
   return std::log(sum / kHypotheses);
 }
 
-void SpeedEstimator::on_task_completed(std::size_t machine, JobIndex job, double x, double unsure) {
-  MachineEvidence& o = evidence_of(machine);
-  const double variance = deviation_ * deviation_ + unsure * unsure;
-  // Slow machines must not teach what is usual, and neither must estimates.
-  if (!o.slow && unsure <= 0 && std::abs(x) < 3 * deviation_)
-    deviation_ = std::clamp(std::sqrt(variance + (x * x - variance) * kLearns), kLeast, kMost);
-  JobEvidence& said = evidence_by_job(o, job);
+void SpeedEstimator::on_task_completed(std::size_t machine, JobIndex job, double log_ratio,
+                                       double deviation) {
+  MachineEvidence& observed = evidence_of(machine);
+  const double variance = deviation_ * deviation_ + deviation * deviation;
+  // The usual deviation is taken from machines of normal speed and from comparisons that are no estimates.
+  if (!observed.slow && deviation <= 0 && std::abs(log_ratio) < kOutlierDeviations * deviation_) {
+    deviation_ = std::clamp(std::sqrt(variance + (log_ratio * log_ratio - variance) * kSampleWeight),
+                            kMinDeviation, kMaxDeviation);
+  }
+  JobEvidence& by_job = evidence_by_job(observed, job);
   for (std::size_t i = 0; i < kHypotheses; ++i) {
-    const double h = std::log(kFactors[i]);
-    said.ended[i] += h * (x - h / 2) / variance;
+    const double log_slowdown = std::log(kSlowdowns[i]);
+    by_job.completed[i] += log_slowdown * (log_ratio - log_slowdown / 2) / variance;
   }
-  LogLikelihoods w{};
-  for (const JobEvidence& s : o.by_job) {
+  LogLikelihoods total{};
+  for (const JobEvidence& evidence : observed.by_job) {
     for (std::size_t i = 0; i < kHypotheses; ++i)
-      w[i] += s.ended[i];
+      total[i] += evidence.completed[i];
   }
-  // Sound as far as can be told: the evidence begins afresh, or a long good record would hide what comes.
-  if (*std::max_element(w.begin(), w.end()) <= 0) {
-    for (JobEvidence& s : o.by_job)
-      s.ended = {};
-    o.slow = false;
+  // Normal speed is likelier: the evidence begins afresh, or a long good record would hide a later slowdown.
+  if (*std::max_element(total.begin(), total.end()) <= 0) {
+    for (JobEvidence& evidence : observed.by_job)
+      evidence.completed = {};
+    observed.slow = false;
   }
 }
 
 void SpeedEstimator::begin_running_update(std::size_t machine) {
-  for (JobEvidence& s : evidence_of(machine).by_job)
-    s.running = {};
+  for (JobEvidence& evidence : evidence_of(machine).by_job)
+    evidence.running = {};
 }
 
-void SpeedEstimator::add_running_task(std::size_t machine, JobIndex job, double x, double unsure) {
-  MachineEvidence& o = evidence_of(machine);
-  const double deviation = std::sqrt(deviation_ * deviation_ + unsure * unsure);
-  JobEvidence& said = evidence_by_job(o, job);
-  for (std::size_t i = 0; i < kHypotheses; ++i)
-    said.running[i] += std::log(beyond((x - std::log(kFactors[i])) / deviation) / beyond(x / deviation));
-  if (!o.slow && log_likelihood_ratio(total_evidence(o)) > alarm())
-    o.slow = true;
+void SpeedEstimator::add_running_task(std::size_t machine, JobIndex job, double log_ratio, double deviation) {
+  MachineEvidence& observed = evidence_of(machine);
+  const double total_deviation = std::sqrt(deviation_ * deviation_ + deviation * deviation);
+  JobEvidence& by_job = evidence_by_job(observed, job);
+  for (std::size_t i = 0; i < kHypotheses; ++i) {
+    by_job.running[i] += std::log(tail_probability((log_ratio - std::log(kSlowdowns[i])) / total_deviation) /
+                                  tail_probability(log_ratio / total_deviation));
+  }
+  if (!observed.slow && log_likelihood_ratio(total_evidence(observed)) > alarm_level())
+    observed.slow = true;
 }
 
 bool SpeedEstimator::is_slow(std::size_t machine) const {
   return machine < machines_.size() && machines_[machine].slow;
 }
 
+// The mean of the hypotheses, weighted by their likelihoods.
 double SpeedEstimator::slowdown(std::size_t machine) const {
   if (!is_slow(machine))
     return 1;
-  const LogLikelihoods w = total_evidence(machines_[machine]);
-  const double most = *std::max_element(w.begin(), w.end());
+  const LogLikelihoods evidence = total_evidence(machines_[machine]);
+  const double most = *std::max_element(evidence.begin(), evidence.end());
   double sum = 0, mean = 0;
   for (std::size_t i = 0; i < kHypotheses; ++i) {
-    const double weight = std::exp(w[i] - most);
+    const double weight = std::exp(evidence[i] - most);
     sum += weight;
-    mean += weight * kFactors[i];
+    mean += weight * kSlowdowns[i];
   }
   return mean / sum;
 }
--- a/tests/load_balancing_test.cpp
+++ b/tests/load_balancing_test.cpp
@@ -1,4 +1,5 @@
-// The load spread's parts against plain references, and the tests' own power.
+/// \file
+/// Tests of speed estimation, migrations and the load snapshot.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -13,63 +14,66 @@
 namespace wingtrail::balancing {
 namespace {
 
-// Arrays with run times that differ by a third go over a fleet in rounds; some machines run at a given speed.
-struct Verdicts {
-  std::size_t found = 0, blamed = 0;
-  double factor = 0;  // mean over those found
+// How machines were classified.
+struct Detection {
+  std::size_t slow_detected = 0;
+  std::size_t false_alarms = 0;
+  double slowdown = 0;  // sum over those detected, divided by the number of slow machines
 };
-Verdicts watch(std::uint64_t seed, double speed, double job_wide = 1) {
-  constexpr std::size_t kMachines = 400, kSlow = 20, kPerMachine = 8;
+
+// Jobs with run times that differ by a third run on a fleet; tasks on slow machines take `slow_factor` times
+// as long, and all tasks of every fifth job `job_factor` times.
+Detection simulate_fleet(std::uint64_t seed, double slow_factor, double job_factor = 1) {
+  constexpr std::size_t kMachines = 400, kSlowMachines = 20, kTasksPerMachine = 8;
   pcg32 rng(seed);
-  std::lognormal_distribution<double> runs(0, 0.3);
-  std::uniform_int_distribution<std::size_t> any(0, kMachines - 1);
+  std::lognormal_distribution<double> run_times(0, 0.3);
+  std::uniform_int_distribution<std::size_t> machines(0, kMachines - 1);
   SpeedEstimator speeds;
   std::vector<bool> alarmed(kMachines);
   for (jobs::JobIndex job{0}; job < 200; ++job) {
-    const double whole = job % 5 == 0 ? job_wide : 1;
+    const double factor = job % 5 == 0 ? job_factor : 1;
     double mean = 0;
-    int n = 0;
-    for (std::size_t task = 0; task < kMachines * kPerMachine / 32; ++task) {
-      const std::size_t m = any(rng);
-      const double took = runs(rng) * whole * (m < kSlow ? speed : 1);
-      if (n >= 5)
-        speeds.on_task_completed(m, job, std::log(took / mean));
-      mean = (mean * n + took) / (n + 1);
-      ++n;
-      speeds.begin_running_update(m);
-      speeds.add_running_task(m, job, std::log(0.7));
-      if (speeds.is_slow(m))
-        alarmed[m] = true;
+    int completed = 0;
+    for (std::size_t task = 0; task < kMachines * kTasksPerMachine / 32; ++task) {
+      const std::size_t machine = machines(rng);
+      const double run_s = run_times(rng) * factor * (machine < kSlowMachines ? slow_factor : 1);
+      if (completed >= 5)
+        speeds.on_task_completed(machine, job, std::log(run_s / mean));
+      mean = (mean * completed + run_s) / (completed + 1);
+      ++completed;
+      speeds.begin_running_update(machine);
+      speeds.add_running_task(machine, job, std::log(0.7));
+      if (speeds.is_slow(machine))
+        alarmed[machine] = true;
     }
   }
-  Verdicts v;
-  for (std::size_t m = 0; m < kMachines; ++m) {
-    if (!alarmed[m])
+  Detection detection;
+  for (std::size_t machine = 0; machine < kMachines; ++machine) {
+    if (!alarmed[machine])
       continue;
-    ++(m < kSlow ? v.found : v.blamed);
-    if (m < kSlow)
-      v.factor += speeds.slowdown(m) / kSlow;
+    ++(machine < kSlowMachines ? detection.slow_detected : detection.false_alarms);
+    if (machine < kSlowMachines)
+      detection.slowdown += speeds.slowdown(machine) / kSlowMachines;
   }
-  return v;
+  return detection;
 }
 
-// An earlier try at 1.6 times the expected time took sound machines for slow ones. The bound is 1e-6 for each
-// time that a machine is followed afresh; here some 20,000 tasks a seed.
-TEST(Speeds, SlowMachinesAreFoundAndSoundOnesNotBlamed) {
-  std::size_t found = 0;
+// The bound on false alarms is 1e-6 for each time that a machine's evidence begins afresh.
+TEST(SpeedEstimator, DetectsSlowMachinesWithoutFalseAlarms) {
+  std::size_t slow_detected = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    const Verdicts v = watch(seed, 2.5);
-    EXPECT_EQ(v.blamed, 0U) << seed;
-    found += v.found;
-    EXPECT_GT(v.factor, 1.7) << seed;
-    EXPECT_LT(v.factor, 4.0) << seed;
-    EXPECT_EQ(watch(seed, 1.0).blamed + watch(seed, 1.0).found, 0U) << seed;
+    const Detection detection = simulate_fleet(seed, 2.5);
+    EXPECT_EQ(detection.false_alarms, 0U) << seed;
+    slow_detected += detection.slow_detected;
+    EXPECT_GT(detection.slowdown, 1.7) << seed;
+    EXPECT_LT(detection.slowdown, 4.0) << seed;
+    EXPECT_EQ(simulate_fleet(seed, 1.0).false_alarms + simulate_fleet(seed, 1.0).slow_detected, 0U) << seed;
   }
-  EXPECT_GT(found, 19U * 20U);
+  EXPECT_GT(slow_detected, 19U * 20U);
 }
 
-// What one job does is the job's own matter, however clear.
-TEST(Speeds, OneJobAloneBlamesNoMachine) {
+// What is wrong with a job is wrong on all its machines, however clear the evidence.
+TEST(SpeedEstimator, OneJobAloneDoesNotMakeAMachineSlow) {
   SpeedEstimator speeds;
   for (int i = 0; i < 50; ++i)
     speeds.on_task_completed(7, jobs::JobIndex(1), std::log(4.0));
@@ -83,7 +87,7 @@
   speeds.begin_running_update(7);
   speeds.add_running_task(7, jobs::JobIndex(3), std::log(4.0));
   EXPECT_TRUE(speeds.is_slow(7));
-  // Sound again: enough tasks of other jobs take what they should.
+  // Normal speed again: enough tasks of other jobs take the typical time.
   for (jobs::JobIndex job{10}; job < 30; ++job) {
     for (int i = 0; i < 5; ++i)
       speeds.on_task_completed(7, job, 0);
@@ -91,46 +95,46 @@
   EXPECT_FALSE(speeds.is_slow(7));
 }
 
-TEST(Moves, StayWithinTheBudgetAndDoNotUndoEachOther) {
-  Migrations moves;
-  Migration m;
-  m.target = jobs::MachineIndex(4);
+TEST(Migrations, StayWithinTheLimitAndDoNotUndoEachOther) {
+  Migrations migrations;
+  Migration migration;
+  migration.target = jobs::MachineIndex(4);
   for (std::uint32_t task = 0; task < 3; ++task) {
-    m.task = task;
-    m.job = jobs::JobIndex(1);
-    m.began_at = 10;
-    ASSERT_TRUE(moves.may_begin(jobs::JobIndex(1), task, 3, 10));
-    moves.begin(m);
+    migration.task = task;
+    migration.job = jobs::JobIndex(1);
+    migration.began_at = 10;
+    ASSERT_TRUE(migrations.may_begin(jobs::JobIndex(1), task, 3, 10));
+    migrations.begin(migration);
   }
-  EXPECT_FALSE(moves.may_begin(jobs::JobIndex(1), 9, 3, 10)) << "budget";
-  ASSERT_TRUE(moves.on_task_gone(jobs::JobIndex(1), 0));
-  EXPECT_FALSE(moves.on_task_gone(jobs::JobIndex(1), 0)) << "over already";
-  EXPECT_FALSE(moves.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations / 2))
-      << "moved a moment ago";
-  EXPECT_TRUE(moves.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations));
-  EXPECT_EQ(moves.take_of_machine(jobs::MachineIndex(5)).size(), 0U);
-  EXPECT_EQ(moves.take_expired(10 + Migrations::kMigrationTimeout).size(), 0U);
-  EXPECT_EQ(moves.take_of_machine(jobs::MachineIndex(4)).size(), 2U);
-  EXPECT_EQ(moves.in_progress(), 0U);
-  EXPECT_EQ(moves.counts(MigrationCause::slow_machine).begun, 3U);
+  EXPECT_FALSE(migrations.may_begin(jobs::JobIndex(1), 9, 3, 10)) << "limit reached";
+  ASSERT_TRUE(migrations.on_task_gone(jobs::JobIndex(1), 0));
+  EXPECT_FALSE(migrations.on_task_gone(jobs::JobIndex(1), 0)) << "over already";
+  EXPECT_FALSE(migrations.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations / 2))
+      << "migrated a moment ago";
+  EXPECT_TRUE(migrations.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations));
+  EXPECT_EQ(migrations.take_of_machine(jobs::MachineIndex(5)).size(), 0U);
+  EXPECT_EQ(migrations.take_expired(10 + Migrations::kMigrationTimeout).size(), 0U);
+  EXPECT_EQ(migrations.take_of_machine(jobs::MachineIndex(4)).size(), 2U);
+  EXPECT_EQ(migrations.in_progress(), 0U);
+  EXPECT_EQ(migrations.counts(MigrationCause::slow_machine).begun, 3U);
 }
 
-// The sums that every event changes against a walk over everything there is.
-TEST(Picture, ShowsWhatAWalkWouldFind) {
+// Compares the sums that events update with sums over all jobs.
+TEST(LoadSnapshot, EqualsSumsOverAllJobs) {
   settings::Settings settings;
   settings.teams = {{"a", 10, 0, 0, 0}, {"b", 0, 0, 0, 0}};
   settings.zones = {"x", "y"};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 rng(seed);
     jobs::JobRegistry registry(settings);
-    LoadSnapshot picture;
+    LoadSnapshot snapshot;
     registry.on_placed = [&](const Job& job, jobs::ZoneIndex zone, int tasks) {
-      picture.on_placed(job, zone, tasks);
+      snapshot.on_placed(job, zone, tasks);
     };
     std::vector<Job*> all;
-    for (int j = 0; j < 12; ++j) {
+    for (std::uint32_t number = 0; number < 12; ++number) {
       wire::JobSpec spec;
-      spec.ref = wire::task_name("req", static_cast<std::uint32_t>(j));
+      spec.ref = wire::task_name("req", number);
       spec.team = std::string(1, rng(2) == 0 ? 'a' : 'b');
       spec.job_class = std::string(1, static_cast<char>('c' + rng(3)));
       spec.tasks = 1 + rng(20);
@@ -149,24 +153,25 @@
       }
       if (step % 100 != 0)
         continue;
-      std::map<LoadSnapshot::ClassKey, double> held;
-      std::vector<double> zones(2);
-      for (const Job* j : all) {
-        held[{j->team, j->job_class}] += j->placed_tasks * j->spec.task_resources.cpus;
-        for (std::size_t z = 0; z < j->placed_by_zone.size(); ++z)
-          zones[z] += j->placed_by_zone[z] * j->spec.task_resources.cpus;
+      std::map<LoadSnapshot::ClassKey, double> cores_in_use;
+      std::vector<double> cores_by_zone(2);
+      for (const Job* other : all) {
+        cores_in_use[{other->team, other->job_class}] +=
+            other->placed_tasks * other->spec.task_resources.cpus;
+        for (std::size_t z = 0; z < other->placed_by_zone.size(); ++z)
+          cores_by_zone[z] += other->placed_by_zone[z] * other->spec.task_resources.cpus;
       }
-      for (const auto& [key, cores] : held) {
-        const auto* load = picture.find(key.first, key.second);
+      for (const auto& [key, cores] : cores_in_use) {
+        const auto* load = snapshot.find(key.first, key.second);
         EXPECT_DOUBLE_EQ(load ? load->cores_in_use : 0, cores) << seed;
       }
-      for (std::size_t z = 0; z < picture.cores_by_zone().size(); ++z)
-        EXPECT_DOUBLE_EQ(picture.cores_by_zone()[z], zones[z]) << seed;
+      for (std::size_t z = 0; z < snapshot.cores_by_zone().size(); ++z)
+        EXPECT_DOUBLE_EQ(snapshot.cores_by_zone()[z], cores_by_zone[z]) << seed;
     }
   }
 }
 
-TEST(Picture, ASurgeIsSeenWithinSeconds) {
+TEST(LoadSnapshot, ShowsASurgeWithinSeconds) {
   settings::Settings settings;
   settings.teams = {{"a", 0, 0, 0, 0}};
   jobs::JobRegistry registry(settings);
@@ -175,13 +180,13 @@
   spec.team = std::string("a");
   spec.tasks = 1;
   const Job& job = registry.add(spec, 1, 0);
-  LoadSnapshot picture;
+  LoadSnapshot snapshot;
   for (int s = 0; s < 200; ++s)
-    picture.on_arrival(job, 100, s);
-  EXPECT_NEAR(picture.find(jobs::TeamIndex(0), jobs::ClassIndex(0))->surge(200), 1, 0.15);
+    snapshot.on_arrival(job, 100, s);
+  EXPECT_NEAR(snapshot.find(jobs::TeamIndex(0), jobs::ClassIndex(0))->surge(200), 1, 0.15);
   for (int s = 200; s < 210; ++s)
-    picture.on_arrival(job, 500, s);
-  EXPECT_GT(picture.find(jobs::TeamIndex(0), jobs::ClassIndex(0))->surge(210), 2);
+    snapshot.on_arrival(job, 500, s);
+  EXPECT_GT(snapshot.find(jobs::TeamIndex(0), jobs::ClassIndex(0))->surge(210), 2);
 }
 
 }  // namespace
