--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -92,13 +92,14 @@
 }
 
 // Whether the machine is, or will soon be, of use to new work.
-bool Autoscaler::counts_as_capacity(const Machine& m) const {
-  if (m.gone || m.being_returned || m.draining || m.health == workers::Health::unhealthy || m.preemption_at)
+bool Autoscaler::counts_as_capacity(const Machine& machine) const {
+  if (machine.gone || machine.being_returned || machine.draining ||
+      machine.health == workers::Health::unhealthy || machine.preemption_at)
     return false;
-  if (m.has_incarnation)
+  if (machine.has_incarnation)
     return true;
-  const wire::MachineType* t = catalog_.type(m.type);
-  return out_.now() - m.rented_at < kBootOverrun * (t ? t->boot_s : 60.0);
+  const wire::MachineType* t = catalog_.type(machine.type);
+  return out_.now() - machine.rented_at < kBootOverrun * (t ? t->boot_s : 60.0);
 }
 
 // The machines of a lost zone stay rented until delegated lease renewal would be over, had any of the zone's
--- a/src/autoscaling/scale_in.cpp
+++ b/src/autoscaling/scale_in.cpp
@@ -105,28 +105,28 @@
 }
 
 // Replicas on the machine, and tasks that may be some.
-int Autoscaler::replica_count(const Machine& m) {
-  return static_cast<int>(
-      std::count_if(m.allocations.begin(), m.allocations.end(), [this](const workers::Allocation& s) {
-        const jobs::Job* job = registry_.job_at(s.job);
-        return s.occupies_machine && (!job || job->is_service());
-      }));
+int Autoscaler::replica_count(const Machine& machine) {
+  return static_cast<int>(std::count_if(machine.allocations.begin(), machine.allocations.end(),
+                                        [this](const workers::Allocation& s) {
+                                          const jobs::Job* job = registry_.job_at(s.job);
+                                          return s.occupies_machine && (!job || job->is_service());
+                                        }));
 }
 
 // Stops one replica on a machine being drained if another machine could take it over without a fetch.
-bool Autoscaler::drain_one_replica(Machine& m) {
-  for (workers::Allocation& s : m.allocations) {
+bool Autoscaler::drain_one_replica(Machine& machine) {
+  for (workers::Allocation& s : machine.allocations) {
     const jobs::Job* job = registry_.job_at(s.job);
     if (!job || !job->is_service() || s.phase != workers::Allocation::Phase::running || s.stop_requested)
       continue;
     if (scheduler_.balancing_enabled()) {
-      if (scheduler_.migrate(m, s, balancing::MigrationCause::draining))
+      if (scheduler_.migrate(machine, s, balancing::MigrationCause::draining))
         return true;
       continue;
     }
-    if (!scheduler_.can_migrate(*job, m))
+    if (!scheduler_.can_migrate(*job, machine))
       continue;
-    workers_.stop_task(m, s, 0);
+    workers_.stop_task(machine, s, 0);
     return true;
   }
   return false;
--- a/src/autoscaling/scale_out.cpp
+++ b/src/autoscaling/scale_out.cpp
@@ -31,8 +31,9 @@
   double cores = 0;
   for (const bool spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(spot)) {
-      for (const Pool& p : tier)
-        cores += rentals_.recently_refused(p) ? 0 : kMaxMachinesPerRequest * catalog_.type(p.type)->cpus;
+      for (const Pool& pool : tier)
+        cores +=
+            rentals_.recently_refused(pool) ? 0 : kMaxMachinesPerRequest * catalog_.type(pool.type)->cpus;
     }
   }
   return cores;
@@ -42,9 +43,9 @@
 double Autoscaler::request_cores(bool spot, double missing, const char* reason, ZoneIndex zone) {
   for (const auto& tier : catalog_.price_tiers(spot)) {
     std::vector<Pool> open;
-    for (const Pool& p : tier) {
-      if (!rentals_.recently_refused(p) && (zone == jobs::kNoIndex || zone == p.zone))
-        open.push_back(p);
+    for (const Pool& pool : tier) {
+      if (!rentals_.recently_refused(pool) && (zone == jobs::kNoIndex || zone == pool.zone))
+        open.push_back(pool);
     }
     // Spreading over zones limits what a zone can take away: the one with the fewest cores comes first.
     const auto zone_cores = [this](const Pool& pool) {
@@ -107,12 +108,12 @@
   missing = needed_total - ordinary - spot;
   // Draining machines are used again before others are rented.
   for (const MachineIndex index : draining_machines_) {
-    Machine& m = workers_.machine_at(index);
-    if (missing <= 0 || m.gone || m.being_returned || !m.draining)
+    Machine& machine = workers_.machine_at(index);
+    if (missing <= 0 || machine.gone || machine.being_returned || !machine.draining)
       continue;
-    m.draining = false;
-    workers_.mark_changed(m);
-    missing -= m.cpus;
+    machine.draining = false;
+    workers_.mark_changed(machine);
+    missing -= machine.cpus;
   }
   if (missing > 0) {
     const double left = request_cores(true, missing, "load");
@@ -121,8 +122,8 @@
   }
   if (settings_.tunables.zone_tracking)
     scale_out_restricted_jobs();
-  for (const JobIndex ix : scheduler_.waiting_jobs()) {
-    if (const jobs::Job* job = registry_.job_at(ix))
+  for (const JobIndex index : scheduler_.waiting_jobs()) {
+    if (const jobs::Job* job = registry_.job_at(index))
       scale_out_for_job(*job);
   }
 }
@@ -131,8 +132,8 @@
 // capacity elsewhere does not help them, however much there is (LostZone.WithTheLeaderInside).
 void Autoscaler::scale_out_restricted_jobs() {
   std::vector<double> needed_cores(registry_.zones.size(), 0);
-  for (const JobIndex ix : scheduler_.waiting_jobs()) {
-    const jobs::Job* job = registry_.job_at(ix);
+  for (const JobIndex index : scheduler_.waiting_jobs()) {
+    const jobs::Job* job = registry_.job_at(index);
     if (!job || !job->is_open() || job->is_held() || !job->is_service() || !job->spec.spread_zones ||
         job->spec.allows_spot || job->pending_tasks.empty() || out_.now() - job->eligible_since < 1 ||
         !scheduler_.filters().admits(*job))
@@ -196,14 +197,15 @@
   }
   for (const bool as_spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(as_spot)) {
-      for (const Pool& p : tier) {
-        const double each = tasks_per_machine(catalog_.type(p.type), job);
-        if (rentals_.recently_refused(p) || each < 1 ||
-            !filters::placement_allowed(job, p.type, p.zone, p.spot))
+      for (const Pool& pool : tier) {
+        const double each = tasks_per_machine(catalog_.type(pool.type), job);
+        if (rentals_.recently_refused(pool) || each < 1 ||
+            !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
           continue;
-        const double lacking = needed - present(together ? std::optional<ZoneIndex>(p.zone) : std::nullopt);
+        const double lacking =
+            needed - present(together ? std::optional<ZoneIndex>(pool.zone) : std::nullopt);
         return request_machines(
-            p, std::clamp(static_cast<int>(std::ceil(lacking / each)), 1, kMaxMachinesPerRequest),
+            pool, std::clamp(static_cast<int>(std::ceil(lacking / each)), 1, kMaxMachinesPerRequest),
             "a job that fits no other machine");
       }
     }
@@ -214,16 +216,18 @@
 bool Autoscaler::request_for_job(const jobs::Job& job, double tasks) {
   for (const bool as_spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(as_spot)) {
-      for (const Pool& p : tier) {
-        const wire::MachineType* t = catalog_.type(p.type);
-        if (rentals_.recently_refused(p) || !t || !filters::placement_allowed(job, p.type, p.zone, p.spot))
+      for (const Pool& pool : tier) {
+        const wire::MachineType* t = catalog_.type(pool.type);
+        if (rentals_.recently_refused(pool) || !t ||
+            !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
           continue;
         const wire::Resources& n = job.spec.task_resources;
         if (n.cpus > t->cpus || n.gpus > t->gpus || n.memory_gb > t->memory_gb)
           continue;
         const double each = std::max(1.0, std::floor(std::min(t->cpus / std::max(n.cpus, 1e-9),
                                                               t->memory_gb / std::max(n.memory_gb, 1e-9))));
-        request_machines(p, std::clamp(static_cast<int>(std::ceil(tasks / each)), 1, kMaxMachinesPerRequest),
+        request_machines(pool,
+                         std::clamp(static_cast<int>(std::ceil(tasks / each)), 1, kMaxMachinesPerRequest),
                          "a job that few machines may run");
         return true;
       }
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -22,25 +22,25 @@
   return !job.pending_tasks.empty() && filters_.admits(job);
 }
 
-bool Scheduler::can_start_on(const Machine& m, const Job& job, bool ignore_capacity) const {
-  if (!has_startable_task(job) || !workers_.accepts_tasks(m) ||
-      !filters::placement_allowed(job, m.type, m.zone, m.spot))
+bool Scheduler::can_start_on(const Machine& machine, const Job& job, bool ignore_capacity) const {
+  if (!has_startable_task(job) || !workers_.accepts_tasks(machine) ||
+      !filters::placement_allowed(job, machine.type, machine.zone, machine.spot))
     return false;
-  if (!ignore_capacity && !m.fits(job.spec.task_resources))
+  if (!ignore_capacity && !machine.fits(job.spec.task_resources))
     return false;
-  if (m.short_only && is_long(job))
+  if (machine.short_only && is_long(job))
     return false;
-  return fast_enough(m, job) && filters_.admits(m, job);
+  return fast_enough(machine, job) && filters_.admits(machine, job);
 }
 
 // A slow machine takes what can be in time there all the same, and what cannot be in time anywhere.
-bool Scheduler::fast_enough(const Machine& m, const Job& job) const {
-  if (m.slowdown <= 1 || job.is_service())
+bool Scheduler::fast_enough(const Machine& machine, const Job& job) const {
+  if (machine.slowdown <= 1 || job.is_service())
     return true;
   // Past its deadline anywhere: a gang tied to a type and a zone whose only machine is slow would wait for
   // ever.
   const Seconds deadline = objectives_.next_deadline(job, 0), run = estimated_run_time(job);
-  return out_.now() + run * m.slowdown <= deadline || out_.now() + run > deadline;
+  return out_.now() + run * machine.slowdown <= deadline || out_.now() + run > deadline;
 }
 
 // A job submitted with a mistake is tried again now and then, but nothing is preempted for it: such jobs,
--- a/src/scheduling/migration.cpp
+++ b/src/scheduling/migration.cpp
@@ -21,27 +21,27 @@
   constexpr double kMinRunShare = 0.7;  // of the typical run time: what has run for less proves nothing
   const Seconds now = out_.now();
   slow_machines_ = 0;
-  for (const MachineIndex ix : workers_.live_machines()) {
-    Machine& m = workers_.machine_at(ix);
-    speeds_.begin_running_update(ix);
-    for (const Allocation& s : m.allocations) {
+  for (const MachineIndex index : workers_.live_machines()) {
+    Machine& machine = workers_.machine_at(index);
+    speeds_.begin_running_update(index);
+    for (const Allocation& s : machine.allocations) {
       const Job* job = registry_.job_at(s.job);
       if (!job || job->is_service() || s.adopted || s.phase != Allocation::Phase::running ||
           s.running_since <= 0)
         continue;
       const auto mean = typical_run_time(*job);
       // A task on a machine without heartbeats may have ended unobserved.
-      if (mean && workers_.silence_of(m) < settings_.heartbeat_interval_s &&
+      if (mean && workers_.silence_of(machine) < settings_.heartbeat_interval_s &&
           now - s.running_since > kMinRunShare * mean->run_s)
-        speeds_.add_running_task(ix, s.job, std::log((now - s.running_since) / mean->run_s),
+        speeds_.add_running_task(index, s.job, std::log((now - s.running_since) / mean->run_s),
                                  mean->log_deviation);
     }
-    const double factor = speeds_.slowdown(ix);
-    if (factor > 1 && m.slowdown <= 1)
-      spdlog::info("scheduler: slow machine detected host={} slowdown={:.1f}", m.host, factor);
-    if (factor <= 1 && m.slowdown > 1)
-      spdlog::info("scheduler: slow machine recovered host={}", m.host);
-    m.slowdown = factor;
+    const double factor = speeds_.slowdown(index);
+    if (factor > 1 && machine.slowdown <= 1)
+      spdlog::info("scheduler: slow machine detected host={} slowdown={:.1f}", machine.host, factor);
+    if (factor <= 1 && machine.slowdown > 1)
+      spdlog::info("scheduler: slow machine recovered host={}", machine.host);
+    machine.slowdown = factor;
     slow_machines_ += factor > 1;
   }
 }
@@ -49,25 +49,26 @@
 // A machine of normal speed that one of the job's tasks fits on, preferably one that has its image.
 Machine* Scheduler::migration_target(const Job& job, const Machine& from) {
   for (const bool cached : {true, false}) {
-    for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-      if ((p.short_only && is_long(job)) || !filters::placement_allowed(job, p.type, p.zone, p.spot))
+    for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+      if ((pool.short_only && is_long(job)) ||
+          !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
         continue;
-      if (!zone_allows_migration(p.zone, job, from))
+      if (!zone_allows_migration(pool.zone, job, from))
         continue;
-      if (job.spec.same_zone && p.zone != from.zone)
+      if (job.spec.same_zone && pool.zone != from.zone)
         continue;
-      const PlacementIndex::Group* group = cached ? p.group_with_image(job.image) : &p.all_machines;
+      const PlacementIndex::Group* group = cached ? pool.group_with_image(job.image) : &pool.all_machines;
       if (!group)
         continue;
       auto it = group->by_free_cores.lower_bound({job.spec.task_resources.cpus - kEps, MachineIndex(0)});
       for (int n = 0; it != group->by_free_cores.end() && n < settings_.tunables.steal_sample; ++it, ++n) {
-        Machine& m = workers_.machine_at(it->second);
+        Machine& machine = workers_.machine_at(it->second);
         ++machines_examined_;
-        const bool failed = std::find(job.failed_machines.begin(), job.failed_machines.end(), m.index) !=
-                            job.failed_machines.end();
-        if (m.index != from.index && m.slowdown <= 1 && !failed && workers_.accepts_tasks(m) &&
-            m.fits(job.spec.task_resources))
-          return &m;
+        const bool failed = std::find(job.failed_machines.begin(), job.failed_machines.end(),
+                                      machine.index) != job.failed_machines.end();
+        if (machine.index != from.index && machine.slowdown <= 1 && !failed &&
+            workers_.accepts_tasks(machine) && machine.fits(job.spec.task_resources))
+          return &machine;
       }
     }
     if (job.is_service())
@@ -141,20 +142,21 @@
   }
   constexpr Seconds kCommandDelay = 2;
   constexpr double kMinGain = 0.25;  // of the run time
-  for (const MachineIndex ix : workers_.live_machines()) {
-    Machine& m = workers_.machine_at(ix);
-    if (m.slowdown <= 1 || m.unreachable || workers_.silence_of(m) > settings_.heartbeat_interval_s)
+  for (const MachineIndex index : workers_.live_machines()) {
+    Machine& machine = workers_.machine_at(index);
+    if (machine.slowdown <= 1 || machine.unreachable ||
+        workers_.silence_of(machine) > settings_.heartbeat_interval_s)
       continue;
-    for (Allocation& s : m.allocations) {
+    for (Allocation& s : machine.allocations) {
       const Job* job = registry_.job_at(s.job);
       if (!job || job->is_service() || s.running_since <= 0 || !s.occupies_machine || s.stop_requested)
         continue;
       const auto typical = typical_run_time(*job);
       const double run = typical ? typical->run_s : estimated_run_time(*job);
-      const Seconds fetch = fetch_s(m.type, *job);
-      const Seconds left = run * m.slowdown - (out_.now() - s.running_since);
+      const Seconds fetch = fetch_s(machine.type, *job);
+      const Seconds left = run * machine.slowdown - (out_.now() - s.running_since);
       if (left > run * (1 + kMinGain) + fetch + kCommandDelay)
-        migrate(m, s, balancing::MigrationCause::slow_machine);
+        migrate(machine, s, balancing::MigrationCause::slow_machine);
     }
   }
 }
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -18,38 +18,38 @@
 // The image fetch, and what is queued ahead of it. Between
 // machines that could begin equally soon, the fuller one is taken, so that others become empty and can be
 // returned.
-double Scheduler::start_delay_s(const Machine& m, const Job& job) const {
+double Scheduler::start_delay_s(const Machine& machine, const Job& job) const {
   constexpr double kSharedFetch = 0.5;        // the job's image is being fetched already
   constexpr Seconds kSameServicePenalty = 2;  // for each replica of the service on the machine
   constexpr Seconds kEmptyPenalty = 0.2;      // of an empty machine against a full one
   double delay_s = 0;
   double same_job = 0;
   bool fetching = false;
-  for (const Allocation& allocation : m.allocations) {
+  for (const Allocation& allocation : machine.allocations) {
     if (allocation.job != job.index || !allocation.occupies_machine)
       continue;
     ++same_job;
     fetching |= allocation.phase == Allocation::Phase::fetching;
   }
-  if (!m.has_image(job.image)) {
-    delay_s += fetch_s(m.type, job);
+  if (!machine.has_image(job.image)) {
+    delay_s += fetch_s(machine.type, job);
     if (fetching)
       delay_s *= kSharedFetch;
   }
   if (job.is_service())
     delay_s += same_job * kSameServicePenalty;
-  delay_s *= std::max(1.0, m.observed_slowdown);
-  if (m.spot)
-    delay_s += spot_risk_s(m, job);
-  return delay_s + kEmptyPenalty * (1 - m.used.cpus / std::max(m.cpus, 1.0));
+  delay_s *= std::max(1.0, machine.observed_slowdown);
+  if (machine.spot)
+    delay_s += spot_risk_s(machine, job);
+  return delay_s + kEmptyPenalty * (1 - machine.used.cpus / std::max(machine.cpus, 1.0));
 }
 
 // Seconds that spot preemption is expected to cost an array: one machine taken means that the array waits for
 // a task's whole run once more, and it is on as many machines as its tasks fill.
-double Scheduler::spot_risk_s(const Machine& m, const Job& job) const {
+double Scheduler::spot_risk_s(const Machine& machine, const Job& job) const {
   const double run = estimated_run_time(job);
-  const double machines =
-      std::max(1.0, (job.spec.tasks - job.done_tasks) * job.spec.task_resources.cpus / std::max(m.cpus, 1.0));
+  const double machines = std::max(
+      1.0, (job.spec.tasks - job.done_tasks) * job.spec.task_resources.cpus / std::max(machine.cpus, 1.0));
   return run * (1 - std::exp(-workers_.spot_preemption_rate() * run * machines));
 }
 
@@ -60,28 +60,29 @@
   auto examine = [&](const PlacementIndex::Group& group) {
     auto it = group.by_free_cores.lower_bound({job.spec.task_resources.cpus - kEps, MachineIndex(0)});
     for (int n = 0; it != group.by_free_cores.end() && n < settings_.tunables.steal_sample; ++it) {
-      Machine& m = workers_.machine_at(it->second);
+      Machine& machine = workers_.machine_at(it->second);
       ++machines_examined_;
       ++n;
-      if (!can_start_on(m, job))
+      if (!can_start_on(machine, job))
         continue;
-      const double wait = start_delay_s(m, job);
+      const double wait = start_delay_s(machine, job);
       if (!best || wait < best_wait) {
-        best = &m;
+        best = &machine;
         best_wait = wait;
       }
     }
   };
   for (const bool cached : {true, false}) {
-    for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-      if ((p.short_only && is_long_job) || !filters::placement_allowed(job, p.type, p.zone, p.spot) ||
-          !filters_.zones().admits_zone(p.zone, job))
+    for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+      if ((pool.short_only && is_long_job) ||
+          !filters::placement_allowed(job, pool.type, pool.zone, pool.spot) ||
+          !filters_.zones().admits_zone(pool.zone, job))
         continue;
-      const PlacementIndex::Group* with = p.group_with_image(job.image);
+      const PlacementIndex::Group* with = pool.group_with_image(job.image);
       if (cached && with)
         examine(*with);
       if (!cached)
-        examine(p.all_machines);
+        examine(pool.all_machines);
     }
     // Nothing is won by a fetch unless all that have the image are a worse choice for another reason.
     constexpr double kGoodEnough = 1.0;
@@ -94,17 +95,17 @@
 // The cost, in seconds, of placing the service's next task on this machine. Its image should be where
 // later replicas can start at once: beside work that can be preempted. A machine full of services has no such
 // capacity, however many images it holds, and takes more of them with it when it is lost.
-double Scheduler::crowding(const Machine& m, const Job& job) const {
+double Scheduler::crowding(const Machine& machine, const Job& job) const {
   constexpr Seconds kFullCost = 4;  // of a machine full of services, against one without any
   double service_cores = 0;
-  for (const Allocation& allocation : m.allocations) {
+  for (const Allocation& allocation : machine.allocations) {
     const Job* other = registry_.job_at(allocation.job);
     if (allocation.occupies_machine && other && other->is_service())
       service_cores += allocation.resources.cpus;
   }
-  double cost = kFullCost * service_cores / std::max(m.cpus, 1.0) + start_delay_s(m, job);
+  double cost = kFullCost * service_cores / std::max(machine.cpus, 1.0) + start_delay_s(machine, job);
   // A fetch that ends within the start objective costs nothing.
-  const Seconds fetch = m.has_image(job.image) ? 0 : fetch_s(m.type, job);
+  const Seconds fetch = machine.has_image(job.image) ? 0 : fetch_s(machine.type, job);
   if (fetch > 0 && objectives_.starts_in_time_after_fetch(job, fetch))
     cost -= fetch;
   return cost;
@@ -116,21 +117,21 @@
   Machine* best = nullptr;
   double best_cost = 0;
   const auto examine = [&](MachineIndex index) {
-    Machine& m = workers_.machine_at(index);
+    Machine& machine = workers_.machine_at(index);
     ++machines_examined_;
-    if (!can_start_on(m, job))
+    if (!can_start_on(machine, job))
       return;
-    const double cost = crowding(m, job);
+    const double cost = crowding(machine, job);
     if (!best || cost < best_cost) {
-      best = &m;
+      best = &machine;
       best_cost = cost;
     }
   };
-  for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-    if (p.short_only || !filters::placement_allowed(job, p.type, p.zone, p.spot) ||
-        !filters_.zones().admits_zone(p.zone, job))
+  for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+    if (pool.short_only || !filters::placement_allowed(job, pool.type, pool.zone, pool.spot) ||
+        !filters_.zones().admits_zone(pool.zone, job))
       continue;
-    for (const PlacementIndex::Group* group : {p.group_with_image(job.image), &p.all_machines}) {
+    for (const PlacementIndex::Group* group : {pool.group_with_image(job.image), &pool.all_machines}) {
       if (!group)
         continue;
       auto it = group->by_free_cores.rbegin();
@@ -151,8 +152,8 @@
   if (job.is_gang() && (job.placed_tasks > 0 || !gang_fits(job)))
     return;
   while (has_startable_task(job)) {
-    Machine* m = spread_out ? least_crowded(job) : least_waiting(job);
-    if (!m) {
+    Machine* machine = spread_out ? least_crowded(job) : least_waiting(job);
+    if (!machine) {
       if (!preempt_for_job(job, {}))
         return;
       continue;
@@ -160,12 +161,12 @@
     // A service need not wait for a fetch if a task of lower priority runs on a machine that has the image,
     // and has not run for longer than the fetch takes, which is the work thrown away.
     constexpr double kFetchWorthPreempting = 1.0;  // seconds
-    const double wait = start_delay_s(*m, job);
+    const double wait = start_delay_s(*machine, job);
     const bool worth_preempting =
         wait > kFetchWorthPreempting && !(spread_out && objectives_.starts_in_time_after_fetch(job, wait));
     if (job.is_service() && worth_preempting && preempt_for_job(job, wait))
       continue;
-    start_task(*m, job);
+    start_task(*machine, job);
   }
 }
 
@@ -175,25 +176,25 @@
   if (!filters_.quota().admits_tasks(job, pending))
     return false;
   std::unordered_map<ZoneIndex, double> tasks_by_zone;  // under zone 0 if the zone does not matter
-  for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-    if (p.short_only || !filters::placement_allowed(job, p.type, p.zone, p.spot))
+  for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+    if (pool.short_only || !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
       continue;
-    double& found = tasks_by_zone[job.spec.same_zone ? p.zone : ZoneIndex(0)];
-    for (auto it =
-             p.all_machines.by_free_cores.lower_bound({job.spec.task_resources.cpus - kEps, MachineIndex(0)});
-         it != p.all_machines.by_free_cores.end() && found < pending; ++it) {
-      const Machine& m = workers_.machine_at(it->second);
+    double& found = tasks_by_zone[job.spec.same_zone ? pool.zone : ZoneIndex(0)];
+    for (auto it = pool.all_machines.by_free_cores.lower_bound(
+             {job.spec.task_resources.cpus - kEps, MachineIndex(0)});
+         it != pool.all_machines.by_free_cores.end() && found < pending; ++it) {
+      const Machine& machine = workers_.machine_at(it->second);
       ++machines_examined_;
-      if (!can_start_on(m, job))
+      if (!can_start_on(machine, job))
         continue;
       double fitting = pending;
       auto bound = [&fitting](double free, double need) {
         if (need > 0)
           fitting = std::min(fitting, std::floor((free + kEps) / need));
       };
-      bound(m.cpus - m.used.cpus, job.spec.task_resources.cpus);
-      bound(m.gpus - m.used.gpus, job.spec.task_resources.gpus);
-      bound(m.memory_gb - m.used.memory_gb, job.spec.task_resources.memory_gb);
+      bound(machine.cpus - machine.used.cpus, job.spec.task_resources.cpus);
+      bound(machine.gpus - machine.used.gpus, job.spec.task_resources.gpus);
+      bound(machine.memory_gb - machine.used.memory_gb, job.spec.task_resources.memory_gb);
       found += fitting;
     }
   }
@@ -210,18 +211,19 @@
 }
 
 bool Scheduler::can_migrate(const Job& job, const Machine& from) {
-  for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-    if (p.short_only || !filters::placement_allowed(job, p.type, p.zone, p.spot))
+  for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+    if (pool.short_only || !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
       continue;
-    if (!zone_allows_migration(p.zone, job, from))
+    if (!zone_allows_migration(pool.zone, job, from))
       continue;
-    const PlacementIndex::Group* cached = p.group_with_image(job.image);
+    const PlacementIndex::Group* cached = pool.group_with_image(job.image);
     if (!cached)
       continue;
     auto it = cached->by_free_cores.lower_bound({job.spec.task_resources.cpus - kEps, MachineIndex(0)});
     for (int n = 0; it != cached->by_free_cores.end() && n < settings_.tunables.steal_sample; ++it, ++n) {
-      const Machine& m = workers_.machine_at(it->second);
-      if (m.index != from.index && workers_.accepts_tasks(m) && m.fits(job.spec.task_resources))
+      const Machine& machine = workers_.machine_at(it->second);
+      if (machine.index != from.index && workers_.accepts_tasks(machine) &&
+          machine.fits(job.spec.task_resources))
         return true;
     }
   }
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -15,14 +15,15 @@
   constexpr double kDelayWeight = 5;  // against the seconds of work thrown away
   const Seconds now = out_.now();
   for (int i = 0; i < 2 * settings_.tunables.steal_sample; ++i) {
-    Machine& m = workers_.machine_at(group.members[rng_(static_cast<std::uint32_t>(group.members.size()))]);
+    Machine& machine =
+        workers_.machine_at(group.members[rng_(static_cast<std::uint32_t>(group.members.size()))]);
     ++machines_examined_;
-    if (!can_start_on(m, job, true))
+    if (!can_start_on(machine, job, true))
       continue;
     // Youngest first: that loses the least work.
     std::vector<std::size_t> candidates;
-    for (std::size_t s = 0; s < m.allocations.size(); ++s) {
-      const Allocation& allocation = m.allocations[s];
+    for (std::size_t s = 0; s < machine.allocations.size(); ++s) {
+      const Allocation& allocation = machine.allocations[s];
       const Job* other = registry_.job_at(allocation.job);
       if (!other || !allocation.occupies_machine || allocation.stop_requested ||
           other->effective_priority >= job.effective_priority)
@@ -34,31 +35,31 @@
       candidates.push_back(s);
     }
     auto age = [&](std::size_t s) {
-      return m.allocations[s].running_since > 0 ? now - m.allocations[s].running_since : 0.0;
+      return machine.allocations[s].running_since > 0 ? now - machine.allocations[s].running_since : 0.0;
     };
     std::sort(candidates.begin(), candidates.end(),
               [&](std::size_t a, std::size_t b) { return age(a) < age(b); });
     Machine after;  // the machine without the victims; only its sizes are set
-    after.cpus = m.cpus;
-    after.gpus = m.gpus;
-    after.memory_gb = m.memory_gb;
-    after.used = m.used;
+    after.cpus = machine.cpus;
+    after.gpus = machine.gpus;
+    after.memory_gb = machine.memory_gb;
+    after.used = machine.used;
     std::vector<std::size_t> victims;
-    double cost = start_delay_s(m, job) * kDelayWeight, lost_s = 0;
+    double cost = start_delay_s(machine, job) * kDelayWeight, lost_s = 0;
     for (const std::size_t s : candidates) {
       if (after.fits(job.spec.task_resources))
         break;
-      after.used.cpus -= m.allocations[s].resources.cpus;
-      after.used.gpus -= m.allocations[s].resources.gpus;
-      after.used.memory_gb -= m.allocations[s].resources.memory_gb;
+      after.used.cpus -= machine.allocations[s].resources.cpus;
+      after.used.gpus -= machine.allocations[s].resources.gpus;
+      after.used.memory_gb -= machine.allocations[s].resources.memory_gb;
       cost += 1 + age(s);
-      lost_s += balancing_enabled_ && stop_loses_nothing(m.allocations[s]) ? 0 : age(s);
+      lost_s += balancing_enabled_ && stop_loses_nothing(machine.allocations[s]) ? 0 : age(s);
       victims.push_back(s);
     }
     if (lost_s > most_lost_s || victims.empty() || !after.fits(job.spec.task_resources))
       continue;
     if (!best.machine || cost < best.cost)
-      best = {&m, cost, victims};
+      best = {&machine, cost, victims};
   }
 }
 
@@ -82,16 +83,17 @@
     return false;
   PreemptionPlan best;
   for (const bool cached : {true, false}) {
-    for (const PlacementIndex::Pool& p : workers_.placement_index().pools()) {
-      if ((p.short_only && is_long(job)) || !filters::placement_allowed(job, p.type, p.zone, p.spot) ||
-          !filters_.zones().admits_zone(p.zone, job)) {
+    for (const PlacementIndex::Pool& pool : workers_.placement_index().pools()) {
+      if ((pool.short_only && is_long(job)) ||
+          !filters::placement_allowed(job, pool.type, pool.zone, pool.spot) ||
+          !filters_.zones().admits_zone(pool.zone, job)) {
         continue;
       }
-      const PlacementIndex::Group* with = p.group_with_image(job.image);
+      const PlacementIndex::Group* with = pool.group_with_image(job.image);
       if (cached && with)
         consider_preempting(*with, job, most_lost_s, other_cells_only, best);
       if (!cached)
-        consider_preempting(p.all_machines, job, most_lost_s, other_cells_only, best);
+        consider_preempting(pool.all_machines, job, most_lost_s, other_cells_only, best);
     }
     if (best.machine || saves_s)
       break;
@@ -118,13 +120,13 @@
   for (std::uint32_t i = 0; i < victim.tasks.size(); ++i) {
     if (victim.tasks[i].state != jobs::TaskState::placed)
       continue;
-    Machine& m = workers_.machine_at(victim.tasks[i].machine);
+    Machine& machine = workers_.machine_at(victim.tasks[i].machine);
     ++machines_examined_;
-    if (!can_start_on(m, job, true) || m.fits(job.spec.task_resources))
+    if (!can_start_on(machine, job, true) || machine.fits(job.spec.task_resources))
       continue;
-    for (const Allocation& s : m.allocations) {
+    for (const Allocation& s : machine.allocations) {
       if (s.job == victim.index && s.task == i && s.occupies_machine && !s.stop_requested)
-        candidates.push_back({s.running_since, m.index, i});
+        candidates.push_back({s.running_since, machine.index, i});
     }
   }
   std::sort(candidates.begin(), candidates.end(),
@@ -136,20 +138,20 @@
       break;
     if (workers_.team_usage(victim.team).cpus <= team.cpus + kEps)
       break;
-    Machine& m = workers_.machine_at(candidate.machine);
-    if (!can_start_on(m, job, true))
+    Machine& machine = workers_.machine_at(candidate.machine);
+    if (!can_start_on(machine, job, true))
       continue;
     const bool checkpoints = victim.spec.checkpoint_interval_s > 0;
-    for (Allocation& s : m.allocations) {
+    for (Allocation& s : machine.allocations) {
       if (s.job == victim.index && s.task == candidate.task && s.occupies_machine) {
-        workers_.stop_task(m, s, checkpoints ? victim.spec.checkpoint_cost_s + 1 : 0);
+        workers_.stop_task(machine, s, checkpoints ? victim.spec.checkpoint_cost_s + 1 : 0);
         ++stopped;
         ++tasks_reclaimed_;
         break;
       }
     }
     if (!checkpoints)
-      start_task(m, job);
+      start_task(machine, job);
   }
   return stopped;
 }
@@ -163,8 +165,8 @@
   const double patience_share = balancing_enabled_ ? 0.4 : 0.1;  // of the time the job can spare
   // Jobs of teams beyond their guarantee, the one that comes last first.
   std::optional<std::vector<Job*>> victims;
-  for (const JobIndex ix : std::vector<JobIndex>(waiting_jobs_)) {
-    Job* job = registry_.job_at(ix);
+  for (const JobIndex index : std::vector<JobIndex>(waiting_jobs_)) {
+    Job* job = registry_.job_at(index);
     if (!job || !within_guarantee(*job) || !has_startable_task(*job) ||
         out_.now() - job->eligible_since < kMinPatience)
       continue;
--- a/src/scheduling/reservations.cpp
+++ b/src/scheduling/reservations.cpp
@@ -44,12 +44,12 @@
     MachineIndex machine;
   };
   std::vector<Candidate> candidates;
-  for (const auto& [machine, count] : sample_machines(job, probes)) {
-    reservations_.add(machine, job.index, count);
+  for (const auto& [index, count] : sample_machines(job, probes)) {
+    reservations_.add(index, job.index, count);
     ++machines_examined_;
-    const Machine& m = workers_.machine_at(machine);
-    if (m.fits(job.spec.task_resources))
-      candidates.push_back({start_delay_s(m, job), machine});
+    const Machine& machine = workers_.machine_at(index);
+    if (machine.fits(job.spec.task_resources))
+      candidates.push_back({start_delay_s(machine, job), index});
   }
   // All queues are in this process, so the sampled machines are served in the order in which they could
   // begin.
@@ -64,15 +64,15 @@
 }
 
 // The waiting long job that comes first among those that could start here.
-Job* Scheduler::first_long(const Machine& m) {
-  if (m.short_only)
+Job* Scheduler::first_long(const Machine& machine) {
+  if (machine.short_only)
     return nullptr;
-  for (const JobIndex ix : long_jobs_) {
-    Job* job = registry_.job_at(ix);
+  for (const JobIndex index : long_jobs_) {
+    Job* job = registry_.job_at(index);
     if (!job || job->pending_tasks.empty() || job->is_gang())
       continue;
     ++jobs_examined_;
-    if (can_start_on(m, *job))
+    if (can_start_on(machine, *job))
       return job;
   }
   return nullptr;
@@ -88,17 +88,17 @@
 }
 
 // On a full fleet a pass finds no free capacity, so overdue jobs are also tried on what comes free.
-Job* Scheduler::first_overdue(const Machine& m) {
+Job* Scheduler::first_overdue(const Machine& machine) {
   constexpr int kMaxExamined = 16;  // the others follow when these have begun
   int examined = 0;
-  for (const JobIndex ix : overdue_jobs_) {
-    Job* job = registry_.job_at(ix);
+  for (const JobIndex index : overdue_jobs_) {
+    Job* job = registry_.job_at(index);
     if (!job || !job->is_open() || job->pending_tasks.empty() || !is_overdue(*job))
       continue;
     if (++examined > kMaxExamined)
       return nullptr;
     ++jobs_examined_;
-    if (can_start_on(m, *job))
+    if (can_start_on(machine, *job))
       return job;
   }
   return nullptr;
@@ -109,12 +109,12 @@
     const Job &ja = *registry_.job_at(a), &jb = *registry_.job_at(b);
     return ja.eligible_since != jb.eligible_since ? ja.eligible_since < jb.eligible_since : a < b;
   });
-  for (const JobIndex ix : overdue_jobs_) {
-    Job& job = *registry_.job_at(ix);
+  for (const JobIndex index : overdue_jobs_) {
+    Job& job = *registry_.job_at(index);
     if (!has_startable_task(job))
       continue;
-    if (Machine* m = least_waiting(job))
-      start_task(*m, job);
+    if (Machine* machine = least_waiting(job))
+      start_task(*machine, job);
   }
 }
 
@@ -150,12 +150,12 @@
   return true;
 }
 
-void Scheduler::serve_queue(Machine& m) {
+void Scheduler::serve_queue(Machine& machine) {
   ++machines_examined_;
-  if (!workers_.accepts_tasks(m))
+  if (!workers_.accepts_tasks(machine))
     return;
-  while (m.cpus - m.used.cpus > kEps) {
-    if (!serve_next(m) && !steal(m))
+  while (machine.cpus - machine.used.cpus > kEps) {
+    if (!serve_next(machine) && !steal(machine))
       return;
   }
 }
@@ -173,12 +173,12 @@
 // Sampling alone leaves much of it unused, since only few machines have any.
 void Scheduler::place_short(Job& job) {
   while (has_startable_task(job)) {
-    Machine* m = least_waiting(job);
-    if (!m && settings_.cells.enabled() && job.origin_cell.empty() && preempt_for_job(job, {}, true))
+    Machine* machine = least_waiting(job);
+    if (!machine && settings_.cells.enabled() && job.origin_cell.empty() && preempt_for_job(job, {}, true))
       continue;
-    if (!m)
+    if (!machine)
       return;
-    start_task(*m, job);
+    start_task(*machine, job);
   }
 }
 
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -43,10 +43,10 @@
 
 void Scheduler::set_catalog(const std::vector<wire::MachineType>& catalog) {
   for (const auto& t : catalog) {
-    const MachineTypeIndex ix = registry_.types.add(t.name);
-    if (catalog_.size() <= ix)
-      catalog_.resize(ix + 1);
-    catalog_[ix] = t;
+    const MachineTypeIndex index = registry_.types.add(t.name);
+    if (catalog_.size() <= index)
+      catalog_.resize(index + 1);
+    catalog_[index] = t;
   }
 }
 
@@ -88,25 +88,25 @@
     reserve(job, missing);
 }
 
-void Scheduler::start_task(Machine& m, Job& job) {
+void Scheduler::start_task(Machine& machine, Job& job) {
   ++tasks_started_;
   job.last_start_at = out_.now();
-  workers_.start_task(m, job, job.pending_tasks.back());
+  workers_.start_task(machine, job, job.pending_tasks.back());
 }
 
-void Scheduler::on_capacity_available(Machine& m) {
-  if (waiting_jobs_.empty() || !workers_.accepts_tasks(m))
+void Scheduler::on_capacity_available(Machine& machine) {
+  if (waiting_jobs_.empty() || !workers_.accepts_tasks(machine))
     return;
-  serve_queue(m);
+  serve_queue(machine);
 }
 
-void Scheduler::on_machine_gone(Machine& m) {
-  speeds_.forget(m.index);
-  for (const balancing::Migration& migration : migrations_.take_of_machine(m.index)) {
+void Scheduler::on_machine_gone(Machine& machine) {
+  speeds_.forget(machine.index);
+  for (const balancing::Migration& migration : migrations_.take_of_machine(machine.index)) {
     abandon_migration(migration);
     migrations_.on_finished(migration, false);
   }
-  reservations_.drop_machine(m.index);
+  reservations_.drop_machine(machine.index);
 }
 
 void Scheduler::on_job_over(const Job& job) {
@@ -306,8 +306,8 @@
 // Reports why jobs wait, once a second.
 void Scheduler::update_waiting_load() {
   load_.begin_waiting_update();
-  for (const JobIndex ix : waiting_jobs_) {
-    const Job* job = registry_.job_at(ix);
+  for (const JobIndex index : waiting_jobs_) {
+    const Job* job = registry_.job_at(index);
     if (!job || !job->is_open() || job->pending_tasks.empty())
       continue;
     const bool late = objectives_.all_deadlines_passed(*job);
