--- a/src/autoscaling/machine_catalog.hpp
+++ b/src/autoscaling/machine_catalog.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "jobs/job_registry.hpp"
-#include "wire/messages.hpp"
+#include "wire/cloud_messages.hpp"
 
 namespace wingtrail::autoscaling {
 
--- a/src/jobs/completion_pages.hpp
+++ b/src/jobs/completion_pages.hpp
@@ -9,6 +9,7 @@
 #include "jobs/job_registry.hpp"
 #include "jobs/page_values.hpp"
 #include "jobs/record_pages.hpp"
+#include "wire/state_messages.hpp"
 #include "jobs/write_limits.hpp"
 
 namespace wingtrail::jobs {
--- a/src/jobs/inventory_pages.hpp
+++ b/src/jobs/inventory_pages.hpp
@@ -10,7 +10,8 @@
 #include "jobs/page_values.hpp"
 #include "jobs/record_pages.hpp"
 #include "jobs/write_limits.hpp"
-#include "wire/messages.hpp"
+#include "wire/state_messages.hpp"
+#include "wire/value.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/workers/allocation.hpp
+++ b/src/workers/allocation.hpp
@@ -25,7 +25,8 @@
 #include <string>
 
 #include "jobs/job_registry.hpp"
-#include "wire/messages.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail::workers {
 
--- a/src/workers/machine.hpp
+++ b/src/workers/machine.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "jobs/job_registry.hpp"
-#include "wire/messages.hpp"
+#include "wire/job_messages.hpp"
 #include "wire/worker_messages.hpp"
 #include "workers/allocation.hpp"
 
--- a/src/workers/unreconciled_machines.hpp
+++ b/src/workers/unreconciled_machines.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "wire/messages.hpp"
+#include "wire/job_messages.hpp"
 #include "workers/machine.hpp"
 
 namespace wingtrail::workers {
