--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -1,4 +1,4 @@
-// The state service's client: every controller keeps to its part of the rates that all of them share.
+/// The client of the state service: requests, and the budget that they are charged to.
 #pragma once
 
 #include <algorithm>
@@ -6,131 +6,118 @@
 
 #include "ports/outbox.hpp"
 #include "settings/settings.hpp"
+#include "store/token_bucket.hpp"
 #include "wire/messages.hpp"
 
 namespace wingtrail::store {
 
 using ports::Reply;
-using ports::Seconds;
 
-// Who may dip how deep into the budget: a lease always passes, people come before housekeeping.
+/// How much of the budget must be left for others. A lease is never held up, and users come before background
+/// work.
 enum class RequestPriority : std::uint8_t { lease, user, admission, question, background };
 
-class TokenBucket {
- public:
-  void configure(double per_second) {
-    rate_ = per_second, level_ = std::min(level_, burst());
-  }
-  // Below that many a second a second's worth would be no whole request.
-  void set_minimum_burst(double least) {
-    minimum_burst_ = least;
-  }
-  // Takes `n` unless that would leave less than `floor` (a share of the burst).
-  bool try_take(Seconds now, double n, double floor);
-  void take_with_debt(Seconds now, double n);
-  // Until take() would succeed; at 0 it does.
-  Seconds time_until(Seconds now, double n, double floor) const;
-  double rate() const {
-    return rate_;
-  }
-
- private:
-  void refill(Seconds now);
-  double burst() const {
-    return std::max(rate_, minimum_burst_);
-  }
-  // What must be left; what is more than a full bucket takes a full one.
-  double reserve(double n, double floor) const {
-    return minimum_burst_ > 0 ? std::min(floor * rate_, burst() - n) : floor * rate_;
-  }
-  double rate_ = 0, level_ = 1e9, minimum_burst_ = 0;
-  Seconds refilled_at_ = 0;
-};
-
+/// The client of the state service.
+///
+/// All controllers share one budget of requests and changes per second; each keeps to its share of it. What
+/// exceeds that is answered at once with status 429 and `delivered == false`, and nothing is sent. The other
+/// statuses are the service's own; 0 means that no reply came, so the request may or may not have been
+/// carried out.
 class StateClient {
  public:
-  using Callback = std::function<void(const Reply&)>;
-
   StateClient(ports::Outbox& out, const settings::Settings& settings);
-  // The leader does most of the writing and gets the larger part.
+  /// Sets the node's share by its role, as long as no share source is set.
   void set_leading(bool leading);
 
-  // The part of the whole that a node has where none are shared: the leader does most of the writing.
+  /// The share of a node's role: the leader does most of the writing and gets the larger one.
   static double default_share(bool leading, std::size_t others) {
     return others == 0 ? 1.0 : leading ? 0.5 : 0.5 / static_cast<double>(others);
   }
-  // From now on the node's share of the whole is asked for at every request, and nothing is overdrawn.
-  struct BudgetShare {  // of the whole
-    double requests = 0, writes = 0;
-    bool may_overdraw = false;  // as without shares: may be overdrawn
+  /// Fractions of the whole budget.
+  struct BudgetShare {
+    double requests = 0;
+    double writes = 0;
+    bool may_overdraw = false;  ///< for some seconds, as where no share source is set
   };
-  void set_share_source(std::function<BudgetShare()> of_whole);
-  // Until a transaction of so many changes would be let out; changes a second that this node may make.
-  Seconds time_until_writable(RequestPriority urgency, double writes);
+  /// From now on the node's share of the whole is asked for at every request.
+  void set_share_source(std::function<BudgetShare()> share_of_whole);
+  /// Until a transaction of that many changes would be sent; 0: it would now.
+  Seconds time_until_writable(RequestPriority priority, double writes);
+  /// Changes per second that this node may make.
   double write_rate() const {
     return writes_bucket_.rate();
   }
-  // The part of the whole that this node has asked for lately, let out or not.
+  /// The share that this node has asked for lately, whether its requests were sent or throttled.
   BudgetShare recent_demand() const;
-  // What an answer of the service usually takes.
+  /// What a reply of the service usually takes.
   Seconds typical_latency() const {
     return mean_latency_s_ + 2 * latency_deviation_s_;
   }
 
-  // Status 429 comes at once and from here when the budget is used up.
-  void get(const std::string& key, RequestPriority urgency, Callback then);
+  using Callback = std::function<void(const Reply&)>;
+
+  void get(const std::string& key, RequestPriority priority, Callback then);
+  /// The keys after `after` that begin with the prefix, one batch at a time.
   void list(const std::string& prefix, const std::string& after, Callback then);
-  void transact(wire::Transaction txn, RequestPriority urgency, Seconds not_after, Callback then);
-  // Answers once something has changed, at the latest after kWatchMs.
+  /// Must not be sent at or after `not_after`: the sender's authority ends there.
+  void transact(wire::Transaction txn, RequestPriority priority, Seconds not_after, Callback then);
+  /// Replies once something has changed after that revision, at the latest after kWatchMs.
   void watch(const std::string& prefix, std::uint64_t after, Callback then);
-  // What has changed so far.
+  /// Replies at once with what has changed after that revision.
   void read_changes(const std::string& prefix, std::uint64_t after, Callback then);
   void create_lease(int ttl_ms, Callback then);
   void renew_lease(std::uint64_t lease, Callback then);
   void revoke_lease(std::uint64_t lease);
 
-  // Whether the service answered this node lately.
+  /// Whether the service replied to this node lately.
   bool healthy() const {
-    return out_.now() - last_ok_ < kHealthyWindow;
+    return out_.now() - last_reply_at_ < kHealthyWindow;
   }
-  // After what time an answer is so late that another way is worth trying.
+  /// After what time a reply is so late that another way is worth trying.
   Seconds hedging_delay() const {
     return std::clamp(mean_latency_s_ + 4 * latency_deviation_s_, kMinHedgingDelay, kRequestTimeout / 2);
   }
+  /// Requests that were sent.
   std::uint64_t requests() const {
     return requests_;
   }
+  /// Requests that the budget did not allow.
   std::uint64_t throttled() const {
     return throttled_;
   }
 
  private:
   static constexpr Seconds kHealthyWindow = 2.5;
-  static constexpr Seconds kMinHedgingDelay = 0.12;  // an answer usually takes some 10 ms
+  static constexpr Seconds kMinHedgingDelay = 0.12;
   static constexpr Seconds kRequestTimeout = 1.5;
   static constexpr int kWatchMs = 10'000;
   static constexpr Seconds kDemandWindow = 2;
-  static double request_floor(RequestPriority urgency);
+  static double request_floor(RequestPriority priority);
   void configure(double requests, double writes, double writes_for_admission);
-  bool may_request(Seconds now, RequestPriority urgency) const;
-  void take_request(Seconds now, RequestPriority urgency);
-  double write_floor(RequestPriority urgency) const;
+  bool may_request(Seconds now, RequestPriority priority) const;
+  void take_request(Seconds now, RequestPriority priority);
+  double write_floor(RequestPriority priority) const;
   void record_demand(double requests, double writes);
-  bool take_writes(Seconds now, double writes, RequestPriority urgency);
-  void send(std::string method, std::string path, wire::Value body, double writes, RequestPriority urgency,
+  bool take_writes(Seconds now, double writes, RequestPriority priority);
+  void send(std::string method, std::string path, wire::Value body, double writes, RequestPriority priority,
             Seconds timeout, Seconds not_after, Callback then);
 
   ports::Outbox& out_;
   const settings::Settings& settings_;
   std::function<BudgetShare()> share_source_;
   bool may_overdraw_ = true;
-  TokenBucket requests_bucket_, writes_bucket_, admission_bucket_;
-  TokenBucket question_bucket_;  // requests that questions may make though others leave them none
-  Seconds last_ok_ = -kHealthyWindow;
-  Seconds mean_latency_s_ = 0.01, latency_deviation_s_ = 0.005;  // of answers, watches left out
-  std::uint64_t requests_ = 0, throttled_ = 0;
+  TokenBucket requests_bucket_;
+  TokenBucket writes_bucket_;
+  TokenBucket admission_bucket_;  // changes that only admissions may make
+  TokenBucket question_bucket_;   // requests that questions may make though others leave them none
+  Seconds last_reply_at_ = -kHealthyWindow;
+  Seconds mean_latency_s_ = 0.01;  // watches left out
+  Seconds latency_deviation_s_ = 0.005;
+  std::uint64_t requests_ = 0;
+  std::uint64_t throttled_ = 0;
   Seconds demand_updated_at_ = 0;
-  double requested_requests_ = 0, requested_writes_ = 0;  // fading, over kAskedOver
+  double requested_requests_ = 0;  // decaying over kDemandWindow
+  double requested_writes_ = 0;
 };
 
 }  // namespace wingtrail::store
