--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -6,26 +6,34 @@
 
 namespace wingtrail::jobs {
 namespace {
-constexpr Seconds kRetry = 0.15;
-constexpr Seconds kRefusedPause = 5;  // for what the state service refuses even by itself
-constexpr Seconds kCleanupDelay = 0.5;
-constexpr double kPageShare = 0.85;  // of the value limit
-constexpr std::size_t kLeastPage = 256;
-constexpr Seconds kSweepEvery = 1;  // beside nothing else; they only cost a later leader time
-constexpr int kSweeps = 4;          // at a time
-constexpr int kCloseOps = 3;        // final state, job and cancellation mark go together
+constexpr int kStatusOk = 200;
+constexpr int kStatusMalformed = 400;
+constexpr int kStatusNotFound = 404;
+constexpr int kStatusConflict = 409;
+constexpr Seconds kRetryDelay = 0.15;
+/// For a page that the state service refuses even by itself.
+constexpr Seconds kRefusedDelay = 5;
+/// A page is filled to that part of the value limit.
+constexpr double kPageFillFraction = 0.85;
+constexpr std::size_t kMinPageBytes = 256;
+/// A final state, the job's own key and its cancellation marker go together.
+constexpr int kMaxFinalStateChanges = 3;
+/// A flush is never scheduled at once: a sum of times that is rounded down would come up again and again
+/// within the same instant.
+constexpr Seconds kMinFlushDelay = 0.002;
 }  // namespace
 
 StateWriter::StateWriter(ports::Outbox& out, store::StateClient& store, JobRegistry& registry,
-                         const settings::Settings& settings, LeadershipView link)
+                         const settings::Settings& settings, LeadershipView leadership)
     : out_(out),
       store_(store),
       registry_(registry),
       settings_(settings),
-      leadership_(std::move(link)),
-      limits_{static_cast<std::size_t>(settings.state_value_kb * 1024 * kPageShare), settings.value_bytes(),
-              settings.max_transaction_changes},
+      leadership_(std::move(leadership)),
+      limits_{static_cast<std::size_t>(settings.state_value_kb * 1024 * kPageFillFraction),
+              settings.value_bytes(), settings.max_transaction_changes},
       final_states_(registry, settings),
+      cleanup_(registry, batches_),
       completion_pages_(registry, settings, limits_),
       inventory_pages_(limits_) {}
 
@@ -40,12 +48,13 @@
 }
 
 void StateWriter::end_leadership() {
-  active_ = in_flight_ = flush_scheduled_ = false;
+  active_ = false;
+  in_flight_ = false;
+  flush_scheduled_ = false;
   ++term_;
   final_states_.clear();
   batches_.clear();
-  deletions_.clear();
-  moves_to_own_key_.clear();
+  cleanup_.clear();
   completion_pages_.clear();
   inventory_pages_.clear();
 }
@@ -60,8 +69,6 @@
   return inventory_pages_.load(key, value, version, out_.now(), add_machine);
 }
 
-// ---------------------------------------------------------------- what is to be written
-
 void StateWriter::record_final_state(Job& job, wire::Phase phase, std::function<void()> then) {
   if (then)
     final_states_.add_waiter(job.index, std::move(then));
@@ -109,8 +116,6 @@
     schedule_flush(InventoryPages::kRemovalDelay);
 }
 
-// ---------------------------------------------------------------- writing
-
 void StateWriter::schedule_flush(Seconds delay) {
   const Seconds at = out_.now() + delay;
   if (flush_scheduled_ && flush_scheduled_at_ <= at)
@@ -125,170 +130,151 @@
   });
 }
 
-void StateWriter::add_final_state(wire::Transaction& txn, const Job& job) {
-  txn.put(kFinalStatePrefix + job.spec.ref,
-          wire::final_state_record({job.final_phase, job.spec.tasks, out_.time_of_day()}));
-  // Of a job on a sheet there may be a key of its own that has not been seen here: another node's, for a
-  // retry. Left there it would make the job live again for the next leader, so its absence is demanded.
-  job.has_own_key ? txn.erase(kLiveJobPrefix + job.spec.ref) : txn.require(kLiveJobPrefix + job.spec.ref, 0);
-  if (job.has_cancellation_marker)
-    txn.erase(kLiveJobPrefix + job.spec.ref + kCancellationSuffix);
-}
-
-void StateWriter::add_inventory_pages(wire::Transaction& txn, Commit& c, TransactionSpace& space,
-                                      PageUrgency least) {
-  for (InventoryPages::Write& write : inventory_pages_.add_due(txn, space, least, out_.now())) {
-    c.inventory.push_back(std::move(write));
-    ++writes_.inventory;
-  }
-}
-
 void StateWriter::delete_empty_batches() {
   for (std::string& key : batches_.take_empty())
-    deletions_.push_back(std::move(key));
-  if (!deletions_.empty())
-    schedule_flush(kCleanupDelay);
+    cleanup_.delete_later(std::move(key));
+  if (cleanup_.has_deletions())
+    schedule_flush(RecordCleanup::kDelay);
 }
 
 void StateWriter::delete_later(std::string key) {
-  deletions_.push_back(std::move(key));
-  schedule_flush(kCleanupDelay);
+  cleanup_.delete_later(std::move(key));
+  schedule_flush(RecordCleanup::kDelay);
 }
 
 void StateWriter::move_to_own_key(Job& job) {
   if (!batches_.contains(job.index))
     return;
-  moves_to_own_key_.push_back(job.index);
-  schedule_flush(kCleanupDelay);
+  cleanup_.move_to_own_key(job.index);
+  schedule_flush(RecordCleanup::kDelay);
 }
 
-void StateWriter::add_deletions(wire::Transaction& txn, Commit& c, TransactionSpace& space) {
-  for (int n = 0; n < kSweeps && space.changes > 0 && !deletions_.empty(); ++n, --space.changes) {
-    txn.erase(deletions_.front());
-    c.deletions.push_back(std::move(deletions_.front()));
-    deletions_.pop_front();
-    ++writes_.deletions;
-    deleted_at_ = out_.now();
-  }
+void StateWriter::add_final_state(wire::Transaction& transaction, const Job& job) {
+  const std::string own_key = kLiveJobPrefix + job.spec.ref;
+  transaction.put(kFinalStatePrefix + job.spec.ref,
+                  wire::final_state_record({job.final_phase, job.spec.tasks, out_.time_of_day()}));
+  // A job of a batch may have a key of its own that has not been seen here: another node's, for a retry. Left
+  // there it would make the job live again for the next leader, so its absence is a condition.
+  if (job.has_own_key)
+    transaction.erase(own_key);
+  else
+    transaction.require(own_key, 0);
+  if (job.has_cancellation_marker)
+    transaction.erase(own_key + kCancellationSuffix);
 }
 
-// The record is the one on the sheet, but for what no version reads.
-void StateWriter::add_moves_to_own_key(wire::Transaction& txn, Commit& c, TransactionSpace& space) {
-  for (int n = 0; n < kSweeps && !space.exhausted() && !moves_to_own_key_.empty(); ++n) {
-    const JobIndex ix = moves_to_own_key_.front();
-    moves_to_own_key_.pop_front();
-    Job* job = registry_.job_at(ix);
-    if (!job || !job->is_open() || !batches_.contains(ix))
-      continue;
-    // From now on: whether a transaction without an answer is applied, now or late, nobody knows.
-    job->has_own_key = true;
-    txn.require(kFinalStatePrefix + job->spec.ref, 0);
-    wire::Value record = wire::job_record(job->spec, out_.time_of_day() - (out_.now() - job->submitted_at));
-    if (!job->origin_cell.empty())
-      record[kOriginCellField] = job->origin_cell;
-    space.take(record.dump().size());
-    txn.put(kLiveJobPrefix + job->spec.ref, std::move(record));
-    c.moved_to_own_key.push_back(ix);
-    deleted_at_ = out_.now();
+void StateWriter::add_inventory_pages(wire::Transaction& transaction, Commit& commit, TransactionSpace& space,
+                                      PageUrgency least) {
+  for (InventoryPages::Write& write : inventory_pages_.add_due(transaction, space, least, out_.now())) {
+    commit.inventory.push_back(std::move(write));
+    ++writes_.inventory;
   }
 }
 
+void StateWriter::add_cleanup(wire::Transaction& transaction, Commit& commit, TransactionSpace& space) {
+  if (transaction.change_count() == 0 && out_.now() < cleanup_.next_due_at())
+    return;
+  cleanup_.add_deletions(transaction, space, commit.cleanup, out_.now());
+  writes_.deletions += commit.cleanup.deletions.size();
+  if (commit.selection.final_states.empty())
+    cleanup_.add_moves_to_own_key(transaction, space, commit.cleanup, out_);
+}
+
+// Final states and pages have their shares of the changes; what these leave is for whatever else is due.
+StateWriter::Commit StateWriter::assemble(wire::Transaction& transaction) {
+  const Seconds now = out_.now();
+  Commit commit;
+  commit.selection = final_states_.select(
+      {limits_.changes, inventory_pages_.due_count(now), completion_pages_.due_count(now)}, now);
+  for (const JobIndex job : commit.selection.final_states)
+    add_final_state(transaction, *registry_.job_at(job));
+  TransactionSpace space;
+  space.changes = commit.selection.inventory_changes + commit.selection.unassigned_changes;
+  add_inventory_pages(transaction, commit, space, PageUrgency::soon);
+  const bool machines_wait =
+      std::any_of(commit.inventory.begin(), commit.inventory.end(),
+                  [](const InventoryPages::Write& write) { return write.urgency == PageUrgency::now; });
+  commit.users_wait = !commit.selection.final_states.empty() || machines_wait;
+  space.changes += commit.selection.completion_changes;
+  commit.completions = completion_pages_.add_due(transaction, space, now);
+  writes_.completions += commit.completions.size();
+  add_inventory_pages(transaction, commit, space, PageUrgency::opportunistic);
+  add_cleanup(transaction, commit, space);
+  commit.change_count = transaction.change_count();
+  return commit;
+}
+
 void StateWriter::flush() {
   if (!active_ || in_flight_)
     return;
   if (out_.now() >= leadership_.lease_expires_at())
-    return schedule_flush(kRetry);
-  wire::Transaction txn;
-  txn.require(leadership_.leader_key, leadership_.fencing_token());
-  Commit c;
-  c.selection = final_states_.select(
-      {limits_.changes, inventory_pages_.due_count(out_.now()), completion_pages_.due_count(out_.now())},
-      out_.now());
-  for (const JobIndex ix : c.selection.final_states)
-    add_final_state(txn, *registry_.job_at(ix));
-  // What the kinds with shares leave is for whatever else is due.
-  TransactionSpace space;
-  space.changes = c.selection.inventory_changes + c.selection.unassigned_changes;
-  add_inventory_pages(txn, c, space, PageUrgency::soon);
-  const bool user =
-      !c.selection.final_states.empty() ||
-      std::any_of(c.inventory.begin(), c.inventory.end(),
-                  [](const InventoryPages::Write& write) { return write.urgency == PageUrgency::now; });
-  space.changes += c.selection.completion_changes;
-  c.completions = completion_pages_.add_due(txn, space, out_.now());
-  writes_.completions += c.completions.size();
-  add_inventory_pages(txn, c, space, PageUrgency::opportunistic);
-  if (txn.change_count() > 0 || out_.now() >= deleted_at_ + kSweepEvery) {
-    add_deletions(txn, c, space);
-    // In a transaction with its end, the record would be there after it.
-    if (c.selection.final_states.empty())
-      add_moves_to_own_key(txn, c, space);
-  }
-  if (txn.change_count() == 0)
+    return schedule_flush(kRetryDelay);
+  wire::Transaction transaction;
+  transaction.require(leadership_.leader_key, leadership_.fencing_token());
+  Commit commit = assemble(transaction);
+  if (commit.change_count == 0)
     return reschedule_flush();
   in_flight_ = true;
-  const int ops = txn.change_count();
-  std::vector<JobIndex> first;
-  for (const JobIndex ix : c.selection.final_states) {
-    if (!std::exchange(registry_.job_at(ix)->final_state_sent, true))
-      first.push_back(ix);
+  for (const JobIndex index : commit.selection.final_states) {
+    if (!std::exchange(registry_.job_at(index)->final_state_sent, true))
+      commit.first_sent.push_back(index);
   }
-  store_.transact(
-      std::move(txn), user ? store::RequestPriority::user : store::RequestPriority::background,
-      leadership_.lease_expires_at(),
-      [this, term = term_, ops, first = std::move(first), c = std::move(c)](const store::Reply& r) mutable {
-        if (term != term_)
-          return;
-        in_flight_ = false;
-        if (r.delivered)
-          final_states_.count_deferred(c.selection);
-        for (const JobIndex ix : first)
-          registry_.job_at(ix)->final_state_sent = r.delivered;
-        if (r.status == 200)
-          return on_committed(c, wire::revision(r.body).value_or(0));
-        if (r.status == 409 && !conflicts_with_newer(r.body, c))
-          return leadership_.on_superseded();
-        on_commit_failed(c);
-        if (r.status == 400)
-          on_commit_malformed(c, ops);
-      });
+  const auto priority = commit.users_wait ? store::RequestPriority::user : store::RequestPriority::background;
+  store_.transact(std::move(transaction), priority, leadership_.lease_expires_at(),
+                  [this, term = term_, commit = std::move(commit)](const store::Reply& reply) {
+                    if (term == term_)
+                      on_reply(reply, commit);
+                  });
+}
+
+void StateWriter::on_reply(const store::Reply& reply, const Commit& commit) {
+  in_flight_ = false;
+  if (reply.delivered)
+    final_states_.count_deferred(commit.selection);
+  for (const JobIndex index : commit.first_sent)
+    registry_.job_at(index)->final_state_sent = reply.delivered;
+  if (reply.status == kStatusOk)
+    return on_committed(commit, wire::revision(reply.body).value_or(0));
+  if (reply.status == kStatusConflict && !conflicts_with_own_write(reply.body, commit))
+    return leadership_.on_superseded();
+  on_commit_failed(commit);
+  if (reply.status == kStatusMalformed)
+    on_commit_malformed(commit);
 }
 
-// When the next page is due.
 void StateWriter::reschedule_flush() {
   Seconds at = ports::kNever;
   if (!final_states_.empty())
     at = out_.now();
-  if (!deletions_.empty() || !moves_to_own_key_.empty())
-    at = std::min(at, std::max(out_.now(), deleted_at_ + kSweepEvery));
+  if (!cleanup_.empty())
+    at = std::min(at, std::max(out_.now(), cleanup_.next_due_at()));
   at = std::min({at, completion_pages_.next_due_at(), inventory_pages_.next_due_at()});
-  // Never at once: a sum that is rounded down would come up again and again within the same instant.
   if (at != ports::kNever)
-    schedule_flush(std::max(0.002, at - out_.now()));
+    schedule_flush(std::max(kMinFlushDelay, at - out_.now()));
 }
 
-// Whether the transaction failed for another reason than that somebody else leads: a job on a sheet has got a
-// key of its own, one that was to get one is over by a transaction that had no answer, or such a one has
-// written a page.
-bool StateWriter::conflicts_with_newer(const wire::Value& refusal, const Commit& c) {
+// Whether the transaction failed for another reason than that another node leads: a job of a batch has got a
+// key of its own, a job that was to get one has a final state by a transaction that had no answer, or such a
+// transaction has written a page.
+bool StateWriter::conflicts_with_own_write(const wire::Value& refusal, const Commit& commit) {
   const auto keys = wire::failed_keys(refusal);
   const auto has = [&keys](const std::string& key) {
     return std::find(keys.begin(), keys.end(), key) != keys.end();
   };
   if (keys.empty() || has(leadership_.leader_key))
     return false;
-  for (const JobIndex ix : c.selection.final_states) {
-    Job& job = *registry_.job_at(ix);
+  for (const JobIndex index : commit.selection.final_states) {
+    Job& job = *registry_.job_at(index);
     if (has(kLiveJobPrefix + job.spec.ref))
       job.has_own_key = true;
   }
-  for (const CompletionPages::Write& write : c.completions) {
+  for (const CompletionPages::Write& write : commit.completions) {
     if (!has(CompletionPages::key(write.page)))
       continue;
     ++page_lookups_;
     look_up_version(completion_pages_, write.page);
   }
-  for (const InventoryPages::Write& write : c.inventory) {
+  for (const InventoryPages::Write& write : commit.inventory) {
     if (!has(InventoryPages::key(write.page)))
       continue;
     ++page_lookups_;
@@ -297,8 +283,8 @@
   return true;
 }
 
-// Nobody but this leader writes its pages, so the page holds what a transaction of its own put there that had
-// no answer. It is written anew, on condition that it is still that; until its version is known it is not.
+// Nobody but this leader writes its pages, so the page holds what one of its own transactions put there that
+// had no answer. It is written anew once its version is known, on condition of that version.
 template <typename Pages>
 void StateWriter::look_up_version(Pages& pages, std::size_t page) {
   pages.begin_version_lookup(page);
@@ -306,10 +292,10 @@
              [this, &pages, page, term = term_](const store::Reply& reply) {
                if (term != term_)
                  return;
-               const auto item =
-                   reply.status == 200 ? wire::parse_item(reply.body) : wire::Result<wire::Item>::fail("");
-               if (!item && reply.status != 404)
-                 return out_.after(kRetry, [this, &pages, page, term] {
+               const auto item = reply.status == kStatusOk ? wire::parse_item(reply.body)
+                                                           : wire::Result<wire::Item>::fail("");
+               if (!item && reply.status != kStatusNotFound)
+                 return out_.after(kRetryDelay, [this, &pages, page, term] {
                    if (term == term_)
                      look_up_version(pages, page);
                  });
@@ -318,78 +304,88 @@
              });
 }
 
-// Everything here may be applied twice without harm, so what is uncertain is simply written again.
-void StateWriter::on_commit_failed(Commit& c) {
-  final_states_.restore(c.selection);
-  for (const CompletionPages::Write& write : c.completions)
+// Every record may be applied twice without harm, so what is uncertain is simply written again.
+void StateWriter::on_commit_failed(const Commit& commit) {
+  final_states_.restore(commit.selection);
+  for (const CompletionPages::Write& write : commit.completions)
     completion_pages_.restore(write, out_.now());
-  for (const InventoryPages::Write& write : c.inventory)
+  for (const InventoryPages::Write& write : commit.inventory)
     inventory_pages_.restore(write, out_.now());
-  deletions_.insert(deletions_.begin(), c.deletions.begin(), c.deletions.end());
-  for (const JobIndex ix : c.moved_to_own_key)
-    moves_to_own_key_.push_back(ix);  // others first: this one may be over
-  schedule_flush(kRetry);
+  cleanup_.restore(commit.cleanup);
+  schedule_flush(kRetryDelay);
 }
 
 // The state service calls the transaction malformed, and would do so again: its limits are lower than the
 // settings say. Fewer records go together from now on; one that is refused by itself must not stop the
 // others.
-void StateWriter::on_commit_malformed(const Commit& c, int ops) {
+void StateWriter::on_commit_malformed(const Commit& commit) {
   ++malformed_commits_;
-  spdlog::error("the state service calls a transaction of {} changes malformed", ops);
-  if (c.record_count() > 1) {
-    limits_.changes = std::max(kCloseOps, ops / 2);
-    if (limits_.changes < ops)
+  spdlog::error("state-writer: transaction refused as malformed changes={}", commit.change_count);
+  if (commit.record_count() > 1) {
+    limits_.changes = std::max(kMaxFinalStateChanges, commit.change_count / 2);
+    if (limits_.changes < commit.change_count)
       return;
   }
   const auto lower_page_limit = [this](std::size_t refused_bytes) {
-    limits_.page_bytes = std::max(kLeastPage, std::min(limits_.page_bytes, refused_bytes / 2));
+    limits_.page_bytes = std::max(kMinPageBytes, std::min(limits_.page_bytes, refused_bytes / 2));
   };
-  const Seconds retry_at = out_.now() + kRefusedPause;
-  for (const CompletionPages::Write& write : c.completions)
+  const Seconds retry_at = out_.now() + kRefusedDelay;
+  for (const CompletionPages::Write& write : commit.completions)
     lower_page_limit(completion_pages_.on_refused(write, retry_at));
-  for (const InventoryPages::Write& write : c.inventory)
+  for (const InventoryPages::Write& write : commit.inventory)
     lower_page_limit(inventory_pages_.on_refused(write, retry_at));
-  for (const JobIndex ix : c.selection.final_states) {
-    Job& job = *registry_.job_at(ix);
-    spdlog::error("{}: its end cannot be recorded", job.spec.ref);
+  for (const JobIndex index : commit.selection.final_states) {
+    Job& job = *registry_.job_at(index);
+    spdlog::error("state-writer: final state refused job={}", job.spec.ref);
     final_states_.move_to_back(job, out_.now());
   }
 }
 
-void StateWriter::on_committed(const Commit& c, std::uint64_t revision) {
+void StateWriter::on_committed(const Commit& commit, std::uint64_t revision) {
   ++commits_;
+  if (!on_final_states_committed(commit))
+    return;
+  delete_empty_batches();
+  for (const JobIndex index : commit.cleanup.moved_to_own_key) {
+    if (registry_.job_at(index))
+      batches_.on_job_over(index);
+  }
+  delete_empty_batches();
+  on_pages_committed(commit, revision);
+}
+
+// False if one of the callbacks ended the leadership.
+bool StateWriter::on_final_states_committed(const Commit& commit) {
   const std::uint64_t term = term_;
-  for (const JobIndex ix : c.selection.final_states) {
-    Job* job = registry_.job_at(ix);
-    job->final_state_recorded = true;
-    final_states_.on_recorded(*job);
-    writes_.final_states += static_cast<std::uint64_t>(final_state_changes(*job));
-    batches_.on_job_over(ix);
-    events_.on_completions_persisted(completion_pages_.remove_job(*job));
-    const auto waiters = final_states_.take_waiters(ix);
-    events_.on_final_state(*job);
+  for (const JobIndex index : commit.selection.final_states) {
+    Job& job = *registry_.job_at(index);
+    job.final_state_recorded = true;
+    final_states_.on_recorded(job);
+    writes_.final_states += static_cast<std::uint64_t>(final_state_changes(job));
+    batches_.on_job_over(index);
+    events_.on_completions_persisted(completion_pages_.remove_job(job));
+    const auto waiters = final_states_.take_waiters(index);
+    events_.on_final_state(job);
     for (const auto& then : waiters)
       then();
     if (term != term_)
-      return;  // one of the callbacks ended the leadership
-  }
-  delete_empty_batches();
-  for (const JobIndex ix : c.moved_to_own_key) {
-    if (registry_.job_at(ix))
-      batches_.on_job_over(ix);
+      return false;
   }
-  delete_empty_batches();
-  for (const CompletionPages::Write& write : c.completions)
+  return true;
+}
+
+void StateWriter::on_pages_committed(const Commit& commit, std::uint64_t revision) {
+  const std::uint64_t term = term_;
+  for (const CompletionPages::Write& write : commit.completions)
     events_.on_completions_persisted(completion_pages_.on_written(write, revision));
-  for (const InventoryPages::Write& write : c.inventory) {
+  for (const InventoryPages::Write& write : commit.inventory) {
     inventory_pages_.on_written(write, revision);
     for (const MachineIndex machine : write.joining) {
       if (!inventory_pages_.take_joined(machine))
         continue;  // gone meanwhile
       events_.on_machine_recorded(machine);
       if (term != term_)
-        return;
+        return;  // the callback ended the leadership
     }
   }
   reschedule_flush();
