--- a/src/jobs/completion_codec.cpp
+++ b/src/jobs/completion_codec.cpp
@@ -39,8 +39,8 @@
   return {{"from", from}, {"bits", bits}};
 }
 
-std::pair<std::uint32_t, std::uint32_t> CompletionCodec::chunk_range(const wire::Value& value,
-                                                                     std::uint32_t tasks) const {
+CompletionCodec::ChunkRange CompletionCodec::chunk_range(const wire::Value& value,
+                                                         std::uint32_t tasks) const {
   const std::uint64_t from = std::min<std::uint64_t>(wire::count(value, "from").value_or(0), tasks - 1);
   const std::size_t length = wire::text(value, "bits").value_or("").size();
   const std::uint64_t last = std::min<std::uint64_t>(from + std::max<std::size_t>(length, 1) * 6, tasks) - 1;
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -17,22 +17,28 @@
 DependencyGraph::NodeIndex DependencyGraph::node_for(const std::string& ref, Job* job) {
   const auto [it, fresh] = by_ref_.try_emplace(ref, 0);
   if (fresh) {
-    if (free_nodes_.empty())
-      free_nodes_.push_back(static_cast<NodeIndex>(nodes_.size())), nodes_.emplace_back();
+    if (free_nodes_.empty()) {
+      free_nodes_.push_back(static_cast<NodeIndex>(nodes_.size()));
+      nodes_.emplace_back();
+    }
     it->second = free_nodes_.back();
     free_nodes_.pop_back();
     nodes_[it->second].ref = ref;
   }
-  Node& n = nodes_[it->second];
-  if (job)
-    n.job = job->index, n.created_revision = job->created_revision;
+  Node& node = nodes_[it->second];
+  if (job) {
+    node.job = job->index;
+    node.created_revision = job->created_revision;
+  }
   return it->second;
 }
 
-// Forgets a job that is over, or that nobody needs and that needs nobody.
-void DependencyGraph::release_dependents(NodeIndex n) {
-  if (Job* job = registry_.job_at(nodes_[n].job))
-    job->effective_priority = job->spec.priority, job->latest_finish = ports::kNever;
+// Removes a job that is over, or that has neither dependencies nor dependents.
+void DependencyGraph::release_node(NodeIndex n) {
+  if (Job* job = registry_.job_at(nodes_[n].job)) {
+    job->effective_priority = job->spec.priority;
+    job->latest_finish = ports::kNever;
+  }
   changed_.erase({nodes_[n].created_revision, n});
   by_ref_.erase(nodes_[n].ref);
   nodes_[n] = {};
@@ -48,24 +54,24 @@
   if (job.spec.depends_on.empty() && !by_ref_.contains(job.spec.ref))
     return;
   const NodeIndex n = node_for(job.spec.ref, &job);
-  std::optional<Seconds> lost;  // since when a need is known to be cancelled
-  const auto lose = [&lost](Seconds at) {
-    lost = std::min(lost.value_or(at), at);
+  std::optional<Seconds> orphaned_since;  // since when a dependency is known to be cancelled
+  const auto on_cancelled = [&orphaned_since](Seconds at) {
+    orphaned_since = std::min(orphaned_since.value_or(at), at);
   };
   for (const std::string& ref : job.spec.depends_on) {
     ++visits_;
     if (const auto end = hooks_.final_state(ref)) {
       if (!end->done)
-        lose(end->at);
+        on_cancelled(end->at);
       job.eligible_since = std::max(job.eligible_since, end->at);
       continue;
     }
     const bool known = by_ref_.contains(ref);
-    Job* needed = registry_.find(ref);
-    if (needed && needed->orphaned)
-      lose(needed->orphaned_at);
-    const NodeIndex m = node_for(ref, needed);
-    if (!known && !needed)
+    Job* dependency = registry_.find(ref);
+    if (dependency && dependency->orphaned)
+      on_cancelled(dependency->orphaned_at);
+    const NodeIndex m = node_for(ref, dependency);
+    if (!known && !dependency)
       unknown_.push_back(ref);
     nodes_[n].dependencies.push_back(m);
     nodes_[m].dependents.insert(n);
@@ -73,17 +79,17 @@
     mark_changed(m);
   }
   mark_changed(n);
-  if (lost)
-    orphan_dependents(n, *lost);
+  if (orphaned_since)
+    orphan_dependents(n, *orphaned_since);
 }
 
-// The job will never start, and so will none that needs it, directly or through others. All are found at
-// once: closing them one generation after another would take a write's time for each.
+// The job can never start, nor can any that depends on it, directly or through others. All are found at once:
+// recording them one generation after another would take a write's time for each.
 void DependencyGraph::orphan_dependents(NodeIndex first, Seconds since) {
-  std::vector<NodeIndex> open{first};
-  while (!open.empty()) {
-    const NodeIndex n = open.back();
-    open.pop_back();
+  std::vector<NodeIndex> to_visit{first};
+  while (!to_visit.empty()) {
+    const NodeIndex n = to_visit.back();
+    to_visit.pop_back();
     ++visits_;
     Job* job = registry_.job_at(nodes_[n].job);
     if (!job || job->orphaned)
@@ -93,7 +99,7 @@
     orphans_.push_back(job->index);
     for (const NodeIndex m : nodes_[n].dependencies)
       mark_changed(m);
-    open.insert(open.end(), nodes_[n].dependents.begin(), nodes_[n].dependents.end());
+    to_visit.insert(to_visit.end(), nodes_[n].dependents.begin(), nodes_[n].dependents.end());
   }
 }
 
@@ -122,9 +128,9 @@
     nodes_[m].dependents.erase(n);
     mark_changed(m);
     if (nodes_[m].dependents.empty() && (nodes_[m].job == kNoIndex || nodes_[m].dependencies.empty()))
-      release_dependents(m);
+      release_node(m);
   }
-  release_dependents(n);
+  release_node(n);
 }
 
 bool DependencyGraph::awaits_unknown(const std::string& ref) const {
@@ -138,16 +144,16 @@
   const auto it = by_ref_.find(job.spec.ref);
   if (it == by_ref_.end())
     return false;
-  std::vector<NodeIndex> open{it->second};
+  std::vector<NodeIndex> to_visit{it->second};
   std::set<NodeIndex> seen;
-  while (!open.empty()) {
-    const NodeIndex n = open.back();
-    open.pop_back();
+  while (!to_visit.empty()) {
+    const NodeIndex n = to_visit.back();
+    to_visit.pop_back();
     if (!seen.insert(n).second)
       continue;
     if (nodes_[n].job == kNoIndex)
       return true;
-    open.insert(open.end(), nodes_[n].dependencies.begin(), nodes_[n].dependencies.end());
+    to_visit.insert(to_visit.end(), nodes_[n].dependencies.begin(), nodes_[n].dependencies.end());
   }
   return false;
 }
--- a/src/jobs/dependency_graph.hpp
+++ b/src/jobs/dependency_graph.hpp
@@ -1,8 +1,9 @@
-// Which jobs wait for which, and what follows from the end of one. Jobs and ends go in; out come the jobs
-// that may start now, those that never can, and the names of those that nothing is known of yet.
-//
-// A need is met only by an end that is committed: a job that is merely unknown may be live (its creation can
-// be seen before that of a job it needs) or over (before this leadership), so it has to be asked about.
+/// Which jobs depend on which, and what follows from the final state of one. Jobs and final states go in; out
+/// come the jobs that may start now, those that never can, and the references that nothing is known of yet.
+///
+/// A dependency is met only by a committed final state: a job that is merely unknown may be live (its
+/// creation can be seen before that of a job it depends on) or over (before this leadership), so it has to be
+/// looked up.
 #pragma once
 
 #include <functional>
@@ -15,43 +16,54 @@
 
 namespace wingtrail::jobs {
 
+/// The graph of live jobs that depend on others or that others depend on.
 class DependencyGraph {
  public:
+  /// A job's final state, as far as its dependents are concerned.
   struct End {
-    bool done = false;
-    Seconds at = 0;  // by the steady clock
+    bool done = false;  ///< else it is cancelled
+    Seconds at = 0;     ///< by the steady clock
   };
   struct Hooks {
-    std::function<std::optional<End>(const std::string&)> final_state;  // what is known to be committed
-    std::function<Seconds(const Job&)> expected_duration;  // from when it may start until it is over
+    /// The job's committed final state, if any is known.
+    std::function<std::optional<End>(const std::string& ref)> final_state;
+    /// From when the job may start until it is over.
+    std::function<Seconds(const Job&)> expected_duration;
   };
-  DependencyGraph(JobRegistry& registry, Hooks link) : registry_(registry), hooks_(std::move(link)) {}
+  DependencyGraph(JobRegistry& registry, Hooks hooks) : registry_(registry), hooks_(std::move(hooks)) {}
 
   void clear();
-  void add(Job& job);                                 // it is new to the registry
-  void on_ended(const std::string& ref, End end);     // committed; again does no harm
-  bool awaits_unknown(const std::string& ref) const;  // somebody needs it and it is not known here
-  // Whether the job may be an orphan for all that is known: something that it needs, directly or through
-  // others, is still to be asked about.
+  /// The job is new to the registry.
+  void add(Job& job);
+  /// The final state is committed; idempotent.
+  void on_ended(const std::string& ref, End end);
+  /// Whether a job depends on that one, which is not known here.
+  bool awaits_unknown(const std::string& ref) const;
+  /// Whether the job may be an orphan for all that is known: something that it depends on, directly or
+  /// through others, is still to be looked up.
   bool has_undecided_dependency(const Job& job) const;
-  // Highest priority and earliest finish travel from each job to those that it needs.
+  /// Passes the highest priority and the earliest finish on from each job to those that it depends on.
   void propagate_urgency();
 
+  /// Jobs whose last dependency was met since the last call.
   std::vector<JobIndex> take_ready() {
     return std::exchange(ready_, {});
   }
+  /// Jobs that were found since the last call to be unable ever to start.
   std::vector<JobIndex> take_orphans() {
     return std::exchange(orphans_, {});
   }
+  /// References that jobs depend on and that have to be looked up.
   std::vector<std::string> take_unknown() {
     return std::exchange(unknown_, {});
   }
   std::size_t node_count() const {
     return by_ref_.size();
   }
+  /// Steps from one node to another since the start; for tests of what an operation costs.
   std::uint64_t visits() const {
     return visits_;
-  }  // for the tests: the work that all this took
+  }
 
  private:
   using NodeIndex = std::uint32_t;
@@ -63,19 +75,20 @@
     std::set<NodeIndex> dependents;
   };
   NodeIndex node_for(const std::string& ref, Job* job);
-  void release_dependents(NodeIndex n);
+  void release_node(NodeIndex n);
   void orphan_dependents(NodeIndex n, Seconds since);
   void mark_changed(NodeIndex n);
 
   JobRegistry& registry_;
   Hooks hooks_;
-  std::unordered_map<std::string, NodeIndex> by_ref_;  // only jobs that need some or are needed
+  std::unordered_map<std::string, NodeIndex> by_ref_;  // jobs with dependencies or dependents only
   std::vector<Node> nodes_;
   std::vector<NodeIndex> free_nodes_;
-  // Jobs whose urgency is to be reckoned anew, the youngest first: a job names only jobs that were accepted
-  // before it, so everybody that needs a job is done before it, and each is reckoned once.
+  // Jobs whose urgency is to be computed anew, the youngest first: a job names only jobs that were accepted
+  // before it, so all dependents of a job are processed before it, and each is computed once.
   std::set<std::pair<std::uint64_t, NodeIndex>, std::greater<>> changed_;
-  std::vector<JobIndex> ready_, orphans_;
+  std::vector<JobIndex> ready_;
+  std::vector<JobIndex> orphans_;
   std::vector<std::string> unknown_;
   std::uint64_t visits_ = 0;
 };
--- a/src/jobs/job_batches.hpp
+++ b/src/jobs/job_batches.hpp
@@ -1,8 +1,8 @@
-// Sheets: the records of several jobs that were admitted together, in one value. The state service counts
-// changes, and a sheet is one. A sheet never changes; it is deleted when all its jobs are over. A job on a
-// sheet is live as long as it has no final state, so whoever begins to lead asks for those.
-//
-// Two nodes may put the same job on a sheet each: it is the same job, and its final state ends it on both.
+/// Job batches: the records of several jobs that were admitted together, in one value. The state service
+/// counts changes, and a batch is one. A batch never changes; it is deleted when none of its jobs is live. A
+/// job of a batch is live as long as it has no final state, so a new leader asks for those.
+///
+/// Two nodes may each put the same job into a batch: it is the same job, and its final state ends it in both.
 #pragma once
 
 #include <cstdint>
@@ -18,50 +18,53 @@
 
 namespace wingtrail::jobs {
 
-inline constexpr const char* kBatchPrefix = "j/sheet/";  // and who wrote it, its process, a number
+/// Followed by the node that wrote it, its process, and a number.
+inline constexpr const char* kBatchPrefix = "j/sheet/";
 inline bool is_batch_key(std::string_view key) {
   return key.starts_with(kBatchPrefix);
 }
 
-// Calls `f(ref, record)` for each record of a sheet that names a job.
-template <typename F>
-void for_each_record(const wire::Value& sheet, F f) {
-  if (!sheet.is_array())
+/// Calls `visit(ref, record)` for each record of a batch that names a job.
+template <typename Visitor>
+void for_each_record(const wire::Value& batch, Visitor visit) {
+  if (!batch.is_array())
     return;
-  for (const wire::Value& record : sheet) {
+  for (const wire::Value& record : batch) {
     if (const auto ref = wire::text(record, "ref"))
-      f(*ref, record);
+      visit(*ref, record);
   }
 }
 
-// Which live jobs each sheet holds, as the leader knows it; every event costs what it touches.
+/// Which live jobs each batch holds, as the leader knows it. Every operation takes time in proportion to the
+/// jobs and batches that it touches.
 class JobBatches {
  public:
   void clear() {
     *this = {};
   }
-  // It has been read whole, and some of its jobs are live.
+  /// The batch has been read whole, and some of its jobs are live.
   bool fully_read(const std::string& key) const {
     const auto it = batches_.find(key);
     return it != batches_.end() && it->second.fully_read;
   }
-  // The sheet has been read; of its jobs, those are live that are held by now.
+  /// The batch has been read whole: those of its jobs that add_live_job() named are its live ones.
   void on_read(const std::string& key) {
     const auto it = batches_.try_emplace(key).first;
     it->second.fully_read = true;
     erase_if_empty(it);
   }
-  // It holds that live job. Of others that it holds nothing is known before it is read (seed 400310: a sheet
-  // was deleted when the one job was over by which it was known).
+  /// The batch holds that live job. Until the batch has been read, others that it holds may be unknown, so it
+  /// is not deleted before.
   void add_live_job(const std::string& key, JobIndex job) {
     if (batches_[key].live_jobs.insert(job).second)
       batches_of_job_[job].push_back(key);
   }
+  /// The job has a final state, or a key of its own.
   void on_job_over(JobIndex job) {
-    const auto held = batches_of_job_.extract(job);
-    if (held.empty())
+    const auto keys = batches_of_job_.extract(job);
+    if (keys.empty())
       return;
-    for (const std::string& key : held.mapped()) {
+    for (const std::string& key : keys.mapped()) {
       const auto it = batches_.find(key);
       it->second.live_jobs.erase(job);
       erase_if_empty(it);
@@ -73,7 +76,7 @@
   std::size_t size() const {
     return batches_.size();
   }
-  // Sheets that have become empty, to be deleted; each is told once.
+  /// Keys of batches that have become empty, to be deleted; each is returned once.
   std::vector<std::string> take_empty() {
     return std::exchange(empty_, {});
   }
--- a/src/jobs/job_registry.hpp
+++ b/src/jobs/job_registry.hpp
@@ -1,4 +1,4 @@
-// The jobs that are not over yet, as the leader sees them. Names become dense indices here.
+/// The jobs that are not over yet, by reference and by index, and the tables of names that occur in them.
 #pragma once
 
 #include <algorithm>
@@ -10,86 +10,14 @@
 #include <vector>
 
 #include "jobs/dense_index.hpp"
+#include "jobs/job.hpp"
 #include "jobs/name_table.hpp"
-#include "jobs/write_shares.hpp"
-#include "ports/outbox.hpp"
 #include "settings/settings.hpp"
 #include "wire/messages.hpp"
 
 namespace wingtrail::jobs {
 
-using ports::Seconds;
-enum class TaskState : std::uint8_t { pending, placed, done };
-
-struct Task {
-  TaskState state = TaskState::pending;
-  bool running = false;
-  MachineIndex machine;
-  std::uint32_t pending_position = 0;  // where it stands in `pending`
-};
-
-struct Job {
-  JobIndex index;
-  wire::JobSpec spec;
-  TeamIndex team;
-  ImageIndex image;
-  ClassIndex job_class;
-  ZoneIndex zone;
-  std::vector<MachineTypeIndex> types;  // empty: any
-  std::uint64_t created_revision = 0;   // revision of its creation
-  bool has_own_key = true;              // it has a key j/REF; else it is on sheets alone (jobs/sheets.hpp)
-  Seconds submitted_at = 0;             // what its own deadline counts from
-  Seconds eligible_since = 0;  // what all other times count from: it was submitted, and all it needs is done
-  // Set by Chains. A job that waits for others has no part in anything but their ends.
-  std::uint32_t unmet_dependencies = 0;  // jobs that it needs and that are not known to be done
-  bool orphaned = false;                 // one of them is cancelled
-  Seconds orphaned_at = 0;               // since then, or since it came if that was later
-  bool placed_remotely = false;  // another cell holds it, or may (cells/stays.hpp): nothing of it starts here
-  std::uint64_t visited_cells = 0;  // cells that it was handed on to, a bit each: it is over there
-  bool selected_for_offload =
-      false;                // it would begin sooner there, and goes once there is room: not begun here
-  std::string origin_cell;  // the cell that it came from; empty: it is this one's own
-  wire::Priority effective_priority{};    // its own, or that of a job that needs it
-  Seconds latest_finish = ports::kNever;  // when it must be over for those that need it
-  std::vector<Task> tasks;
-  std::vector<std::uint32_t> pending_tasks;  // task numbers, in no order that matters; the next one last
-  std::uint32_t done_tasks = 0, running_tasks = 0, placed_tasks = 0;
-  std::vector<std::uint32_t> placed_by_zone;  // placed tasks by zone
-  bool cancelling = false;                    // its user wants it cancelled; its tasks must be gone first
-  bool final_state_pending = false;           // its final state is being persisted
-  bool final_state_recorded = false;          // and has been
-  bool final_state_sent = false;              // so it may have been, for all that is known here
-  bool has_cancellation_marker = false;       // there is a record that its user wants it cancelled
-  wire::Phase final_phase = wire::Phase::queued;
-  RecordKind final_record_kind = RecordKind::completed;  // while it is closing
-  Seconds final_state_decided_at = 0;                    // when its end was decided
-  Seconds record_order = 0;  // its place among ends of its kind: the earlier go first
-  // A task that fails where others succeed points at its machine; one that fails everywhere, at the job.
-  std::vector<MachineIndex> failed_machines;
-  std::uint32_t error_count = 0;
-  Seconds last_start_at = 0;
-  std::uint32_t lost_starts = 0;  // starts that came to nothing, for whatever cause
-  bool has_succeeded = false;
-  Seconds not_before = 0;
-  std::uint64_t gang_attempt = 0;  // what the tasks of a gang that are placed now were started as
-
-  bool is_service() const {
-    return spec.shape == wire::Shape::service;
-  }
-  bool is_gang() const {
-    return spec.shape == wire::Shape::gang;
-  }
-  bool is_open() const {
-    return !final_state_pending && !final_state_recorded;
-  }
-  bool is_held() const {
-    return unmet_dependencies > 0 || orphaned || cancelling || placed_remotely;
-  }
-  wire::Phase phase() const {
-    return running_tasks > 0 ? wire::Phase::running : wire::Phase::queued;
-  }
-};
-
+/// Owns the live jobs and keeps the states of their tasks and the counts of these consistent.
 class JobRegistry {
  public:
   explicit JobRegistry(const settings::Settings& settings);
@@ -100,41 +28,51 @@
   NameTable<ZoneIndex> zones;
   NameTable<MachineTypeIndex> types;
 
-  std::function<void(Job&)> on_pending;  // one of its tasks waits again
-  // So many of its tasks came to that zone, or left it if there are less than none.
+  /// A task of the job is pending again.
+  std::function<void(Job&)> on_pending;
+  /// That many of the job's tasks were placed in the zone; negative: they left it.
   std::function<void(const Job&, ZoneIndex zone, int tasks)> on_placed;
 
+  /// Adds the job, all tasks pending; returns the known one if there is one of that reference.
   Job& add(const wire::JobSpec& spec, std::uint64_t created, Seconds submitted);
+  /// Size of the image; 0 if it is unknown.
   double image_gb(ImageIndex image) const {
     return image < image_gb_.size() ? image_gb_[image] : 0;
   }
+  /// Null if no live job has that reference.
   Job* find(const std::string& ref);
-  Job* job_at(JobIndex ix) {
-    return ix < jobs_.size() ? jobs_[ix].get() : nullptr;
+  /// Null if the index is kNoIndex or the job has been erased.
+  Job* job_at(JobIndex index) {
+    return index < jobs_.size() ? jobs_[index].get() : nullptr;
   }
   void clear();
-  // Frees a job that is over and that no machine holds a task of.
+  /// Erases the job if its final state is recorded and no machine holds a task of it.
   void erase_if_over(Job& job);
-  // A record was read of a job that turns out to have been over; nothing else knows of it yet.
+  /// Erases a job whose record was read although it has a final state; nothing else refers to it yet.
   void forget(const std::string& ref);
-  // Those that are not over; for what is done once a second at most.
-  template <typename F>
-  void for_each(F f) {
-    for (const auto& [ref, ix] : by_ref_)
-      f(*jobs_[ix]);
+  /// Visits every live job, in no order that matters; for what is done once a second at most.
+  template <typename Visitor>
+  void for_each(Visitor visit) {
+    for (const auto& [ref, index] : by_ref_)
+      visit(*jobs_[index]);
   }
   std::size_t live_count() const {
     return by_ref_.size();
   }
+  /// Jobs of which no task may be started here.
   std::size_t held_count() const {
-    return static_cast<std::size_t>(std::count_if(
-        by_ref_.begin(), by_ref_.end(), [this](const auto& j) { return jobs_[j.second]->is_held(); }));
+    return static_cast<std::size_t>(std::count_if(by_ref_.begin(), by_ref_.end(), [this](const auto& entry) {
+      return jobs_[entry.second]->is_held();
+    }));
   }
 
+  /// A command to start the task on the machine is about to be sent, or its worker reports it.
   void place_task(Job& job, std::uint32_t task, MachineIndex machine, ZoneIndex zone);
   void set_task_running(Job& job, std::uint32_t task, bool running);
+  /// The task is not on its machine any more and was not completed: it is pending again.
   void unplace_task(Job& job, std::uint32_t task, ZoneIndex zone);
-  void complete_task(Job& job, std::uint32_t task, ZoneIndex zone);  // zone kNoIndex: it was not placed
+  /// `zone` is where the task was placed; kNoIndex: it was not.
+  void complete_task(Job& job, std::uint32_t task, ZoneIndex zone);
 
  private:
   static void add_pending(Job& job, std::uint32_t task);
--- a/src/jobs/record_pages.hpp
+++ b/src/jobs/record_pages.hpp
@@ -1,9 +1,9 @@
-// Records kept many to a value, since the state service counts writes: which entry is in which page, which
-// pages are due, and in which order they may be written so that no crash loses an entry.
-//
-// Values that another version wrote, or that were written under other limits, may be larger than may be
-// written now, and may hold an entry twice. A page that is too large is divided when it is due; what moves is
-// written in its new place before it leaves the old one.
+/// Records kept many to a value, since the state service counts writes: which entry is in which page, which
+/// pages are due, and in which order they may be written so that no crash loses an entry.
+///
+/// Values that another version wrote, or that were written under other limits, may be larger than may be
+/// written now, and may hold an entry twice. A page that is too large is split when it is due; what moves is
+/// written in its new place before it leaves the old one.
 #pragma once
 
 #include <algorithm>
@@ -21,27 +21,33 @@
 
 using ports::Seconds;
 
+/// How soon a page has to be written; `opportunistic`: it is of use only to a later leader.
 enum class PageUrgency : std::uint8_t { none, opportunistic, soon, now };
 
+/// The assignment of entries to pages. It knows entries and their sizes only; values are encoded by its
+/// users.
 template <typename Entry>
 class RecordPages {
  public:
   struct Page {
     std::vector<Entry> entries;
-    std::size_t bytes = 0;
+    std::size_t bytes = 0;  ///< of its entries, estimated
     PageUrgency urgency = PageUrgency::none;
-    Seconds due_since = 0;             // when it became due
-    std::set<std::size_t> blocked_by;  // pages to be written first: they now hold what its value still does
-    std::set<std::size_t> blocks;      // and the other way round
-    // Revision of the last change of its key that is known of; 0: there is none. Each write demands it, so
-    // one that the state service carries out late cannot put an older value in the place of a newer one.
+    Seconds due_since = 0;
+    std::set<std::size_t> blocked_by;  ///< pages to be written first: they now hold what its value still does
+    std::set<std::size_t> blocks;      ///< pages that this one blocks
+    /// Revision of the last known change of its key; 0: it does not exist. Each write is conditioned on it,
+    /// so one that is applied late cannot replace a newer value by an older one.
     std::uint64_t version = 0;
-    bool version_lookup_pending =
-        false;  // its version is being asked for: a write without an answer was carried out
+    /// Its version is being read: a write without an answer was applied. It is not written meanwhile.
+    bool version_lookup_pending = false;
   };
 
   void clear() {
-    pages_.clear(), page_of_.clear(), due_pages_.clear(), sizes_.clear();
+    pages_.clear();
+    page_of_.clear();
+    due_pages_.clear();
+    sizes_.clear();
   }
   std::size_t size() const {
     return pages_.size();
@@ -55,30 +61,30 @@
   const std::set<std::size_t>& due_pages() const {
     return due_pages_;
   }
-  std::optional<std::size_t> page_of(const Entry& e) const {
-    auto it = page_of_.find(e);
+  std::optional<std::size_t> page_of(const Entry& entry) const {
+    auto it = page_of_.find(entry);
     return it == page_of_.end() ? std::nullopt : std::optional<std::size_t>(it->second);
   }
 
-  // The entry's page; the first one with room if it has none yet.
-  std::size_t assign(const Entry& e, std::size_t bytes, std::size_t limit) {
-    if (auto n = page_of(e))
+  /// The entry's page; if it has none yet, the first one that it fits into within the limit.
+  std::size_t assign(const Entry& entry, std::size_t bytes, std::size_t limit) {
+    if (auto n = page_of(entry))
       return *n;
     std::size_t n = 0;
     while (n < pages_.size() && !(pages_[n].bytes + bytes <= limit))
       ++n;
-    insert(e, bytes, n);
+    insert(entry, bytes, n);
     return n;
   }
 
-  // A stored page holds the entry. If another one does too, that one keeps it, and this one is written anew
-  // once the other, which may by now hold more than either did, has been.
-  void add_stored(const Entry& e, std::size_t bytes, std::size_t n, Seconds now) {
+  /// A stored page holds the entry. If another one does too, that one keeps it, and this one is written anew
+  /// after the other, which may by now hold more than either did.
+  void add_stored(const Entry& entry, std::size_t bytes, std::size_t n, Seconds now) {
     if (pages_.size() <= n)
       pages_.resize(n + 1);
-    const auto first = page_of(e);
+    const auto first = page_of(entry);
     if (!first)
-      return insert(e, bytes, n);
+      return insert(entry, bytes, n);
     if (*first == n)
       return;
     block_until_written(n, *first);
@@ -86,28 +92,31 @@
     mark_due(n, PageUrgency::soon, now);
   }
 
-  void remove(const Entry& e) {
-    const auto it = page_of_.find(e);
+  void remove(const Entry& entry) {
+    const auto it = page_of_.find(entry);
     if (it == page_of_.end())
       return;
     Page& page = pages_[it->second];
     page_of_.erase(it);
-    std::erase(page.entries, e);
-    page.bytes -= std::min(page.bytes, sizes_.extract(e).mapped());
+    std::erase(page.entries, entry);
+    page.bytes -= std::min(page.bytes, sizes_.extract(entry).mapped());
   }
 
-  void mark_due(std::size_t n, PageUrgency due, Seconds now) {
+  void mark_due(std::size_t n, PageUrgency urgency, Seconds now) {
     Page& page = pages_[n];
-    if (due <= page.urgency)
+    if (urgency <= page.urgency)
       return;
-    if (page.urgency == PageUrgency::none)
-      page.due_since = now, due_pages_.insert(n);
-    page.urgency = due;
+    if (page.urgency == PageUrgency::none) {
+      page.due_since = now;
+      due_pages_.insert(n);
+    }
+    page.urgency = urgency;
   }
   void clear_due(std::size_t n) {
-    pages_[n].urgency = PageUrgency::none, due_pages_.erase(n);
+    pages_[n].urgency = PageUrgency::none;
+    due_pages_.erase(n);
   }
-  // The page's value has been replaced by what it holds now.
+  /// The page's stored value is what it holds now.
   void on_written(std::size_t n) {
     for (const std::size_t other : std::exchange(pages_[n].blocks, {}))
       pages_[other].blocked_by.erase(n);
@@ -115,25 +124,25 @@
   bool is_writable(std::size_t n) const {
     return pages_[n].blocked_by.empty() && !pages_[n].version_lookup_pending;
   }
-  // The page's key was read, or written, at that revision; 0: it does not exist.
+  /// The page's key was read or written at that revision; 0: it does not exist.
   void set_version(std::size_t n, std::uint64_t version) {
     if (pages_.size() <= n)
       pages_.resize(n + 1);
     pages_[n].version = version;
   }
 
-  // Moves entries to other pages until this one keeps to the limit; true if any had to. One entry always
-  // stays.
+  /// Moves entries to other pages until this one keeps to the limit; true if any had to move. One entry
+  /// always stays.
   bool split(std::size_t n, std::size_t limit, Seconds now) {
     bool moved = false;
     while (pages_[n].bytes > limit && pages_[n].entries.size() > 1) {
-      const Entry e = pages_[n].entries.back();
-      const std::size_t bytes = sizes_.at(e);
-      remove(e);
+      const Entry entry = pages_[n].entries.back();
+      const std::size_t bytes = sizes_.at(entry);
+      remove(entry);
       std::size_t to = 0;
       while (to < pages_.size() && (pages_[to].bytes + bytes > limit || waits_for(to, n)))
         ++to;
-      insert(e, bytes, to);
+      insert(entry, bytes, to);
       mark_due(to, PageUrgency::soon, now);
       block_until_written(n, to);
       moved = true;
@@ -142,13 +151,13 @@
   }
 
  private:
-  void insert(const Entry& e, std::size_t bytes, std::size_t n) {
+  void insert(const Entry& entry, std::size_t bytes, std::size_t n) {
     if (pages_.size() <= n)
       pages_.resize(n + 1);
-    pages_[n].entries.push_back(e);
+    pages_[n].entries.push_back(entry);
     pages_[n].bytes += bytes;
-    page_of_.emplace(e, n);
-    sizes_.emplace(e, bytes);
+    page_of_.emplace(entry, n);
+    sizes_.emplace(entry, bytes);
   }
   bool waits_for(std::size_t n, std::size_t other) const {
     if (n == other)
@@ -156,7 +165,7 @@
     return n < pages_.size() && std::any_of(pages_[n].blocked_by.begin(), pages_[n].blocked_by.end(),
                                             [&](std::size_t first) { return waits_for(first, other); });
   }
-  // Never in a circle, or none of its pages could ever be written.
+  // Never in a cycle, or none of its pages could ever be written.
   void block_until_written(std::size_t n, std::size_t first) {
     if (waits_for(first, n))
       return;
--- a/src/jobs/write_shares.cpp
+++ b/src/jobs/write_shares.cpp
@@ -4,9 +4,10 @@
 
 namespace wingtrail::jobs {
 namespace {
-// Cancellations have a time limit, and so has what nobody can answer about; the others may be late.
+/// By RecordKind. Cancelled and orphaned jobs have a time limit; the others may be late.
 constexpr std::array<double, kRecordKinds> kWeights{2, 2, 1, 1, 1};
-constexpr double kPressing = 4;  // times the weight
+/// Times the weight, near a time limit.
+constexpr double kNearLimitFactor = 4;
 }  // namespace
 
 const char* name(RecordKind kind) {
@@ -28,11 +29,11 @@
   return first ? std::optional(static_cast<RecordKind>(*first)) : std::nullopt;
 }
 
-void WriteShares::charge(RecordKind kind, int changes, bool pressing) {
-  const std::size_t k = index(kind);
-  const double weight = kWeights[k] * (pressing ? kPressing : 1);
-  virtual_time_ = start(k);
-  finish_[k] = virtual_time_ + changes / weight;
+void WriteShares::charge(RecordKind kind, int changes, bool near_limit) {
+  const std::size_t number = index(kind);
+  const double weight = kWeights[number] * (near_limit ? kNearLimitFactor : 1);
+  virtual_time_ = start(number);
+  finish_[number] = virtual_time_ + changes / weight;
 }
 
 }  // namespace wingtrail::jobs
