--- a/tests/record_pages_test.cpp
+++ b/tests/record_pages_test.cpp
@@ -1,5 +1,5 @@
 // What one version writes and another reads: the layouts are encoded and decoded here by the test's own code,
-// as the version before chains does it, and by the ledger under either limit.
+// as the version before chains does it, and by the state_writer under either limit.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,11 +10,11 @@
 namespace wingtrail::jobs {
 namespace {
 
-// A state service that keeps what it is given, and a ledger that leads.
+// A state service that keeps what it is given, and a state_writer that leads.
 class RecordsTest : public ::testing::Test {
  protected:
-  std::map<std::string, wire::Value> kept;
-  std::size_t largest = 0, most_ops = 0;
+  std::map<std::string, wire::Value> stored;
+  std::size_t largest = 0, most_changes = 0;
   std::size_t refuse_above = 1 << 20;  // values larger than this are called malformed
   int crash_after = -1;                // so many transactions are applied
 
@@ -23,31 +23,31 @@
     ports::Outbox out;
     store::StateClient store;
     JobRegistry registry;
-    StateWriter ledger;
+    StateWriter state_writer;
     std::vector<std::string> hosts;  // by index
-    std::set<jobs::MachineIndex> enlisted;
-    explicit Leader(double value_kb, int txn_ops)
-        : settings(with(value_kb, txn_ops)),
+    std::set<jobs::MachineIndex> recorded_machines;
+    explicit Leader(double value_kb, int transaction_changes)
+        : settings(with(value_kb, transaction_changes)),
           store(out, settings),
           registry(settings),
-          ledger(out, store, registry, settings,
-                 {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
-      ledger.set_events({[](Job&) {}, [](const std::vector<StateWriter::CompletedTask>&) {},
-                         [this](jobs::MachineIndex ix) { enlisted.insert(ix); },
-                         [this](jobs::MachineIndex ix) {
-                           return record(hosts[ix]);
-                         }});
-      ledger.begin_leadership();
+          state_writer(out, store, registry, settings,
+                       {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
+      state_writer.set_events({[](Job&) {}, [](const std::vector<StateWriter::CompletedTask>&) {},
+                               [this](jobs::MachineIndex ix) { recorded_machines.insert(ix); },
+                               [this](jobs::MachineIndex ix) {
+                                 return record(hosts[ix]);
+                               }});
+      state_writer.begin_leadership();
     }
-    static settings::Settings with(double value_kb, int txn_ops) {
+    static settings::Settings with(double value_kb, int transaction_changes) {
       settings::Settings s;
       s.state_value_kb = value_kb;
-      s.max_transaction_changes = txn_ops;
+      s.max_transaction_changes = transaction_changes;
       s.state_requests_per_s = s.state_writes_per_s = 1e6;
       s.teams = {{"t"}};
       return s;
     }
-    jobs::MachineIndex host(const std::string& name) {
+    jobs::MachineIndex add_host(const std::string& name) {
       hosts.push_back(name);
       return jobs::MachineIndex(hosts.size() - 1);
     }
@@ -73,7 +73,7 @@
     if (key == "lead")
       return 7;
     const auto it = versions.find(key);
-    return !kept.contains(key) ? 0 : it == versions.end() ? 1 : it->second;
+    return !stored.contains(key) ? 0 : it == versions.end() ? 1 : it->second;
   }
   // As the state service carries a transaction out.
   void apply(const wire::Value& body, ports::Reply& r) {
@@ -90,32 +90,32 @@
     for (const auto& op : body["apply"]) {
       if (op.contains("put")) {
         const auto key = op["put"].get<std::string>();
-        kept[key] = op["data"];
+        stored[key] = op["data"];
         versions[key] = revision;
       } else {
-        kept.erase(op["delete"].get<std::string>());
+        stored.erase(op["delete"].get<std::string>());
       }
     }
   }
 
-  // Lets the ledger write until nothing is left to do; false once it has "crashed".
-  bool run(Leader& l) {
+  // Lets the state_writer write until nothing is left to do; false once it has "crashed".
+  bool run(Leader& leader) {
     for (int i = 0; i < 4000; ++i) {
-      if (!step(l))
+      if (!step(leader))
         return false;
     }
     return true;
   }
-  bool step(Leader& l) {
-    for (auto& action : l.out.drain()) {
+  bool step(Leader& leader) {
+    for (auto& action : leader.out.drain()) {
       const auto& call = std::get<ports::Call>(action);
       ports::Reply r;
       if (call.method == "GET") {
         const std::string key = call.path.substr(std::string("/kv/").size());
-        r.status = kept.contains(key) ? 200 : 404;
+        r.status = stored.contains(key) ? 200 : 404;
         if (r.status == 200)
-          r.body = {{"path", key}, {"data", kept[key]}, {"stamp", version_of(key)}};
-        l.out.complete(call.id, r);
+          r.body = {{"path", key}, {"data", stored[key]}, {"stamp", version_of(key)}};
+        leader.out.complete(call.id, r);
         continue;
       }
       std::size_t size = 0;
@@ -128,7 +128,7 @@
       if (lose > 0) {  // no answer; `late` is carried out when the test says so
         --lose;
         late.push_back(call.body);
-        l.out.complete(call.id, r);
+        leader.out.complete(call.id, r);
         continue;
       }
       r.status = size > refuse_above ? 400 : 200;
@@ -136,36 +136,37 @@
         if (crash_after > 0)
           --crash_after;
         largest = std::max(largest, size);
-        most_ops = std::max(most_ops, call.body["apply"].size());
+        most_changes = std::max(most_changes, call.body["apply"].size());
         apply(call.body, r);
       }
-      l.out.complete(call.id, r);
+      leader.out.complete(call.id, r);
     }
-    l.out.set_now(l.out.now() + 0.05);
-    l.out.run_timers();
+    leader.out.set_now(leader.out.now() + 0.05);
+    leader.out.run_timers();
     return true;
   }
   // Until a transaction has got no answer.
-  bool run_until_lost(Leader& l) {
+  bool run_until_lost(Leader& leader) {
     for (int i = 0; i < 200 && lose > 0; ++i) {
-      step(l);
+      step(leader);
     }
     return lose == 0;
   }
-  void load(Leader& l) {
-    for (const auto& [key, value] : kept) {
+  void load(Leader& leader) {
+    for (const auto& [key, value] : stored) {
       if (key.starts_with(kCompletionPrefix)) {
-        EXPECT_TRUE(l.ledger.load_completion_page(key, value, version_of(key))) << key;
+        EXPECT_TRUE(leader.state_writer.load_completion_page(key, value, version_of(key))) << key;
       }
       if (key.starts_with(kInventoryPrefix)) {
-        EXPECT_TRUE(l.ledger.load_inventory_page(key, value, version_of(key), [&l](const wire::Value& r) {
-          const auto host = wire::text(r, "host").value();
-          for (jobs::MachineIndex ix{0}; ix < l.hosts.size(); ++ix) {
-            if (l.hosts[ix] == host)
-              return ix;
-          }
-          return l.host(host);
-        }));
+        EXPECT_TRUE(leader.state_writer.load_inventory_page(
+            key, value, version_of(key), [&leader](const wire::Value& r) {
+              const auto host = wire::text(r, "host").value();
+              for (jobs::MachineIndex ix{0}; ix < leader.hosts.size(); ++ix) {
+                if (leader.hosts[ix] == host)
+                  return ix;
+              }
+              return leader.add_host(host);
+            }));
       }
     }
   }
@@ -184,7 +185,7 @@
   }
   std::set<std::uint32_t> former_reads(const std::string& ref) const {
     std::set<std::uint32_t> done;
-    for (const auto& [key, value] : kept) {
+    for (const auto& [key, value] : stored) {
       if (!key.starts_with(kCompletionPrefix))
         continue;
       for (const auto& entry : value) {
@@ -202,7 +203,7 @@
   }
   std::multiset<std::string> former_hosts() const {
     std::multiset<std::string> out;
-    for (const auto& [key, value] : kept) {
+    for (const auto& [key, value] : stored) {
       if (!key.starts_with(kInventoryPrefix))
         continue;
       for (const auto& h : value["hosts"]) {
@@ -236,7 +237,7 @@
                             former_entry("req-2", 0, 30, {c})});
   }
   for (int crash = 0; crash < 24; ++crash) {
-    kept = former;
+    stored = former;
     crash_after = crash;
     Leader a(2, 4);
     a.job("req-1", kTasks);
@@ -249,12 +250,12 @@
       if (done.contains(t))
         continue;
       a.registry.complete_task(*a.registry.find("req-1"), t, kNoIndex);
-      a.ledger.record_completion(*a.registry.find("req-1"), t, jobs::MachineIndex(0), 1);
+      a.state_writer.record_completion(*a.registry.find("req-1"), t, jobs::MachineIndex(0), 1);
       more.insert(t);
     }
     const bool whole = run(a);
     EXPECT_LE(largest, 2048U);
-    EXPECT_LE(most_ops, 4U);
+    EXPECT_LE(most_changes, 4U);
     const auto read = former_reads("req-1");
     EXPECT_TRUE(std::includes(read.begin(), read.end(), done.begin(), done.end())) << "crash after " << crash;
     Leader b(2, 4);
@@ -276,7 +277,7 @@
   Job& job = small.job("req-1", 100'000);
   for (std::uint32_t i = 0; i < 100'000; i += 3) {
     small.registry.complete_task(job, i, kNoIndex);
-    small.ledger.record_completion(job, i, jobs::MachineIndex(0), 1);
+    small.state_writer.record_completion(job, i, jobs::MachineIndex(0), 1);
   }
   ASSERT_TRUE(run(small));
   EXPECT_EQ(former_reads("req-1").size(), job.done_tasks);
@@ -286,7 +287,7 @@
   EXPECT_EQ(again.done_tasks, job.done_tasks);
   // Rewriting gathers the parts of a chunk; none is lost, whenever it crashes.
   large.registry.complete_task(again, 1, kNoIndex);
-  large.ledger.record_completion(again, 1, jobs::MachineIndex(0), 1);
+  large.state_writer.record_completion(again, 1, jobs::MachineIndex(0), 1);
   crash_after = 1;
   run(large);
   EXPECT_GE(former_reads("req-1").size(), job.done_tasks);
@@ -306,23 +307,23 @@
     former["r/" + std::to_string(page)] = {{"images", {"img-0007", "img-0012"}}, {"hosts", hosts}};
   }
   for (int crash = 0; crash < 30; crash += 3) {
-    kept = former;
+    stored = former;
     crash_after = crash;
-    Leader l(2, 4);
-    load(l);
-    ASSERT_EQ(l.hosts.size(), all.size());
+    Leader leader(2, 4);
+    load(leader);
+    ASSERT_EQ(leader.hosts.size(), all.size());
     // One machine of each page is gone, and a new one joins.
     for (int page = 0; page < 6; ++page)
-      l.ledger.remove_machine(jobs::MachineIndex(page * 45));
-    const jobs::MachineIndex fresh = l.host("i-900000");
-    l.ledger.add_machine(fresh);
-    const bool whole = run(l);
+      leader.state_writer.remove_machine(jobs::MachineIndex(page * 45));
+    const jobs::MachineIndex fresh = leader.add_host("i-900000");
+    leader.state_writer.add_machine(fresh);
+    const bool whole = run(leader);
     EXPECT_LE(largest, 2048U);
     const auto read = former_hosts();
     for (std::size_t i = 0; i < all.size(); ++i) {
-      EXPECT_TRUE(i % 45 == 0 || read.contains(l.hosts[i])) << l.hosts[i] << " after " << crash;
+      EXPECT_TRUE(i % 45 == 0 || read.contains(leader.hosts[i])) << leader.hosts[i] << " after " << crash;
     }
-    EXPECT_EQ(l.enlisted.contains(fresh), read.contains("i-900000"));
+    EXPECT_EQ(leader.recorded_machines.contains(fresh), read.contains("i-900000"));
     if (!whole)
       continue;
     EXPECT_EQ(read.size(), all.size() - 6 + 1) << "each machine once, and none that is gone";
@@ -332,14 +333,14 @@
 // A limit that the settings do not tell of: the page that is refused is made smaller, the others go on.
 TEST_F(RecordsTest, WhatTheStateServiceRefusesIsDividedFurther) {
   refuse_above = 700;
-  Leader l(8, 12);
+  Leader leader(8, 12);
   for (int i = 0; i < 60; ++i)
-    l.ledger.add_machine(l.host(name(i)));
-  ASSERT_TRUE(run(l));
-  EXPECT_EQ(l.enlisted.size(), 60U);
+    leader.state_writer.add_machine(leader.add_host(name(i)));
+  ASSERT_TRUE(run(leader));
+  EXPECT_EQ(leader.recorded_machines.size(), 60U);
   EXPECT_EQ(former_hosts().size(), 60U);
   EXPECT_LE(largest, 700U);
-  EXPECT_GT(l.ledger.malformed_commits(), 0U);
+  EXPECT_GT(leader.state_writer.malformed_commits(), 0U);
 }
 
 // A transaction without an answer that is carried out after newer ones of the same leader (LATER.md of the
@@ -348,33 +349,33 @@
 TEST_F(RecordsTest, AnOlderPageNeverStandsForANewerOne) {
   for (const bool at_once : {false, true}) {
     SCOPED_TRACE(at_once ? "carried out at once, only its answer lost" : "carried out late");
-    kept.clear(), versions.clear(), late.clear();
-    Leader l(8, 12);
-    Job& job = l.job("req-1", 40);
+    stored.clear(), versions.clear(), late.clear();
+    Leader leader(8, 12);
+    Job& job = leader.job("req-1", 40);
     const auto complete = [&](std::uint32_t task) {
-      l.registry.complete_task(job, task, kNoIndex);
-      l.ledger.record_completion(job, task, jobs::MachineIndex(0), 1);
+      leader.registry.complete_task(job, task, kNoIndex);
+      leader.state_writer.record_completion(job, task, jobs::MachineIndex(0), 1);
     };
-    l.ledger.add_machine(l.host("i-000001"));
+    leader.state_writer.add_machine(leader.add_host("i-000001"));
     complete(3);
-    ASSERT_TRUE(run(l));
-    l.ledger.add_machine(l.host("i-000002"));
+    ASSERT_TRUE(run(leader));
+    leader.state_writer.add_machine(leader.add_host("i-000002"));
     complete(4);
     lose = 2;
     if (at_once) {
       lose = 1;
-      ASSERT_TRUE(run_until_lost(l));
+      ASSERT_TRUE(run_until_lost(leader));
       ports::Reply ignored;
       apply(late.back(), ignored);
       EXPECT_EQ(ignored.status, 200);
       late.clear();
     }
-    l.ledger.add_machine(l.host("i-000003"));
+    leader.state_writer.add_machine(leader.add_host("i-000003"));
     complete(5);
-    ASSERT_TRUE(run(l));
+    ASSERT_TRUE(run(leader));
     EXPECT_EQ(lose, 0) << "else nothing was lost, and this shows nothing";
-    EXPECT_EQ(l.enlisted.size(), 3U);
-    EXPECT_EQ(l.ledger.page_lookups() > 0, at_once);
+    EXPECT_EQ(leader.recorded_machines.size(), 3U);
+    EXPECT_EQ(leader.state_writer.page_lookups() > 0, at_once);
     EXPECT_EQ(late.empty(), at_once);
     for (const auto& body : late) {
       ports::Reply ignored;
@@ -387,28 +388,28 @@
     Leader next(8, 12);
     next.job("req-1", 40);
     load(next);
-    next.ledger.add_machine(next.host("i-000004"));
+    next.state_writer.add_machine(next.add_host("i-000004"));
     ASSERT_TRUE(run(next));
-    EXPECT_EQ(next.ledger.page_lookups(), 0U);
+    EXPECT_EQ(next.state_writer.page_lookups(), 0U);
     EXPECT_EQ(former_hosts().size(), 4U);
   }
 }
 
 // The same of progress alone: with a page of the roster in the same transaction, that one's version would do.
 TEST_F(RecordsTest, OlderProgressNeverStandsForNewer) {
-  Leader l(8, 12);
-  Job& job = l.job("req-1", 40);
+  Leader leader(8, 12);
+  Job& job = leader.job("req-1", 40);
   const auto complete = [&](std::uint32_t task) {
-    l.registry.complete_task(job, task, kNoIndex);
-    l.ledger.record_completion(job, task, jobs::MachineIndex(0), 1);
+    leader.registry.complete_task(job, task, kNoIndex);
+    leader.state_writer.record_completion(job, task, jobs::MachineIndex(0), 1);
   };
   complete(3);
-  ASSERT_TRUE(run(l));
+  ASSERT_TRUE(run(leader));
   complete(4);
   lose = 1;
-  ASSERT_TRUE(run_until_lost(l));
+  ASSERT_TRUE(run_until_lost(leader));
   complete(5);
-  ASSERT_TRUE(run(l));
+  ASSERT_TRUE(run(leader));
   ASSERT_EQ(late.size(), 1U);
   ports::Reply ignored;
   apply(late.front(), ignored);
--- a/tests/state_writer_backlog_test.cpp
+++ b/tests/state_writer_backlog_test.cpp
@@ -22,25 +22,25 @@
 namespace wingtrail::jobs {
 namespace {
 
-constexpr int kOpsOfAnEnd = 2;  // its final state, and the job's own key
+constexpr int kChangesOfAFinalState = 2;  // its final state, and the job's own key
 
-// A ledger that leads beside a state service that carries out whatever it gets, one transaction a step.
-class BusyLedger {
+// A state writer that leads beside a state service that carries out whatever it gets, one transaction a step.
+class BusyStateWriter {
  public:
-  explicit BusyLedger(int txn_ops)
-      : settings_(settings_of(txn_ops)),
+  explicit BusyStateWriter(int transaction_changes)
+      : settings_(settings_of(transaction_changes)),
         store_(out_, settings_),
         registry_(settings_),
-        ledger_(out_, store_, registry_, settings_,
-                {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
-    ledger_.set_events(
+        state_writer_(out_, store_, registry_, settings_,
+                      {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
+    state_writer_.set_events(
         {[this](Job& job) { recorded_.emplace(job.spec.ref, transactions_); },
          [this](const std::vector<StateWriter::CompletedTask>& ended) { persisted_ += ended.size(); },
-         [this](jobs::MachineIndex machine) { enlisted_.emplace(machine, transactions_); },
+         [this](jobs::MachineIndex machine) { recorded_machine_.emplace(machine, transactions_); },
          [](jobs::MachineIndex machine) {
            return wire::Value{{"host", "i-" + std::to_string(machine)}, {"images", {"img-0"}}};
          }});
-    ledger_.begin_leadership();
+    state_writer_.begin_leadership();
   }
 
   Job& job(std::uint32_t tasks = 1) {
@@ -51,27 +51,27 @@
   }
   std::string complete_one() {
     Job& done = job();
-    ledger_.record_final_state(done, wire::Phase::done, {});
+    state_writer_.record_final_state(done, wire::Phase::done, {});
     return done.spec.ref;
   }
   std::string cancel_one() {
     Job& cancelled = job();
-    ledger_.record_final_state(cancelled, wire::Phase::cancelled, {});
+    state_writer_.record_final_state(cancelled, wire::Phase::cancelled, {});
     return cancelled.spec.ref;
   }
   std::string orphan_one() {
     Job& orphan = job();
     orphan.orphaned = true;
-    ledger_.record_orphan(orphan);
+    state_writer_.record_orphan(orphan);
     return orphan.spec.ref;
   }
-  // Lets the ledger write one transaction.
+  // Lets the state writer send one transaction.
   void step() {
     const std::size_t before = transactions_;
     for (int turn = 0; turn < 100 && transactions_ == before; ++turn) {
       for (auto& action : out_.drain()) {
         const auto& call = std::get<ports::Call>(action);
-        most_ops_ = std::max(most_ops_, call.body["apply"].size());
+        most_changes_ = std::max(most_changes_, call.body["apply"].size());
         ++transactions_;
         ports::Reply reply;
         reply.status = 200;
@@ -90,35 +90,35 @@
     const auto found = recorded_.find(ref);
     return found == recorded_.end() ? std::nullopt : std::optional(found->second);
   }
-  std::size_t recorded_ends() const {
+  std::size_t recorded_final_states() const {
     return recorded_.size();
   }
-  bool enlisted(jobs::MachineIndex machine) const {
-    return enlisted_.contains(machine);
+  bool recorded_machine(jobs::MachineIndex machine) const {
+    return recorded_machine_.contains(machine);
   }
   std::size_t persisted() const {
     return persisted_;
   }
   std::size_t waiting() const {
     std::size_t waiting = 0;
-    for (const StateWriter::Backlog& backlog : ledger_.backlogs())
+    for (const StateWriter::Backlog& backlog : state_writer_.backlogs())
       waiting += backlog.waiting;
     return waiting;
   }
-  std::size_t most_ops() const {
-    return most_ops_;
+  std::size_t most_changes() const {
+    return most_changes_;
   }
-  StateWriter& ledger() {
-    return ledger_;
+  StateWriter& state_writer() {
+    return state_writer_;
   }
   JobRegistry& registry() {
     return registry_;
   }
 
  private:
-  static settings::Settings settings_of(int txn_ops) {
+  static settings::Settings settings_of(int transaction_changes) {
     settings::Settings settings;
-    settings.max_transaction_changes = txn_ops;
+    settings.max_transaction_changes = transaction_changes;
     settings.state_requests_per_s = settings.state_writes_per_s = 1e6;
     settings.teams = {{"t"}};
     return settings;
@@ -128,43 +128,43 @@
   ports::Outbox out_;
   store::StateClient store_;
   JobRegistry registry_;
-  StateWriter ledger_;
+  StateWriter state_writer_;
   std::map<std::string, std::size_t> recorded_;
-  std::map<jobs::MachineIndex, std::size_t> enlisted_;
-  std::size_t transactions_ = 0, persisted_ = 0, most_ops_ = 0, jobs_made_ = 0;
+  std::map<jobs::MachineIndex, std::size_t> recorded_machine_;
+  std::size_t transactions_ = 0, persisted_ = 0, most_changes_ = 0, jobs_made_ = 0;
 };
 
-using Produce = std::function<std::string(BusyLedger&)>;
-const Produce kCompleted = [](BusyLedger& l) {
-  return l.complete_one();
+using Produce = std::function<std::string(BusyStateWriter&)>;
+const Produce kCompleted = [](BusyStateWriter& writer) {
+  return writer.complete_one();
 };
-const Produce kCancelled = [](BusyLedger& l) {
-  return l.cancel_one();
+const Produce kCancelled = [](BusyStateWriter& writer) {
+  return writer.cancel_one();
 };
-const Produce kOrphaned = [](BusyLedger& l) {
-  return l.orphan_one();
+const Produce kOrphaned = [](BusyStateWriter& writer) {
+  return writer.orphan_one();
 };
 
-void produce_many(BusyLedger& l, const Produce& produce, int count) {
+void produce_many(BusyStateWriter& writer, const Produce& produce, int count) {
   for (int n = 0; n < count; ++n)
-    produce(l);
+    produce(writer);
 }
 
 // More of one kind than a transaction holds comes before each transaction.
-void play_stream(BusyLedger& l, const Produce& produce, int txn_ops, int transactions) {
+void play_stream(BusyStateWriter& writer, const Produce& produce, int transaction_changes, int transactions) {
   for (int n = 0; n < transactions; ++n) {
-    produce_many(l, produce, txn_ops);
-    l.step();
+    produce_many(writer, produce, transaction_changes);
+    writer.step();
   }
 }
 
 // Whether `wanted` holds within so many transactions of a stream that does not end.
-bool holds_within(BusyLedger& l, const std::vector<Produce>& streams, int txn_ops, int transactions,
-                  const std::function<bool()>& wanted) {
+bool holds_within(BusyStateWriter& writer, const std::vector<Produce>& streams, int transaction_changes,
+                  int transactions, const std::function<bool()>& wanted) {
   for (int n = 0; n < transactions && !wanted(); ++n) {
     for (const Produce& produce : streams)
-      produce_many(l, produce, txn_ops);
-    l.step();
+      produce_many(writer, produce, transaction_changes);
+    writer.step();
   }
   return wanted();
 }
@@ -175,74 +175,77 @@
 constexpr int kLeastPart = 7;
 
 // So many ends of one kind take so many transactions at the most, and one to begin with.
-int transactions_for(int ends, int txn_ops) {
-  const int ends_in_one = txn_ops / kOpsOfAnEnd;
-  return 1 + (ends * kLeastPart + ends_in_one - 1) / ends_in_one;
+int transactions_for(int final_states, int transaction_changes) {
+  const int final_states_in_one = transaction_changes / kChangesOfAFinalState;
+  return 1 + (final_states * kLeastPart + final_states_in_one - 1) / final_states_in_one;
 }
 
-void expect_bounded(const std::vector<Produce>& streams, const Produce& produce, int txn_ops) {
-  BusyLedger l(txn_ops);
+void expect_bounded(const std::vector<Produce>& streams, const Produce& produce, int transaction_changes) {
+  BusyStateWriter writer(transaction_changes);
   for (const Produce& stream : streams)
-    play_stream(l, stream, txn_ops, kWarmup);
-  ASSERT_GT(l.waiting(), static_cast<std::size_t>(kWarmup)) << "there is no backlog";
-  constexpr int kEnds = 30;
+    play_stream(writer, stream, transaction_changes, kWarmup);
+  ASSERT_GT(writer.waiting(), static_cast<std::size_t>(kWarmup)) << "there is no backlog";
+  constexpr int kFinalStates = 30;
   std::vector<std::string> refs;
-  for (int n = 0; n < kEnds; ++n)
-    refs.push_back(produce(l));
+  for (int n = 0; n < kFinalStates; ++n)
+    refs.push_back(produce(writer));
   const auto all_recorded = [&] {
-    return std::all_of(refs.begin(), refs.end(), [&l](const auto& ref) { return l.recorded(ref); });
+    return std::all_of(refs.begin(), refs.end(), [&writer](const auto& ref) { return writer.recorded(ref); });
   };
-  EXPECT_TRUE(holds_within(l, streams, txn_ops, transactions_for(kEnds, txn_ops), all_recorded));
-  EXPECT_GT(l.waiting(), static_cast<std::size_t>(kWarmup)) << "the stream had an end";
-  EXPECT_LE(l.most_ops(), static_cast<std::size_t>(txn_ops));
+  EXPECT_TRUE(holds_within(writer, streams, transaction_changes,
+                           transactions_for(kFinalStates, transaction_changes), all_recorded));
+  EXPECT_GT(writer.waiting(), static_cast<std::size_t>(kWarmup)) << "the stream had an end";
+  EXPECT_LE(writer.most_changes(), static_cast<std::size_t>(transaction_changes));
 }
 
 // A machine that is not listed yet gets no work, and a task whose completion is not recorded keeps its place.
-void expect_pages_bounded(const Produce& stream, int txn_ops) {
-  BusyLedger l(txn_ops);
-  play_stream(l, stream, txn_ops, kWarmup);
-  Job& array = l.job(40);
-  l.registry().complete_task(array, 3, kNoIndex);
-  l.ledger().record_completion(array, 3, jobs::MachineIndex(0), 1);
-  l.ledger().add_machine(jobs::MachineIndex(5));
+void expect_pages_bounded(const Produce& stream, int transaction_changes) {
+  BusyStateWriter writer(transaction_changes);
+  play_stream(writer, stream, transaction_changes, kWarmup);
+  Job& array = writer.job(40);
+  writer.registry().complete_task(array, 3, kNoIndex);
+  writer.state_writer().record_completion(array, 3, jobs::MachineIndex(0), 1);
+  writer.state_writer().add_machine(jobs::MachineIndex(5));
   // Completed tasks are gathered for a second, machines for a moment.
   constexpr int kGathering = 60;
-  EXPECT_TRUE(holds_within(l, {stream}, txn_ops, kGathering + transactions_for(2, txn_ops),
-                           [&l] { return l.enlisted(jobs::MachineIndex(5)) && l.persisted() == 1; }));
-  EXPECT_LE(l.most_ops(), static_cast<std::size_t>(txn_ops));
+  EXPECT_TRUE(holds_within(
+      writer, {stream}, transaction_changes, kGathering + transactions_for(2, transaction_changes),
+      [&writer] { return writer.recorded_machine(jobs::MachineIndex(5)) && writer.persisted() == 1; }));
+  EXPECT_LE(writer.most_changes(), static_cast<std::size_t>(transaction_changes));
 }
 
 // Users who cancel hear in the order in which they asked, however many come after them.
-void expect_oldest_first(const Produce& produce, int txn_ops) {
-  BusyLedger l(txn_ops);
+void expect_oldest_first(const Produce& produce, int transaction_changes) {
+  BusyStateWriter writer(transaction_changes);
   std::vector<std::string> refs;
   for (int n = 0; n < kWarmup; ++n) {
-    for (int k = 0; k < txn_ops; ++k)
-      refs.push_back(produce(l));
-    l.step();
+    for (int k = 0; k < transaction_changes; ++k)
+      refs.push_back(produce(writer));
+    writer.step();
   }
-  EXPECT_GT(l.waiting(), static_cast<std::size_t>(kWarmup)) << "there is no backlog";
-  while (l.waiting() > 0)
-    l.step();
+  EXPECT_GT(writer.waiting(), static_cast<std::size_t>(kWarmup)) << "there is no backlog";
+  while (writer.waiting() > 0)
+    writer.step();
   for (std::size_t n = 1; n < refs.size(); ++n)
-    EXPECT_LE(*l.recorded(refs[n - 1]), *l.recorded(refs[n])) << refs[n - 1] << " came before " << refs[n];
+    EXPECT_LE(*writer.recorded(refs[n - 1]), *writer.recorded(refs[n]))
+        << refs[n - 1] << " came before " << refs[n];
 }
 
-TEST(LedgerBacklog, EveryKindIsRecordedWithinItsBoundBesideAnyOther) {
-  for (const int txn_ops : {12, 4, 3}) {
-    SCOPED_TRACE(::testing::Message() << txn_ops << " changes a transaction");
-    expect_bounded({kCompleted}, kOrphaned, txn_ops);
-    expect_bounded({kCompleted}, kCancelled, txn_ops);
-    expect_bounded({kCancelled}, kCompleted, txn_ops);
-    expect_bounded({kCancelled}, kOrphaned, txn_ops);
-    expect_bounded({kOrphaned}, kCompleted, txn_ops);
-    expect_bounded({kOrphaned}, kCancelled, txn_ops);
-    expect_bounded({kCancelled, kOrphaned}, kCompleted, txn_ops);
-    expect_bounded({kCompleted, kCancelled}, kOrphaned, txn_ops);
-    expect_bounded({kCompleted, kOrphaned}, kCancelled, txn_ops);
+TEST(StateWriterBacklog, EveryKindIsRecordedWithinItsBoundBesideAnyOther) {
+  for (const int transaction_changes : {12, 4, 3}) {
+    SCOPED_TRACE(::testing::Message() << transaction_changes << " changes a transaction");
+    expect_bounded({kCompleted}, kOrphaned, transaction_changes);
+    expect_bounded({kCompleted}, kCancelled, transaction_changes);
+    expect_bounded({kCancelled}, kCompleted, transaction_changes);
+    expect_bounded({kCancelled}, kOrphaned, transaction_changes);
+    expect_bounded({kOrphaned}, kCompleted, transaction_changes);
+    expect_bounded({kOrphaned}, kCancelled, transaction_changes);
+    expect_bounded({kCancelled, kOrphaned}, kCompleted, transaction_changes);
+    expect_bounded({kCompleted, kCancelled}, kOrphaned, transaction_changes);
+    expect_bounded({kCompleted, kOrphaned}, kCancelled, transaction_changes);
     for (const Produce& stream : {kCompleted, kCancelled, kOrphaned}) {
-      expect_pages_bounded(stream, txn_ops);
-      expect_oldest_first(stream, txn_ops);
+      expect_pages_bounded(stream, transaction_changes);
+      expect_oldest_first(stream, transaction_changes);
     }
   }
 }
