--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -13,14 +13,21 @@
 
 /// A type of machine in the cloud's catalog. Prices are per hour of one machine.
 struct MachineType {
+  /// The name of the type.
   std::string name;
+  /// CPUs.
   double cpus = 0;
+  /// GPUs.
   double gpus = 0;
+  /// Memory, in GB.
   double memory_gb = 0;
-  /// The room for images, and how fast they are fetched.
+  /// The room for images, in GB.
   double cache_gb = 0;
+  /// How fast images are fetched.
   double fetch_gb_per_s = 0;
+  /// The price.
   double price = 0;
+  /// The current price as a spot machine.
   double spot_price = 0;
   /// The usual time from the rental to the first heartbeat, in seconds.
   double boot_s = 0;
@@ -34,17 +41,24 @@
 struct ListedMachine {
   /// Where the cloud sees it in its life.
   enum class State : std::uint8_t { booting, running, failed };
+  /// The machine's name.
   std::string host;
+  /// Where its worker takes commands; empty: not known yet.
   std::string address;
+  /// The machine type.
   std::string type;
+  /// The zone.
   std::string zone;
+  /// Whether it is a spot machine.
   bool spot = false;
+  /// Its state.
   State state = State::booting;
   /// Since it was rented, in seconds.
   double age_s = 0;
 };
 /// One page of the cloud's list of machines.
 struct MachineList {
+  /// The machines.
   std::vector<ListedMachine> machines;
   /// Further machines follow the last one.
   bool more = false;
--- a/src/wire/job_messages.hpp
+++ b/src/wire/job_messages.hpp
@@ -26,8 +26,11 @@
 
 /// An amount of each resource.
 struct Resources {
+  /// CPUs.
   double cpus = 0;
+  /// GPUs.
   double gpus = 0;
+  /// Memory, in GB.
   double memory_gb = 0;
 };
 
@@ -35,16 +38,21 @@
 struct JobSpec {
   /// The user's reference; unique, and the same when a submission is repeated.
   std::string ref;
+  /// The class of jobs that it belongs to.
   std::string job_class;
+  /// The team that the job is charged to.
   std::string team;
-  /// The image that every task runs, and its size in GB.
+  /// The image that every task runs.
   std::string image;
+  /// How its tasks belong together.
   Shape shape = Shape::array;
+  /// Its priority.
   Priority priority = Priority::normal;
   /// The number of tasks, from 1 to kMaxTasks.
   std::uint32_t tasks = 0;
   /// What each task takes.
   Resources task_resources;
+  /// The image's size, in GB.
   double image_gb = 0;
   /// The machine types it may run on; empty: any.
   std::vector<std::string> types;
@@ -58,8 +66,9 @@
   bool allows_spot = false;
   /// The run time of a task that the user expects, in seconds.
   double estimate_s = 0;
-  /// The time between two checkpoints, and what one takes, in seconds; an interval of 0: no checkpoints.
+  /// The time between two checkpoints, in seconds; 0: no checkpoints.
   double checkpoint_interval_s = 0;
+  /// What a checkpoint takes, in seconds.
   double checkpoint_cost_s = 0;
   /// The time within which the user needs the job done, in seconds from its submission.
   std::optional<double> deadline_s;
@@ -82,6 +91,7 @@
 
 /// The record of a job that is over.
 struct FinalState {
+  /// Done or cancelled.
   Phase phase = Phase::done;
   /// The number of the job's tasks.
   std::uint32_t tasks = 0;
@@ -104,7 +114,9 @@
 
 /// The job and the number of a task.
 struct TaskName {
+  /// The job's reference.
   std::string ref;
+  /// The task's number in it, from 0.
   std::uint32_t task = 0;
 };
 /// Reads a name such as `req-000412/3`.
--- a/src/wire/parsing.hpp
+++ b/src/wire/parsing.hpp
@@ -18,7 +18,9 @@
 /// enumerator; the first is the one that is sent.
 template <typename E>
 struct EnumName {
+  /// The name in the protocol.
   std::string_view name;
+  /// The enumerator.
   E value;
 };
 
--- a/src/wire/state_messages.hpp
+++ b/src/wire/state_messages.hpp
@@ -15,12 +15,16 @@
 
 /// A key with its value, and the version of the last change to it.
 struct Item {
+  /// The key.
   std::string key;
+  /// Its value.
   Value value;
+  /// The version of its last change.
   std::uint64_t version = 0;
 };
 /// One page of the keys with a prefix.
 struct Range {
+  /// The keys, in their order.
   std::vector<Item> items;
   /// Further keys follow the last one.
   bool more = false;
@@ -29,14 +33,20 @@
 };
 /// One change that a watch reports. A deletion has no value.
 struct Change {
+  /// Whether the key was deleted.
   bool deleted = false;
+  /// The key that changed.
   std::string key;
+  /// Its new value; null after a deletion.
   Value value;
+  /// Its new version.
   std::uint64_t version = 0;
 };
 /// A watch's answer: the changes up to a revision of the store, in their order.
 struct Changes {
+  /// The revision up to which all changes are listed.
   std::uint64_t revision = 0;
+  /// The changes, oldest first.
   std::vector<Change> events;
 };
 
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -22,21 +22,27 @@
 struct TaskStatus {
   /// The task's job.
   std::string ref;
+  /// The task's number in it, from 0.
   std::uint32_t task = 0;
   /// Which start of the task this is.
   std::uint64_t attempt = 0;
+  /// Its phase.
   TaskPhase phase = TaskPhase::fetching;
+  /// Why it exited, if it has.
   ExitCause cause = ExitCause::none;
 };
 
 /// A worker's report on its machine and all its tasks.
 struct Heartbeat {
-  /// The machine's name in the cloud, and where its worker takes commands (HOST:PORT).
+  /// The machine's name in the cloud.
   std::string host;
+  /// Where the worker takes commands, as HOST:PORT.
   std::string address;
-  /// The machine type and the zone.
+  /// The machine type.
   std::string type;
+  /// The zone.
   std::string zone;
+  /// Whether it is a spot machine.
   bool spot = false;
   /// At least 1; increases each time the worker's lease expires.
   std::uint64_t incarnation = 0;
@@ -46,6 +52,7 @@
   std::uint64_t fencing_token = 0;
   /// How soon the cloud takes the machine back, in seconds; none: nothing is announced.
   std::optional<double> preemption_in_s;
+  /// All tasks of the worker.
   std::vector<TaskStatus> tasks;
 };
 /// Reads a heartbeat from its CBOR form (heartbeat_reader.cpp).
@@ -54,9 +61,12 @@
 /// What the leader tells a worker to do with a task.
 struct Command {
   /// Start it; stop it; or drop an exited one from the reports.
-  enum class Verb : std::uint8_t { start, stop, forget } verb;
+  enum class Verb : std::uint8_t { start, stop, forget };
+  /// What to do.
+  Verb verb;
   /// The task's name, such as `req-000412/3`.
   std::string task;
+  /// The start of the task that is meant.
   std::uint64_t attempt;
   /// With a stop: the time for a last checkpoint, in seconds.
   double grace_s = 0;
