--- a/src/peer/codec.hpp
+++ b/src/peer/codec.hpp
@@ -1,4 +1,5 @@
-// What all messages between controllers share: msgpack, read within limits, errors as no value.
+/// @file
+/// The coding that all messages between controllers share: msgpack, read within limits.
 #pragma once
 
 #include <msgpack.hpp>
@@ -8,6 +9,7 @@
 
 namespace wingtrail::peer {
 
+/// The message's msgpack form.
 template <typename T>
 std::string pack(const T& message) {
   msgpack::sbuffer buffer;
@@ -15,6 +17,7 @@
   return {buffer.data(), buffer.size()};
 }
 
+/// Reads a message; none if it is malformed or beyond the limits.
 template <typename T>
 std::optional<T> unpack(std::string_view bytes, const msgpack::unpack_limit& limit) {
   try {
