--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,4 +1,5 @@
-// Coroutine types: Co<T> is a step that somebody awaits, Routine one that a Scope owns.
+/// @file
+/// Coroutine types: Task<T> is a step that somebody awaits, DetachedTask one that runs by itself.
 #pragma once
 
 #include <coroutine>
@@ -9,6 +10,7 @@
 
 namespace wingtrail::net {
 
+/// A coroutine that starts when it is awaited and returns a T. Owns its frame.
 template <typename T>
 class [[nodiscard]] Task {
  public:
@@ -44,7 +46,7 @@
     }
   };
 
-  Task(Task&& other) noexcept : handle_(std::exchange(other.h_, nullptr)) {}
+  Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, nullptr)) {}
   Task& operator=(Task&&) = delete;
   ~Task() {
     if (handle_)
@@ -66,8 +68,9 @@
   std::coroutine_handle<promise_type> handle_;
 };
 
-// Starts at once and frees itself at its end. What it waits for belongs to a Scope, whose cancellation makes
-// every wait return "cancelled", so a routine always runs to its own end and its destructors run.
+/// A coroutine that starts at once and frees itself at its end. What it waits for belongs to a TaskScope,
+/// whose cancellation makes every wait return "cancelled", so it always runs to its own end and its
+/// destructors run.
 struct DetachedTask {
   struct promise_type {
     DetachedTask get_return_object() {
