--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -6,7 +6,8 @@
 #include <pcg_random.hpp>
 
 #include "jobs/state_writer.hpp"
-#include "net/http.hpp"
+#include "net/http_client.hpp"
+#include "net/http_server.hpp"
 #include "store/state_client.hpp"
 
 namespace wingtrail {
--- a/tests/process_cluster.cpp
+++ b/tests/process_cluster.cpp
@@ -26,7 +26,8 @@
 #include <memory>
 
 #include "net/event_loop.hpp"
-#include "net/http.hpp"
+#include "net/http_client.hpp"
+#include "net/http_server.hpp"
 #include "simulation/simulated_cluster.hpp"
 
 namespace wingtrail::simulation {
