--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -76,9 +76,9 @@
   void continue_draining(Excess& excess, ReplicaMigrations& migrations);
   std::vector<Machine*> emptiest_first();
   void remove_excess(Excess excess, ReplicaMigrations migrations);
-  bool drain_one_replica(Machine& m);  // false: none can migrate now
-  int replica_count(const Machine& m);
-  bool counts_as_capacity(const Machine& m) const;
+  bool drain_one_replica(Machine& machine);  // false: none can migrate now
+  int replica_count(const Machine& machine);
+  bool counts_as_capacity(const Machine& machine) const;
   bool zone_unreachable(ZoneIndex zone) const {
     return workers_.zones().is_unreachable(zone, out_.now());
   }
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -50,8 +50,8 @@
   /// The same, to be placed in the next pass.
   void enqueue(Job& job);
   /// A task has ended on the machine, or it is new.
-  void on_capacity_available(Machine& m);
-  void on_machine_gone(Machine& m);
+  void on_capacity_available(Machine& machine);
+  void on_machine_gone(Machine& machine);
   void on_job_over(const Job& job);
   void on_task_exited(Machine& machine, const Allocation& allocation);
   /// Does what no event triggers: retries, lost reservations, preemption, migration. Called every tick.
@@ -129,20 +129,20 @@
   void place_long_jobs();
   void place_short_jobs(std::vector<Job*> short_jobs);
   bool has_startable_task(const Job& job) const;
-  bool can_start_on(const Machine& m, const Job& job, bool ignore_capacity = false) const;
+  bool can_start_on(const Machine& machine, const Job& job, bool ignore_capacity = false) const;
   bool within_guarantee(const Job& job) const;
   bool gang_fits(const Job& job);
   bool fails_everywhere(const Job& job) const;
   std::unordered_map<MachineIndex, std::uint32_t> sample_machines(const Job& job, std::uint32_t probes);
   void reserve(Job& job, std::uint32_t tasks);
-  Job* first_long(const Machine& m);
+  Job* first_long(const Machine& machine);
   // Whether the array has waited so long to begin that its first task goes before the order by cost.
   bool is_overdue(const Job& job) const;
-  Job* first_overdue(const Machine& m);
+  Job* first_overdue(const Machine& machine);
   void start_overdue_jobs();
-  void start_task(Machine& m, Job& job);
-  bool serve_next(Machine& m);
-  void serve_queue(Machine& m);
+  void start_task(Machine& machine, Job& job);
+  bool serve_next(Machine& machine);
+  void serve_queue(Machine& machine);
   bool steal(const Machine& thief);
   void place_long(Job& job);
   void place_short(Job& job);
@@ -150,7 +150,7 @@
   Machine* least_waiting(const Job& job, bool cached_only = false);
   // The machine with the least share of services, for a service; null: none.
   Machine* least_crowded(const Job& job);
-  double crowding(const Machine& m, const Job& job) const;
+  double crowding(const Machine& machine, const Job& job) const;
   Seconds fetch_s(MachineTypeIndex type, const Job& job) const;
   static bool zone_allows_migration(ZoneIndex zone, const Job& job, const Machine& from);
   void update_waiting_load();
@@ -160,10 +160,10 @@
   Machine* migration_target(const Job& job, const Machine& from);
   bool finish_migration(const balancing::Migration& migration);
   void abandon_migration(const balancing::Migration& migration);
-  bool fast_enough(const Machine& m, const Job& job) const;
+  bool fast_enough(const Machine& machine, const Job& job) const;
   // Seconds until a task of the job could begin on the machine.
-  double start_delay_s(const Machine& m, const Job& job) const;
-  double spot_risk_s(const Machine& m, const Job& job) const;
+  double start_delay_s(const Machine& machine, const Job& job) const;
+  double spot_risk_s(const Machine& machine, const Job& job) const;
   // `saves_s`: the wait in seconds that the preemption saves; nothing: the task can start nowhere else.
   // `other_cells_only`: only tasks of jobs offloaded from other cells are stopped.
   bool preempt_for_job(Job& job, std::optional<double> saves_s, bool other_cells_only = false);
