--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "delegation/strict_cancellation.hpp"
 
 namespace wingtrail::controller {
 namespace {
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
+#include "delegation/strict_cancellation.hpp"
 #include "simulation/components.hpp"
 
 namespace wingtrail::simulation {
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "delegation/delegation.hpp"
+#include "delegation/strict_cancellation.hpp"
 #include "workers/resources.hpp"
 #include "workers/worker_manager.hpp"
 
