--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,7 +10,6 @@
 namespace {
 constexpr Seconds kGreeting = 1.0;        // how often peers hear of each other
 constexpr Seconds kFirstGreetings = 0.1;  // and doubling until then, while a node is new
-constexpr Seconds kPeerFresh = 2.5;       // a peer heard of within this time is taken to be there
 constexpr Seconds kPeriod = 0.25;
 constexpr Seconds kReadsWithin =
     12;  // of a new leader, one answer at least: twice what it waits for one, and more
@@ -50,13 +49,25 @@
       write_shares_(settings_.peers.size() + 1),
       request_shares_(settings_.peers.size() + 1),
       creation_queue_(out_, store_, settings_, life_name(seed)),
+      peers_(out_, settings_),
+      batches_(out_, store_, peers_, settings_.tunables.fair_admission > 0),
+      lookup_(out_, store_, batches_,
+              {[this] { return term_; },
+               [this](const std::string& ref, const wire::FinalState& state) {
+                 remember(ref, state);
+               }}),
+      final_state_query_(out_, store_, settings_,
+                         {[this] { return term_; },
+                          [this] {
+                            read_at_ = out_.now();
+                          }}),
       dependencies_(registry_, {[this](const std::string& ref) -> std::optional<jobs::DependencyGraph::End> {
-                                  const auto it = finals_.find(ref);
-                                  if (it == finals_.end())
+                                  const wire::FinalState* state = final_states_.find(ref);
+                                  if (!state)
                                     return std::nullopt;
-                                  const wire::FinalState& e = it->second;
-                                  return jobs::DependencyGraph::End{e.phase == wire::Phase::done,
-                                                                    e.ended_at ? steady(*e.ended_at) : 0};
+                                  return jobs::DependencyGraph::End{
+                                      state->phase == wire::Phase::done,
+                                      state->ended_at ? steady(*state->ended_at) : 0};
                                 },
                                 [this](const jobs::Job& job) {
                                   return scheduler_.expected_duration(job);
@@ -91,7 +102,6 @@
                    [this] {
                      return election_.lease_expires_at();
                    }}),
-      peers_(settings_.peers.size()),
       remote_placements_(neighbour_names(settings_.cells), page_bytes(settings_)),
       cell_views_(settings_.cells.neighbours.size()) {
   state_writer_.set_events({[this](jobs::Job& job) { job_closed(job); },
@@ -122,8 +132,7 @@
   read_catalog();
   read_mark({});
   fetch_catalog();
-  if (settings_.tunables.fair_admission > 0)
-    read_anew();
+  batches_.start();
   probe_store();
   greet();
   periodic();
@@ -204,7 +213,7 @@
   s.put_off = admitted.deferred;
   s.swept = state_writer_.writes().deletions;
   s.admissions_waiting = creation_queue_.waiting_count();
-  s.sheets_live = batch_index_.batch_count();
+  s.sheets_live = batches_.index().batch_count();
   if (settings_.tunables.fair_admission > 0)
     s.state_share = state_parts().writes;
   s.state_asked = store_.recent_demand().writes;
@@ -266,8 +275,10 @@
   if (path == wire::kReadyPath && !from.by_peer) {
     if (wrong_method("GET"))
       return;
-    const bool ready =
-        !catalog_.empty() && (store_.healthy() || served_peer() || is_active_leader() || everybody_waits());
+    // While no controller is served by the state service, being taken out of service would only add the load
+    // balancer's pause to the outage; until it is over, users are told at once to come back.
+    const bool ready = !catalog_.empty() &&
+                       (store_.healthy() || served_peer() || is_active_leader() || peers_.none_served());
     return ready ? respond(from, 200, wire::Value::object()) : try_later(from);
   }
   respond(from, 404);
@@ -396,17 +407,7 @@
 }
 
 void Controller::heard(std::size_t i, const peer::Frame& f) {
-  peers_[i].last_ok = out_.now();
-  peers_[i].store_ok = f.state_service_healthy;
-  peers_[i].bounced = f.rejected_heartbeats;
-  peers_[i].level = f.level;
-  peers_[i].answers = f.answers_heartbeats;
-  peers_[i].modern_since = ports::kNever;
-  if (f.all_support_delegation_s >= 0)
-    peers_[i].modern_since = out_.now() - f.all_support_delegation_s;
-  if (f.level >= peer::kLevelPeerAgreement)
-    peers_[i].span_s = f.max_delegation_s;
-  peers_[i].admission = f.supports_batches;
+  peers_.on_frame(i, f);
   if (!f.deferred_attempts.empty())
     creation_queue_.first_attempts().merge(f.deferred_attempts, out_.time_of_day());
   know_modern();
@@ -465,25 +466,11 @@
 }
 
 std::optional<std::size_t> Controller::leader_peer() const {
-  for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
-    if (settings_.peers[i].name == election_.leader() && out_.now() - peers_[i].last_ok < kPeerFresh)
-      return i;
-  }
-  return std::nullopt;
+  return peers_.reachable_leader(election_.leader());
 }
 
 std::optional<std::size_t> Controller::served_peer(std::uint32_t level) const {
-  auto served = [this, level](std::size_t i) {
-    return out_.now() - peers_[i].last_ok < kPeerFresh && peers_[i].store_ok &&
-           peers_[i].level.value_or(0) >= level;
-  };
-  if (auto leader = leader_peer(); leader && served(*leader))
-    return leader;
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (served(i))
-      return i;
-  }
-  return std::nullopt;
+  return peers_.served_peer(election_.leader(), level);
 }
 
 // `then` hears the peer's verdict; status 0: it gave none. 503 and 429: it put the question off.
@@ -502,11 +489,7 @@
   call.timeout_s = timeout;
   out_.call(std::move(call), [this, peer, then = std::move(then), asked = out_.now()](const ports::Reply& r) {
     if (!r.frame || r.frame->status == 0) {
-      // It is not waited for again before it is heard of. One that was heard of meanwhile only takes long
-      // over this: a cancellation, say, that waits for its tasks. Taken for dead, it cost every question of a
-      // second a fresh read, and those the budget (a flood of cub-meterlink-fleet: 20,450 answers of 429).
-      if (peers_[peer].last_ok <= asked)
-        peers_[peer].last_ok = -1e9;
+      peers_.on_no_reply(peer, asked);
       return then(0, nullptr);
     }
     heard(peer, *r.frame);
@@ -521,20 +504,6 @@
   });
 }
 
-// As far as it can be seen, no node is served by the state service. Being taken out of service would only add
-// the load balancer's pause to the outage; until it is over, users are told at once to come back.
-bool Controller::everybody_waits() const {
-  bool any = false;
-  for (const PeerView& p : peers_) {
-    if (out_.now() - p.last_ok >= kPeerFresh)
-      continue;
-    if (p.store_ok)
-      return false;
-    any = true;
-  }
-  return any;
-}
-
 void Controller::hand_on(const From& from, std::optional<std::size_t> peer, std::string method,
                          std::string path, std::string body, Seconds timeout,
                          const std::function<void(int)>& otherwise) {
@@ -616,7 +585,7 @@
       dependencies_.propagate_urgency();
       follow_chains();
       settle_ends();
-      tell_late_ends();
+      recording_delays_.update(out_.now(), state_writer_.backlogs(), store_.write_rate());
       watch_zones();
       autoscaler_.tick();
       scheduler_.run_pass();
@@ -624,7 +593,7 @@
       check_reach();
     }
   }
-  tell_admission();
+  overload_.update(out_.now(), creation_queue_, state_parts().writes);
   out_.after(kPeriod, [this] { periodic(); });
 }
 
@@ -697,11 +666,8 @@
 // A leader that workers cannot reach lets their leases run out. If peers turn reports away that never come
 // here, one of them should lead.
 void Controller::check_reach() {
-  bool elsewhere = false;
-  for (const PeerView& p : peers_)
-    elsewhere |= out_.now() - p.last_ok < kPeerFresh && p.bounced > 0;
   const Seconds since = out_.now() - std::max(last_report_, reach_since_);
-  if (!elsewhere || since < 2 * settings_.heartbeat_interval_s + 1) {
+  if (!peers_.any_rejects_heartbeats() || since < 2 * settings_.heartbeat_interval_s + 1) {
     unreached_since_ = 0;
     return;
   }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -10,13 +10,19 @@
 #include <string>
 #include <unordered_map>
 
-#include "admission/batch_index.hpp"
 #include "admission/budget_shares.hpp"
 #include "admission/creation_queue.hpp"
 #include "autoscaling/autoscaler.hpp"
 #include "cells/offload_planner.hpp"
 #include "cells/remote_placements.hpp"
+#include "controller/batch_index_follower.hpp"
 #include "controller/deferral_reason.hpp"
+#include "controller/final_state_cache.hpp"
+#include "controller/final_state_query.hpp"
+#include "controller/job_lookup.hpp"
+#include "controller/overload_monitor.hpp"
+#include "controller/peer_directory.hpp"
+#include "controller/recording_delay_reporter.hpp"
 #include "delegation/delegation_ledger.hpp"
 #include "delegation/lease_delegate.hpp"
 #include "jobs/dependency_graph.hpp"
@@ -127,17 +133,6 @@
     std::uint64_t id = 0;
     bool by_peer = false;
   };
-  struct PeerView {
-    Seconds last_ok = -1e9;
-    bool store_ok = false;
-    std::uint32_t bounced = 0;
-    std::optional<std::uint32_t> level;  // what it understands, see peer::kLevel; nothing: not heard of yet
-    bool answers = false;
-    Seconds modern_since = ports::kNever;  // since when it has known all nodes to be of level 2
-    std::optional<Seconds> span_s;         // how long it reckons with grants; nothing: it does not say
-    std::optional<bool> admission;         // admits on sheets and keeps to shares; nothing: not heard of yet
-  };
-
   void route(const From& from, const std::string& method, const std::string& path, const std::string& body);
   void respond(const From& from, int status, wire::Value body = nullptr, std::optional<int> retry_after = {});
   void try_later(const From& from, int status = 503, Seconds in = 1);
@@ -151,11 +146,9 @@
   void check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes);
   void check_some_needs(const std::shared_ptr<Needs>& n);
   void needs_absent(const std::shared_ptr<Needs>& n, std::vector<std::string> refs);
-  // What is known of a live job by a read, and by which leadership of this node it was asked for.
-  static wire::Value live_record(const wire::Value& spec, const wire::Item& item, std::uint64_t term);
-  void found_live(const wire::Value& live);
+  void on_live_job_read(const LiveRecord& live);
   void refuse_unless_accepted(const From& from, const std::string& ref, const std::string& why);
-  bool old_leader() const;
+  bool leader_lacks_dependencies() const;
   void create_here(const std::shared_ptr<Creation>& c);
   void lose_patience(const std::shared_ptr<Creation>& c);
   void create_at_peer(const std::shared_ptr<Creation>& c);
@@ -188,19 +181,8 @@
   void answer_live(const From& from, jobs::Job& job, bool brief);
   // Jobs on sheets (admission/index.hpp).
   bool all_admit() const;
-  bool sheets_matter() const;
   bool fixed_parts() const;
   store::StateClient::BudgetShare state_parts() const;
-  void read_sheets(const std::string& after);
-  void follow_sheets();
-  void read_anew();
-  void take_changes(const wire::Changes& changes);
-  void catch_up(std::function<void(bool)> then);
-  void catch_up_now();
-  // Which of the jobs named are over; `then` does not run if the leadership ends before.
-  void ask_over(std::vector<std::string> refs, std::function<void(const std::set<std::string>&)> then);
-  struct Over;
-  void ask_some_over(const std::shared_ptr<Over>& o);
   void drop_over(std::function<void()> then);
   void sheet_seen(const std::string& key, const wire::Value& value, std::uint64_t version,
                   const std::set<std::string>& over = {});
@@ -208,11 +190,6 @@
   struct Rereading;
   void read_more(const std::shared_ptr<Rereading>& all);
   void take_again(const std::shared_ptr<Rereading>& all);
-  void tell_admission();
-  using OnFresh = std::function<void(int status, std::optional<wire::Phase>, wire::Value)>;
-  void fresh(const std::string& ref, store::RequestPriority urgency, bool need_spec, const OnFresh& then);
-  void fresh_on_sheets(const std::string& ref, store::RequestPriority urgency, bool need_spec, Seconds asked,
-                       const OnFresh& then);
   // `cautious`: the leader was asked and put the question off, so a job that needs others may be an orphan.
   void answer_fresh(const From& from, const std::string& ref, bool brief, bool cautious = false);
   void answer_accepted(const From& from, const wire::JobSpec& spec);
@@ -224,7 +201,6 @@
                 std::function<void(int, const wire::Value&)> then);
   std::optional<std::size_t> leader_peer() const;
   std::optional<std::size_t> served_peer(std::uint32_t level = 0) const;
-  bool everybody_waits() const;
   void remember(const std::string& ref, const wire::FinalState& ended);
 
   void greet();
@@ -255,7 +231,6 @@
   void ask_about_needs();
   void ask_about(const std::string& ref);
   void settle_ends();
-  void tell_late_ends();
   void job_closed(jobs::Job& job);
   void done_if_complete(jobs::Job& job);
 
@@ -306,7 +281,12 @@
   delegation::DelegationLedger delegations_;
   admission::BudgetShares write_shares_, request_shares_;
   admission::CreationQueue creation_queue_;
-  admission::BatchIndex batch_index_;
+  PeerDirectory peers_;
+  BatchIndexFollower batches_;
+  JobLookup lookup_;
+  FinalStateQuery final_state_query_;
+  OverloadMonitor overload_;
+  RecordingDelayReporter recording_delays_;
   jobs::DependencyGraph dependencies_;
   jobs::StateWriter state_writer_;
   workers::WorkerManager workers_;
@@ -315,10 +295,7 @@
 
   std::vector<wire::MachineType> catalog_;
   wire::Value catalog_raw_;
-  std::vector<PeerView> peers_;
-  std::unordered_map<std::string, wire::FinalState>
-      finals_;  // final states never change, so they may be kept
-  std::deque<std::string> finals_order_;
+  FinalStateCache final_states_;
   std::uint64_t term_ = 0;
   bool loaded_ = false;
   Seconds read_at_ = 0;               // while not loaded: when something was last read
@@ -331,12 +308,6 @@
     Seconds until;
   };
   std::vector<Abort> aborts_;
-  std::vector<std::function<void(bool)>> to_catch_up_;  // that wait for a reading begun after they came
-  bool catching_up_ = false, reading_sheets_ = false, pressed_ = false;
-  std::uint64_t sheets_revision_ = 0;
-  Seconds index_since_ = 0, index_read_ = -1e9;  // when it was begun; as of when it is known to be whole
-  std::uint64_t put_off_told_ = 0;
-  Seconds pressed_since_ = 0, last_put_off_ = -1e9;
   bool marked_ = false, mark_busy_ = false;  // the mark of custody stands; it is being written
   std::uint64_t mark_version_ = 0, mark_reads_ = 0;
   double mark_span_ = 0;
@@ -345,12 +316,6 @@
   // Every job that needs one cancelled before then is recorded as cancelled, as far as this node knows.
   Seconds ends_settled_at_ = -1e9;
   Seconds loaded_at_ = 0;
-  struct LateEnds {  // as last told
-    std::optional<Seconds> since;
-    Seconds longest = 0;
-    std::uint64_t recorded = 0;
-  };
-  LateEnds late_ends_;
   std::deque<std::pair<Seconds, std::string>> unknown_needs_;  // since when, the oldest first
   std::uint64_t jobs_revision_ = 0;
   struct ZoneLife {
--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -19,7 +19,7 @@
 constexpr double kFormerLeases = 2;  // how long versions that do not say so grant
 // Whether a peer that has been heard of tells cancellations only when their tasks are gone.
 constexpr auto has_custody = [](const auto& p) {
-  return *p.level >= peer::kLevelDelegation && p.span_s.value_or(1) > 0;
+  return *p.level >= peer::kLevelDelegation && p.max_delegation_s.value_or(1) > 0;
 };
 }  // namespace
 
@@ -34,9 +34,10 @@
 // with.
 Seconds Controller::grant_span() const {
   Seconds least = delegation_duration_;
-  for (const PeerView& p : peers_) {
+  for (const PeerState& p : peers_.all()) {
     const bool says = p.level.value_or(peer::kLevelPeerAgreement) >= peer::kLevelPeerAgreement;
-    least = std::min(least, says ? p.span_s.value_or(least) : kFormerLeases * settings_.worker_lease_s);
+    least =
+        std::min(least, says ? p.max_delegation_s.value_or(least) : kFormerLeases * settings_.worker_lease_s);
   }
   return least;
 }
@@ -95,12 +96,10 @@
 
 // Whether workers should be sent to the leader.
 bool Controller::leader_answers() const {
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (settings_.peers[i].name != election_.leader())
-      continue;
-    if (peers_[i].answers && out_.now() - peers_[i].last_ok < vacancy_s())
-      return true;
-  }
+  const auto leader = peers_.find(election_.leader());
+  if (leader && peers_[*leader].answers_heartbeats &&
+      out_.now() - peers_[*leader].last_heard_at < vacancy_s())
+    return true;
   return out_.now() - leader_seen_ < vacancy_s();
 }
 
@@ -112,7 +111,7 @@
 }
 
 bool Controller::all_modern() const {
-  return std::all_of(peers_.begin(), peers_.end(), [this](const PeerView& p) {
+  return std::all_of(peers_.all().begin(), peers_.all().end(), [this](const PeerState& p) {
     return p.level ? has_custody(p) : marked_;  // not heard of yet
   });
 }
@@ -130,8 +129,8 @@
   if (!all_modern())
     return false;
   Seconds since = modern_since_;
-  for (const PeerView& p : peers_)
-    since = std::min(since, p.modern_since);
+  for (const PeerState& p : peers_.all())
+    since = std::min(since, p.all_support_delegation_since);
   return out_.now() - since >= settings_.cancellation_limit_s;
 }
 
@@ -170,8 +169,8 @@
   if ((!settings_.tunables.peer_agreement && delegation_duration_ > 0) || mark_busy_)
     return;
   const bool old =
-      delegation_duration_ <= 0 ||
-      std::any_of(peers_.begin(), peers_.end(), [](const PeerView& p) { return p.level && !has_custody(p); });
+      delegation_duration_ <= 0 || std::any_of(peers_.all().begin(), peers_.all().end(),
+                                               [](const PeerState& p) { return p.level && !has_custody(p); });
   if (old) {
     ++mark_reads_;
     marked_ = false;
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -128,7 +128,7 @@
 void Controller::loaded() {
   loaded_ = true;
   loaded_at_ = out_.now();
-  late_ends_ = {};
+  recording_delays_.reset();
   last_report_ = 0;
   reach_since_ = out_.now();
   spdlog::info("loaded {} jobs and {} machines as of revision {} under token {}", registry_.live_count(),
@@ -220,7 +220,7 @@
         unknown.push_back(ref);
     });
   }
-  ask_over(std::move(unknown), [this, all](const std::set<std::string>& over) {
+  final_state_query_.ask(std::move(unknown), [this, all](const std::set<std::string>& over) {
     if (all->term != term_)
       return;
     const auto is_mark = [](const wire::Item& i) {
@@ -263,7 +263,7 @@
 
 void Controller::job_seen(const wire::Value& value, std::uint64_t version, const std::string& sheet) {
   const auto ref = wire::text(value, "ref").value_or("");
-  if (finals_.contains(ref) || fenced_.contains(ref))
+  if (final_states_.contains(ref) || fenced_.contains(ref))
     return;
   if (jobs::Job* known = registry_.find(ref)) {
     known->created_revision = std::min(known->created_revision, version);
@@ -401,19 +401,19 @@
                if (r.status != 404)
                  return again();
                ++asking_;
-               fresh(ref, store::RequestPriority::user, true,
-                     [this, ref, term, again](int st, std::optional<wire::Phase>, const wire::Value& live) {
-                       if (term != term_)
-                         return;
-                       --asking_;
-                       if (st == 200 && !live.is_null())
-                         found_live(live);
-                       else if (st == 404)
-                         spdlog::error("{} is needed but was never accepted", ref);
-                       follow_chains();
-                       if (dependencies_.awaits_unknown(ref))
-                         again();
-                     });
+               lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
+                               [this, ref, term, again](const LookupResult& result) {
+                                 if (term != term_)
+                                   return;
+                                 --asking_;
+                                 if (result.live)
+                                   on_live_job_read(*result.live);
+                                 else if (result.outcome == LookupOutcome::absent)
+                                   spdlog::error("dependencies: unknown dependency ref={}", ref);
+                                 follow_chains();
+                                 if (dependencies_.awaits_unknown(ref))
+                                   again();
+                               });
              });
 }
 
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -39,8 +39,7 @@
 
 // An older version of this cell's own would start what is away.
 bool Controller::may_hand_on() const {
-  return std::all_of(peers_.begin(), peers_.end(),
-                     [](const PeerView& p) { return p.level.value_or(0) >= peer::kLevelCells; });
+  return peers_.all_have_level(peer::kLevelCells);
 }
 
 void Controller::load_away() {
@@ -239,7 +238,7 @@
   // Without custody a cancellation is recorded before its tasks are gone, and its home may start them at
   // once.
   room_.draining = settings_.cells.drain || delegation_duration_ <= 0;
-  room_.overloaded = pressed_;
+  room_.overloaded = overload_.is_overloaded();
   here.draining = settings_.cells.drain;
   here.boot_s = room_.rentable > 0 ? autoscaler_.typical_boot_s() : ports::kNever;
   here.cores = room_.free;
@@ -497,8 +496,8 @@
   const auto say = [&w](JobVerb word) {
     w.verb_code = raw(word);
   };
-  if (const auto it = finals_.find(w.ref); it != finals_.end())
-    return say(word_of(it->second.phase));
+  if (const wire::FinalState* state = final_states_.find(w.ref))
+    return say(word_of(state->phase));
   if (!wire::valid_ref(w.ref) || fenced_.contains(w.ref))
     return say(JobVerb::none);
   if (asked == JobVerb::offer)
@@ -518,17 +517,17 @@
     return say(job->cancelling ? JobVerb::ending : JobVerb::held);
   }
   say(JobVerb::none);
-  fresh(w.ref, store::RequestPriority::user, true,
-        [this, a, i](int st, std::optional<wire::Phase> phase, const wire::Value& live) {
-          if (st == 200 && !live.is_null() && is_active_leader())
-            found_live(live);
-          if (a->told)
-            return;
-          if (st == 404)
-            a->say.jobs[i].verb_code = raw(JobVerb::unknown);
-          if (st == 200 && live.is_null())
-            a->say.jobs[i].verb_code = raw(word_of(*phase));
-        });
+  lookup_.look_up(w.ref, store::RequestPriority::user, LookupDetail::live_record,
+                  [this, a, i](const LookupResult& result) {
+                    if (result.live && is_active_leader())
+                      on_live_job_read(*result.live);
+                    if (a->told)
+                      return;
+                    if (result.outcome == LookupOutcome::absent)
+                      a->say.jobs[i].verb_code = raw(JobVerb::unknown);
+                    if (result.outcome == LookupOutcome::found && !result.live)
+                      a->say.jobs[i].verb_code = raw(word_of(*result.phase));
+                  });
 }
 
 void Controller::offered_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from) {
@@ -585,11 +584,11 @@
                             } else if (r.outcome == Outcome::exists) {
                               // Live since another try of the same offer, or over; it is said when it is
                               // asked about next.
-                              fresh(ref, store::RequestPriority::user, true,
-                                    [this](int st, std::optional<wire::Phase>, const wire::Value& live) {
-                                      if (st == 200 && !live.is_null() && is_active_leader())
-                                        found_live(live);
-                                    });
+                              lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
+                                              [this](const LookupResult& result) {
+                                                if (result.live && is_active_leader())
+                                                  on_live_job_read(*result.live);
+                                              });
                             }
                           });
 }
@@ -617,22 +616,22 @@
     return say(JobVerb::ending);
   }
   say(JobVerb::none);
-  fresh(w.ref, store::RequestPriority::user, true,
-        [this, ref = w.ref](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (!is_active_leader())
-            return;
-          if (st == 200 && !live.is_null())
-            found_live(live);
-          if (st == 404)
-            fence(ref);
-        });
+  lookup_.look_up(w.ref, store::RequestPriority::user, LookupDetail::live_record,
+                  [this, ref = w.ref](const LookupResult& result) {
+                    if (!is_active_leader())
+                      return;
+                    if (result.live)
+                      on_live_job_read(*result.live);
+                    if (result.outcome == LookupOutcome::absent)
+                      fence(ref);
+                  });
 }
 
 // Neither live nor over here, so far. An offer that is on its way, or was sent twice, may yet be taken, and
 // the home wants to start the job: it gets a final state, beside which it can never be created. Until that is
 // certain nothing is known of the job here: a creation on a sheet does not exclude the final state.
 void Controller::fence(const std::string& ref) {
-  if (registry_.find(ref) || finals_.contains(ref) || !fenced_.insert(ref).second)
+  if (registry_.find(ref) || final_states_.contains(ref) || !fenced_.insert(ref).second)
     return;
   ++stats_.fences;
   write_fence(ref);
--- a/src/controller/submission.cpp
+++ b/src/controller/submission.cpp
@@ -8,9 +8,8 @@
 namespace wingtrail::controller {
 namespace {
 constexpr Seconds kCreateTimeout = 2.5;
-constexpr Seconds kGoneWithin = 0.5;         // sound workers end a job's tasks within
-constexpr Seconds kRecordedWithin = 1.0;     // a cancellation is recorded, unless changes are scarce
-constexpr std::size_t kFinalsKept = 50'000;  // some 100 bytes each
+constexpr Seconds kGoneWithin = 0.5;      // sound workers end a job's tasks within
+constexpr Seconds kRecordedWithin = 1.0;  // a cancellation is recorded, unless changes are scarce
 }  // namespace
 
 // ---------------------------------------------------------------- submissions
@@ -72,16 +71,16 @@
 
 // A job that was accepted stays accepted, whatever its submission would be told today.
 void Controller::refuse_unless_accepted(const From& from, const std::string& ref, const std::string& why) {
-  fresh(ref, store::RequestPriority::user, false,
-        [this, from, ref, why](int st, std::optional<wire::Phase>, const wire::Value&) {
-          if (st == 404) {
-            ++stats_.refused;
-            return respond(from, 422, {{"error", why}});
-          }
-          if (st == 200)
-            return answer_fresh(from, ref, true, !is_active_leader());
-          try_later(from);
-        });
+  lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::phase,
+                  [this, from, ref, why](const LookupResult& result) {
+                    if (result.outcome == LookupOutcome::absent) {
+                      ++stats_.refused;
+                      return respond(from, 422, {{"error", why}});
+                    }
+                    if (result.outcome == LookupOutcome::found)
+                      return answer_fresh(from, ref, true, !is_active_leader());
+                    try_later(from);
+                  });
 }
 
 // ---------------------------------------------------------------- needed jobs
@@ -96,22 +95,19 @@
 };
 
 // A version that does not know of chains would start the job at once.
-bool Controller::old_leader() const {
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (settings_.peers[i].name == election_.leader())
-      return peers_[i].level.value_or(peer::kProtocolLevel) < peer::kLevelDependencies;
-  }
-  return false;
+bool Controller::leader_lacks_dependencies() const {
+  const auto leader = peers_.find(election_.leader());
+  return leader && peers_[*leader].level.value_or(peer::kProtocolLevel) < peer::kLevelDependencies;
 }
 
 void Controller::check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes) {
-  if (old_leader())
+  if (leader_lacks_dependencies())
     return try_later(from);
   auto n = std::make_shared<Needs>(Needs{from, spec, bytes, {}});
   for (const std::string& ref : spec.depends_on) {
     if (ref == spec.ref)
       return refuse_unless_accepted(from, spec.ref, "waitsOn: the job names itself");
-    if (finals_.contains(ref) || (is_active_leader() && registry_.find(ref)))
+    if (final_states_.contains(ref) || (is_active_leader() && registry_.find(ref)))
       continue;
     n->unknown.push_back(ref);
   }
@@ -162,14 +158,16 @@
   const auto never = [this, n, ref] {
     refuse_unless_accepted(n->from, n->spec.ref, "waitsOn: " + ref + " was never accepted");
   };
-  if (!sheets_matter())
+  if (!batches_.may_miss_batches())
     return never();
-  fresh(ref, store::RequestPriority::user, false,
-        [this, n, refs = std::move(refs), never](int st, std::optional<wire::Phase>, const wire::Value&) {
-          if (st == 404)
-            return never();
-          st == 200 ? needs_absent(n, refs) : try_later(n->from, st);
-        });
+  lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::phase,
+                  [this, n, refs = std::move(refs), never](const LookupResult& result) {
+                    if (result.outcome == LookupOutcome::absent)
+                      return never();
+                    if (result.outcome == LookupOutcome::found)
+                      return needs_absent(n, refs);
+                    try_later(n->from, retry_status(result.outcome));
+                  });
 }
 
 // ---------------------------------------------------------------- creation
@@ -188,7 +186,7 @@
 
 void Controller::create(const From& from, const wire::JobSpec& spec) {
   // It was admitted on a sheet, and this is a retry.
-  if (batch_index_.find(spec.ref) || batch_index_.recently_removed(spec.ref))
+  if (batches_.index().find(spec.ref) || batches_.index().recently_removed(spec.ref))
     return answer_accepted(from, spec);
   auto c = std::make_shared<Creation>(Creation{from, spec, wire::job_record(spec, out_.time_of_day())});
   // A node that the state service does not answer asks a peer at once instead of finding out again at its
@@ -279,24 +277,19 @@
 // ---------------------------------------------------------------- states
 
 void Controller::remember(const std::string& ref, const wire::FinalState& ended) {
-  if (!finals_.emplace(ref, ended).second)
+  if (!final_states_.insert(ref, ended))
     return;
   if (election_.holds_leadership())
     dependencies_.on_ended(
         ref, {ended.phase == wire::Phase::done, ended.ended_at ? steady(*ended.ended_at) : out_.now()});
-  finals_order_.push_back(ref);
-  if (finals_order_.size() > kFinalsKept) {
-    finals_.erase(finals_order_.front());
-    finals_order_.pop_front();
-  }
 }
 
 bool Controller::answer_final(const From& from, const std::string& ref, bool brief) {
-  auto it = finals_.find(ref);
-  if (it == finals_.end())
+  const wire::FinalState* state = final_states_.find(ref);
+  if (!state)
     return false;
-  const wire::Phase phase = it->second.phase;
-  const std::uint32_t tasks = it->second.tasks;
+  const wire::Phase phase = state->phase;
+  const std::uint32_t tasks = state->tasks;
   respond(from, 200,
           brief ? wire::job_state(ref, phase)
                 : wire::job_progress(ref, phase, phase == wire::Phase::done ? tasks : 0, 0));
@@ -331,47 +324,6 @@
                 : wire::job_progress(job.spec.ref, job.phase(), job.done_tasks, job.running_tasks));
 }
 
-// One comparison settles what most questions about unknown jobs come to; a read follows only if the job
-// exists.
-void Controller::fresh(const std::string& ref, store::RequestPriority urgency, bool need_spec,
-                       const OnFresh& then) {
-  wire::Transaction txn;
-  txn.require(jobs::kLiveJobPrefix + ref, 0).require(jobs::kFinalStatePrefix + ref, 0);
-  store_.transact(
-      std::move(txn), urgency, ports::kNever,
-      [this, ref, urgency, need_spec, then, asked = out_.now(), term = term_](const store::Reply& r) {
-        if (r.status == 200 && sheets_matter())
-          return fresh_on_sheets(ref, urgency, need_spec, asked, then);
-        if (r.status == 200)
-          return then(404, {}, nullptr);
-        if (r.status != 409)
-          return then(r.status == 429 ? 429 : 503, {}, nullptr);
-        // The comparison says which of the two exists: at that moment the job lived, or was over.
-        const auto failed = wire::failed_keys(r.body);
-        const bool over =
-            std::find(failed.begin(), failed.end(), jobs::kFinalStatePrefix + ref) != failed.end();
-        if (!over && !failed.empty() && !need_spec)
-          return then(200, wire::Phase::queued, nullptr);
-        if (!over && !failed.empty()) {
-          return store_.get(jobs::kLiveJobPrefix + ref, urgency, [then, term](const store::Reply& l) {
-            const auto item = l.status == 200 ? wire::parse_item(l.body) : wire::Result<wire::Item>::fail("");
-            // Not there any more: it has become final since. Asking again will tell.
-            if (!item)
-              return then(503, {}, nullptr);
-            then(200, wire::Phase::queued, live_record(item->value, *item, term));
-          });
-        }
-        store_.get(jobs::kFinalStatePrefix + ref, urgency, [this, ref, then](const store::Reply& f) {
-          const auto item = f.status == 200 ? wire::parse_item(f.body) : wire::Result<wire::Item>::fail("");
-          const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt;
-          if (!ended)
-            return then(503, {}, nullptr);
-          remember(ref, *ended);
-          then(200, ended->phase, nullptr);
-        });
-      });
-}
-
 // A submission of a job that was accepted before. Of one that needs others only the leader knows whether it
 // lives.
 void Controller::answer_accepted(const From& from, const wire::JobSpec& spec) {
@@ -392,31 +344,34 @@
   // the state service were lost).
   const bool overdue =
       !is_active_leader() && (cautious || out_.now() - ends_settled_at_ > settings_.cancellation_limit_s / 2);
-  fresh(ref, urgency, is_active_leader() || overdue,
-        [this, from, ref, brief, overdue, cautious](int st, std::optional<wire::Phase> phase,
-                                                    const wire::Value& live) {
-          if (st != 200) {
-            if (st == 404)
-              return respond(from, 404);
-            // That the leader is not there to answer is no fault of who asks.
-            const bool alone = !is_active_leader() && !leader_peer();
-            return put_off(from, ref,
-                           st == 429 && !alone ? DeferralReason::budget_exhausted : DeferralReason::no_reply);
-          }
-          if (answer_final(from, ref, brief))
-            return;
-          if (overdue && !live.is_null() && wire::has_dependencies(live["spec"]))
-            return put_off(from, ref,
-                           cautious ? DeferralReason::leader_deferred : DeferralReason::leader_unreachable);
-          if (is_active_leader() && !live.is_null())
-            found_live(live);
-          const jobs::Job* known = is_active_leader() ? registry_.find(ref) : nullptr;
-          if (known && may_be_orphan(*known))
-            return put_off(
-                from, ref,
-                known->orphaned ? DeferralReason::dependency_cancelled : DeferralReason::dependency_unknown);
-          respond(from, 200, brief ? wire::job_state(ref, *phase) : wire::job_progress(ref, *phase, 0, 0));
-        });
+  const LookupDetail detail = is_active_leader() || overdue ? LookupDetail::live_record : LookupDetail::phase;
+  lookup_.look_up(
+      ref, urgency, detail, [this, from, ref, brief, overdue, cautious](const LookupResult& result) {
+        if (result.outcome != LookupOutcome::found) {
+          if (result.outcome == LookupOutcome::absent)
+            return respond(from, 404);
+          // That the leader is not there to answer is no fault of who asks.
+          const bool alone = !is_active_leader() && !leader_peer();
+          return put_off(from, ref,
+                         result.outcome == LookupOutcome::throttled && !alone
+                             ? DeferralReason::budget_exhausted
+                             : DeferralReason::no_reply);
+        }
+        if (answer_final(from, ref, brief))
+          return;
+        if (overdue && result.live && wire::has_dependencies(result.live->spec))
+          return put_off(from, ref,
+                         cautious ? DeferralReason::leader_deferred : DeferralReason::leader_unreachable);
+        if (is_active_leader() && result.live)
+          on_live_job_read(*result.live);
+        const jobs::Job* known = is_active_leader() ? registry_.find(ref) : nullptr;
+        if (known && may_be_orphan(*known))
+          return put_off(
+              from, ref,
+              known->orphaned ? DeferralReason::dependency_cancelled : DeferralReason::dependency_unknown);
+        respond(from, 200,
+                brief ? wire::job_state(ref, *result.phase) : wire::job_progress(ref, *result.phase, 0, 0));
+      });
 }
 
 void Controller::status(const From& from, const std::string& ref) {
@@ -452,7 +407,7 @@
     return hand_on(from, leader, "POST", path, "", 3.0, [this, from, ref, leader](int status) {
       // A leader that is only late with it needs no mark: each one cost two changes, and the more
       // cancellations were late the more of them users repeated.
-      if (status == 503 && peers_[*leader].answers && peers_[*leader].store_ok)
+      if (status == 503 && peers_[*leader].answers_heartbeats && peers_[*leader].state_service_healthy)
         return try_later(from);
       leave_intent(from, ref);
     });
@@ -464,42 +419,42 @@
   };
   if (jobs::Job* job = registry_.find(ref))
     return close(*job);
-  fresh(ref, store::RequestPriority::user, true,
-        [this, from, ref, close](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (st == 404)
-            return respond(from, 404);
-          if (st != 200)
-            return try_later(from, st);
-          if (answer_final(from, ref, true))
-            return;
-          if (is_active_leader() && !live.is_null())
-            found_live(live);
-          jobs::Job* job = is_active_leader() ? registry_.find(ref) : nullptr;
-          if (!job)
-            return try_later(from);
-          close(*job);
-        });
+  lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
+                  [this, from, ref, close](const LookupResult& result) {
+                    if (result.outcome == LookupOutcome::absent)
+                      return respond(from, 404);
+                    if (result.outcome != LookupOutcome::found)
+                      return try_later(from, retry_status(result.outcome));
+                    if (answer_final(from, ref, true))
+                      return;
+                    if (is_active_leader() && result.live)
+                      on_live_job_read(*result.live);
+                    jobs::Job* job = is_active_leader() ? registry_.find(ref) : nullptr;
+                    if (!job)
+                      return try_later(from);
+                    close(*job);
+                  });
 }
 
 // While the leader cannot be reached by its peers, it may well read what they leave in the state service. The
 // user is told to come back: only the leader decides whether the job was done first.
 void Controller::leave_intent(const From& from, const std::string& ref) {
-  fresh(ref, store::RequestPriority::user, true,
-        [this, from, ref](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (st == 404)
-            return respond(from, 404);
-          if (st != 200)
-            return try_later(from, st);
-          if (answer_final(from, ref, true))
-            return;
-          wire::Transaction txn;
-          txn.require(live["key"].get<std::string>(), live["version"].get<std::uint64_t>());
-          txn.require(jobs::kFinalStatePrefix + ref, 0);  // a sheet outlives some of its jobs
-          txn.put(jobs::kLiveJobPrefix + ref + jobs::kCancellationSuffix, true);
-          store_.transact(std::move(txn), store::RequestPriority::user, ports::kNever,
-                          [](const store::Reply&) {});
-          try_later(from);
-        });
+  lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
+                  [this, from, ref](const LookupResult& result) {
+                    if (result.outcome == LookupOutcome::absent)
+                      return respond(from, 404);
+                    if (result.outcome != LookupOutcome::found)
+                      return try_later(from, retry_status(result.outcome));
+                    if (answer_final(from, ref, true))
+                      return;
+                    wire::Transaction txn;
+                    txn.require(result.live.value().key, result.live.value().version);
+                    txn.require(jobs::kFinalStatePrefix + ref, 0);  // a sheet outlives some of its jobs
+                    txn.put(jobs::kLiveJobPrefix + ref + jobs::kCancellationSuffix, true);
+                    store_.transact(std::move(txn), store::RequestPriority::user, ports::kNever,
+                                    [](const store::Reply&) {});
+                    try_later(from);
+                  });
 }
 
 void Controller::intent_seen(const std::string& key) {
