--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,7 +3,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 #include <sstream>
 
 namespace wingtrail::controller {
@@ -43,13 +42,19 @@
                  [this] {
                    lost();
                  }}),
-      delegation_duration_(settings_.tunables.delegation_leases * settings_.worker_lease_s),
-      lease_delegate_(delegation_duration_, settings_.peers.size()),
-      delegations_(delegation_duration_, settings_.worker_lease_s, settings_.peers.size()),
+      peers_(out_, settings_),
+      delegation_support_(
+          out_, store_, election_, peers_, settings_,
+          [this](Seconds duration_s) { delegated_renewal_.assume_earlier_delegations(duration_s); }),
+      delegated_renewal_(out_, store_, election_, peers_, delegation_support_, settings_,
+                         {[this] { return loaded_; },
+                          [this](const wire::Heartbeat& heartbeat) {
+                            return workers_.handle_heartbeat(
+                                heartbeat, workers::WorkerManager::CommandsInReply::withheld);
+                          }}),
       write_shares_(settings_.peers.size() + 1),
       request_shares_(settings_.peers.size() + 1),
       creation_queue_(out_, store_, settings_, life_name(seed)),
-      peers_(out_, settings_),
       batches_(out_, store_, peers_, settings_.tunables.fair_admission > 0),
       lookup_(out_, store_, batches_,
               {[this] { return term_; },
@@ -78,9 +83,10 @@
            [this] { election_.on_superseded("a write found another leader"); }, leadership::kLeaderKey}),
       workers_(out_, settings_, registry_, state_writer_,
                {[this] { return election_.fencing_token(); }, [this] { return election_.lease_expires_at(); },
-                [this](Seconds own) { return delegations_.worker_lease_expiry(own); },
+                [this](Seconds own) { return delegated_renewal_.worker_lease_expiry(own); },
                 [this] {
-                  return settings_.tunables.peer_agreement && delegation_duration_ > 0 && modern();
+                  return settings_.tunables.peer_agreement && delegation_support_.enabled() &&
+                         delegation_support_.all_cancellations_strict();
                 }},
                {[this](workers::Machine& m) { scheduler_.on_capacity_available(m); },
                 [this](workers::Machine& m) { scheduler_.on_capacity_available(m); },
@@ -103,7 +109,33 @@
                      return election_.lease_expires_at();
                    }}),
       remote_placements_(neighbour_names(settings_.cells), page_bytes(settings_)),
-      cell_views_(settings_.cells.neighbours.size()) {
+      cell_views_(settings_.cells.neighbours.size()),
+      responder_(out_, [this] { return frame(); }),
+      peer_calls_(out_, election_, peers_, responder_,
+                  {[this] { return frame(); },
+                   [this](std::size_t peer, const peer::Frame& received) {
+                     heard(peer, received);
+                   }}),
+      queries_(
+          {out_, store_, settings_, final_states_, registry_, dependencies_, remote_placements_, lookup_,
+           peer_calls_, responder_},
+          {[this] { return is_active_leader(); }, [this](const LiveRecord& live) { on_live_job_read(live); },
+           [this] {
+             return ends_settled_at_;
+           }}),
+      cancellation_({out_, store_, registry_, state_writer_, workers_, scheduler_, remote_placements_, peers_,
+                     lookup_, queries_, peer_calls_, responder_},
+                    {[this] { return is_active_leader(); }, [this] { return loaded_; },
+                     [this](const LiveRecord& live) {
+                       on_live_job_read(live);
+                     }}),
+      submission_(
+          {out_, store_, settings_, catalog_, election_, peers_, final_states_, registry_, batches_,
+           creation_queue_, lookup_, queries_, peer_calls_, responder_},
+          {[this] { return is_active_leader(); }, [this] { return term_; }, [this] { return fixed_parts(); },
+           [this](const wire::Value& record, std::uint64_t revision, const std::string& batch_key) {
+             job_seen(record, revision, batch_key);
+           }}) {
   state_writer_.set_events({[this](jobs::Job& job) { job_closed(job); },
                             [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
                               workers_.acknowledge_ends(ended);
@@ -128,9 +160,10 @@
 void Controller::start(Seconds now) {
   out_.set_now(now);
   started_at_ = now;
+  delegated_renewal_.start();
   election_.start();
   read_catalog();
-  read_mark({});
+  delegation_support_.read_record({});
   fetch_catalog();
   batches_.start();
   probe_store();
@@ -151,7 +184,7 @@
 
 std::vector<ports::Action> Controller::drain() {
   if (election_.holds_leadership())
-    follow_aborts();
+    cancellation_.progress();
   if (is_active_leader())
     workers_.flush_commands();
   return out_.drain();
@@ -159,6 +192,14 @@
 
 Stats Controller::stats() const {
   Stats s = stats_;
+  s.submitted = submission_.counts().submitted;
+  s.admitted = submission_.counts().admitted;
+  s.refused = submission_.counts().refused;
+  s.forwarded = peer_calls_.count();
+  s.questions_put_off = queries_.deferral_counts();
+  s.custody_answers = delegated_renewal_.counts().renewals;
+  s.grants = delegated_renewal_.counts().grants;
+  s.aborts_put_off = cancellation_.deferred_count();
   s.state_calls = store_.requests();
   s.state_refused = store_.throttled();
   s.orders = workers_.commands_sent();
@@ -236,105 +277,76 @@
   route({in.id, false}, in.method, in.path, in.body);
 }
 
-void Controller::route(const From& from, const std::string& method, const std::string& path,
+void Controller::route(const RequestOrigin& origin, const std::string& method, const std::string& path,
                        const std::string& body) {
-  auto wrong_method = [&](const char* wanted) {
-    if (method == wanted)
+  const auto wrong_method = [&](const char* allowed) {
+    if (method == allowed)
       return false;
-    respond(from, 405);
+    responder_.respond(origin, 405);
     return true;
   };
   const std::string jobs_path = wire::kJobsPath;
   if (path == jobs_path) {
     if (wrong_method("POST"))
       return;
-    return submit(from, body);
+    return submission_.submit(origin, body);
   }
   if (path.starts_with(jobs_path + "/")) {
     std::string ref = path.substr(jobs_path.size() + 1);
     const std::string suffix = wire::kAbortSuffix;
-    if (ref.ends_with(suffix)) {
+    const bool cancels = ref.ends_with(suffix);
+    if (cancels)
       ref.resize(ref.size() - suffix.size());
-      if (wrong_method("POST"))
-        return;
-      if (!wire::valid_ref(ref))
-        return respond(from, 404);
-      return abort(from, ref);
-    }
-    if (wrong_method("GET"))
+    if (wrong_method(cancels ? "POST" : "GET"))
       return;
     if (!wire::valid_ref(ref))
-      return respond(from, 404);
-    return status(from, ref);
+      return responder_.respond(origin, 404);
+    return cancels ? cancellation_.request(origin, ref) : queries_.status(origin, ref);
   }
-  if (path == wire::kHeartbeatPath && !from.by_peer) {
+  if (path == wire::kHeartbeatPath && !origin.by_peer) {
     if (wrong_method("POST"))
       return;
-    return report(from, body);
+    return handle_heartbeat(origin, body);
   }
-  if (path == wire::kReadyPath && !from.by_peer) {
+  if (path == wire::kReadyPath && !origin.by_peer) {
     if (wrong_method("GET"))
       return;
-    // While no controller is served by the state service, being taken out of service would only add the load
-    // balancer's pause to the outage; until it is over, users are told at once to come back.
-    const bool ready = !catalog_.empty() &&
-                       (store_.healthy() || served_peer() || is_active_leader() || peers_.none_served());
-    return ready ? respond(from, 200, wire::Value::object()) : try_later(from);
+    return is_ready() ? responder_.respond(origin, 200, wire::Value::object()) : responder_.try_later(origin);
   }
-  respond(from, 404);
-}
-
-void Controller::try_later(const From& from, int status, Seconds in) {
-  // The protocol knows whole seconds, and nobody comes back later than after 30.
-  respond(from, status, nullptr, static_cast<int>(std::clamp(std::ceil(in), 1.0, 30.0)));
+  responder_.respond(origin, 404);
 }
 
-void Controller::respond(const From& from, int status, wire::Value body, std::optional<int> retry_after) {
-  ports::Answer a;
-  a.request = from.id;
-  a.status = status;
-  a.retry_after_s = retry_after;
-  if (from.by_peer) {
-    peer::Frame f = frame();
-    f.status = status;
-    f.retry_after_s = retry_after.value_or(0);
-    if (!body.is_null())
-      f.body = wire::encode_cbor(body);
-    a.status = 200;
-    a.retry_after_s = {};
-    a.frame = std::move(f);
-  } else {
-    a.body = std::move(body);
-  }
-  out_.answer(std::move(a));
+// While no controller is served by the state service, being taken out of service would only add the load
+// balancer's pause to the outage; until it is over, users are told at once to come back.
+bool Controller::is_ready() const {
+  return !catalog_.empty() &&
+         (store_.healthy() || peer_calls_.served_peer() || is_active_leader() || peers_.none_served());
 }
 
-// ---------------------------------------------------------------- workers' reports
+// ---------------------------------------------------------------- heartbeats
 
-void Controller::report(const From& from, const std::string& bytes) {
+void Controller::handle_heartbeat(const RequestOrigin& origin, const std::string& bytes) {
   ++stats_.reports;
   if (!is_active_leader()) {
-    if (auto kept = answer_in_custody(bytes)) {
-      ++stats_.custody_answers;
-      return respond(from, 200, std::move(*kept));
-    }
+    if (auto reply = delegated_renewal_.answer_heartbeat(bytes))
+      return responder_.respond(origin, 200, std::move(*reply));
     bounced_.push_back(out_.now());
     while (bounced_.size() > 10'000)
       bounced_.pop_front();
-    // Only a leader that somebody else is: naming this node would send the worker around in a circle.
+    // Only a leader that somebody else is: naming this controller would send the worker around in a circle.
     const bool other = !election_.leader().empty() && election_.leader() != settings_.node;
-    return respond(from, 421, wire::leader_redirect(other ? election_.leader() : ""));
+    return responder_.respond(origin, 421, wire::leader_redirect(other ? election_.leader() : ""));
   }
-  auto r = wire::parse_heartbeat(bytes);
-  if (!r) {
-    spdlog::warn("a malformed report: {}", r.error());
-    return respond(from, 400);
+  const auto heartbeat = wire::parse_heartbeat(bytes);
+  if (!heartbeat) {
+    spdlog::warn("heartbeats: malformed error={}", heartbeat.error());
+    return responder_.respond(origin, 400);
   }
   last_report_ = out_.now();
-  auto answer = workers_.handle_heartbeat(*r);
-  if (!answer)
-    return respond(from, 503);
-  respond(from, 200, std::move(*answer));
+  auto reply = workers_.handle_heartbeat(*heartbeat);
+  if (!reply)
+    return responder_.respond(origin, 503);
+  responder_.respond(origin, 200, std::move(*reply));
 }
 
 // ---------------------------------------------------------------- peers
@@ -348,11 +360,7 @@
   f.rejected_heartbeats = static_cast<std::uint32_t>(bounced_.size());
   f.level = peer::kProtocolLevel;
   f.process_age_s = out_.now() - started_at_;
-  f.since_delegated_renewal_s = lease_delegate_.since_last_renewal_s(out_.now());
-  f.all_support_delegation_s = all_modern() ? out_.now() - modern_since_ : -1;
-  f.max_delegation_s = delegation_duration_;
-  f.newest_fencing_token = lease_delegate_.newest_token();
-  f.strict_cancellation_token = honest_;
+  delegated_renewal_.describe(f);
   f.supports_batches = settings_.tunables.fair_admission > 0;
   // Twice what was asked for lately: a loan lasts for seconds, in which a surge may double.
   const auto asked = store_.recent_demand();
@@ -365,14 +373,14 @@
   if (election_.holds_leadership() && loaded_)
     f.final_state_lag_s = out_.now() - ends_settled_at_;
   f.answers_heartbeats = is_active_leader() || (election_.holds_leadership() && loaded_ &&
-                                                out_.now() < lease_delegate_.delegated_until());
+                                                out_.now() < delegated_renewal_.delegated_until());
   return f;
 }
 
 void Controller::greet() {
-  lease_delegate_.observe_leadership(election_.leader_fencing_token());
-  know_modern();
-  keep_mark();
+  delegated_renewal_.observe_leadership();
+  delegation_support_.update();
+  delegation_support_.maintain_record(is_active_leader());
   while (!bounced_.empty() && bounced_.front() < out_.now() - kBouncedWindow)
     bounced_.pop_front();
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
@@ -387,18 +395,12 @@
       if (!r.frame)
         return;
       heard(i, *r.frame);
-      if (r.frame->grants_delegation && r.frame->node == r.frame->leader)
-        lease_delegate_.on_grant(r.frame->leader_fencing_token, asked, granted_for(*r.frame));
-      if (r.frame->lent_write_share >= 0 && r.frame->leader_fencing_token >= election_.leader_fencing_token())
-        write_shares_.on_loan(r.frame->lent_write_share, asked),
-            request_shares_.on_loan(r.frame->lent_request_share, asked);
-      if (r.frame->agreement_token >= 0)
-        lease_delegate_.on_peer_agreement(i, static_cast<std::uint64_t>(r.frame->agreement_token), asked,
-                                          granted_for(*r.frame));
-      if (election_.holds_leadership() && r.frame->leader_fencing_token >= election_.fencing_token())
-        delegations_.on_peer_statement(i, asked, out_.now(),
-                                       {r.frame->process_age_s, r.frame->since_delegated_renewal_s,
-                                        r.frame->level >= peer::kLevelDelegation});
+      delegated_renewal_.on_greeting_reply(i, *r.frame, asked);
+      if (r.frame->lent_write_share >= 0 &&
+          r.frame->leader_fencing_token >= election_.leader_fencing_token()) {
+        write_shares_.on_loan(r.frame->lent_write_share, asked);
+        request_shares_.on_loan(r.frame->lent_request_share, asked);
+      }
     });
   }
   // Of nodes that begin together the first to ask finds nobody, and agreement must not wait for a second.
@@ -410,17 +412,13 @@
   peers_.on_frame(i, f);
   if (!f.deferred_attempts.empty())
     creation_queue_.first_attempts().merge(f.deferred_attempts, out_.time_of_day());
-  know_modern();
+  delegation_support_.update();
   if (!f.leader.empty())
     election_.observe_leader(f.leader, f.leader_fencing_token);
-  lease_delegate_.observe_leadership(std::max(election_.leader_fencing_token(), f.newest_fencing_token));
-  honest_ = std::max(honest_, f.strict_cancellation_token);
-  if (f.answers_heartbeats && f.node == election_.leader()) {
-    leader_seen_ = out_.now();
-    // A version that does not say how far it has come is taken to have recorded all if it can write.
-    if (f.state_service_healthy)
-      ends_settled_at_ = std::max(ends_settled_at_, out_.now() - std::max(0.0, f.final_state_lag_s));
-  }
+  delegated_renewal_.on_frame(f);
+  // A version that does not say how far it has come is taken to have recorded all if it can write.
+  if (f.answers_heartbeats && f.node == election_.leader() && f.state_service_healthy)
+    ends_settled_at_ = std::max(ends_settled_at_, out_.now() - std::max(0.0, f.final_state_lag_s));
 }
 
 void Controller::peer(Seconds now, std::uint64_t id, const peer::Frame& f) {
@@ -432,89 +430,28 @@
     if (settings_.peers[i].name != f.node)
       continue;
     heard(i, f);
-    // Before it has read its jobs, too: it answers nobody itself until then.
-    const bool grant = election_.may_act() && modern() && delegation_duration_ > 0;
-    const bool consent = !grant && f.level >= peer::kLevelPeerAgreement && may_consent();
+    const DelegatedRenewal::Permission permission = delegated_renewal_.permission(f);
     const bool lends = election_.may_act() && f.supports_batches && settings_.tunables.fair_admission > 0;
-    if (f.path.empty() && f.cell.empty() && (grant || consent || lends)) {
-      // What is agreed on past this node's authority must be reckoned with if a renewal gets through after
-      // all.
-      if (grant || (consent && election_.holds_leadership()))
-        delegations_.on_granted(i, out_.now());
-      stats_.grants += grant;
+    if (f.path.empty() && f.cell.empty() && (permission.grant || permission.agreement || lends)) {
+      delegated_renewal_.on_permitted(i, permission);
       ports::Answer a;
       a.request = id;
       a.frame = frame();
       a.frame->status = 200;
-      a.frame->grants_delegation = grant;
-      a.frame->delegation_s = grant_span();
+      delegated_renewal_.permit(*a.frame, permission);
       if (lends) {
         a.frame->lent_write_share = write_shares_.lend(i, f.requested_write_share, out_.now());
         a.frame->lent_request_share = request_shares_.lend(i, f.requested_request_share, out_.now());
       }
-      if (consent)
-        a.frame->agreement_token = static_cast<std::int64_t>(lease_delegate_.newest_token());
       return out_.answer(std::move(a));
     }
   }
   if (!f.cell.empty())
     return between(id, f);
-  const From from{id, true};
+  const RequestOrigin origin{id, true};
   if (f.path.empty())
-    return respond(from, 200);
-  route(from, f.method, f.path, f.body);
-}
-
-std::optional<std::size_t> Controller::leader_peer() const {
-  return peers_.reachable_leader(election_.leader());
-}
-
-std::optional<std::size_t> Controller::served_peer(std::uint32_t level) const {
-  return peers_.served_peer(election_.leader(), level);
-}
-
-// `then` hears the peer's verdict; status 0: it gave none. 503 and 429: it put the question off.
-void Controller::ask_peer(std::size_t peer, std::string method, std::string path, std::string body,
-                          Seconds timeout, std::function<void(int, const wire::Value&)> then) {
-  ++stats_.forwarded;
-  ports::Call call;
-  call.target = ports::Target::peer;
-  call.peer = static_cast<std::uint32_t>(peer);
-  call.method = "POST";
-  call.path = peer::kPeerPath;
-  call.frame = frame();
-  call.frame->method = std::move(method);
-  call.frame->path = std::move(path);
-  call.frame->body = std::move(body);
-  call.timeout_s = timeout;
-  out_.call(std::move(call), [this, peer, then = std::move(then), asked = out_.now()](const ports::Reply& r) {
-    if (!r.frame || r.frame->status == 0) {
-      peers_.on_no_reply(peer, asked);
-      return then(0, nullptr);
-    }
-    heard(peer, *r.frame);
-    const int st = r.frame->status;
-    if (st == 503 || st == 429)
-      return then(st, nullptr);
-    auto decoded =
-        r.frame->body.empty() ? std::optional<wire::Value>(nullptr) : wire::decode_cbor(r.frame->body);
-    if (!decoded)
-      return then(0, nullptr);
-    then(st, *decoded);
-  });
-}
-
-void Controller::hand_on(const From& from, std::optional<std::size_t> peer, std::string method,
-                         std::string path, std::string body, Seconds timeout,
-                         const std::function<void(int)>& otherwise) {
-  if (!peer)
-    return otherwise(0);
-  ask_peer(*peer, std::move(method), std::move(path), std::move(body), timeout,
-           [this, from, otherwise](int status, const wire::Value& answer) {
-             if (status == 0 || status == 503 || status == 429)
-               return otherwise(status);
-             respond(from, status, answer);
-           });
+    return responder_.respond(origin, 200);
+  route(origin, f.method, f.path, f.body);
 }
 
 // ---------------------------------------------------------------- duties
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -17,14 +17,19 @@
 #include "cells/remote_placements.hpp"
 #include "controller/batch_index_follower.hpp"
 #include "controller/deferral_reason.hpp"
+#include "controller/delegated_renewal.hpp"
+#include "controller/delegation_support.hpp"
 #include "controller/final_state_cache.hpp"
 #include "controller/final_state_query.hpp"
+#include "controller/job_cancellation.hpp"
 #include "controller/job_lookup.hpp"
+#include "controller/job_queries.hpp"
+#include "controller/job_submission.hpp"
 #include "controller/overload_monitor.hpp"
+#include "controller/peer_calls.hpp"
 #include "controller/peer_directory.hpp"
 #include "controller/recording_delay_reporter.hpp"
-#include "delegation/delegation_ledger.hpp"
-#include "delegation/lease_delegate.hpp"
+#include "controller/responder.hpp"
 #include "jobs/dependency_graph.hpp"
 #include "jobs/job_registry.hpp"
 #include "jobs/state_writer.hpp"
@@ -128,58 +133,12 @@
   }
 
  private:
-  // Where an answer goes: a request of this node's own, or one that a peer handed on.
-  struct From {
-    std::uint64_t id = 0;
-    bool by_peer = false;
-  };
-  void route(const From& from, const std::string& method, const std::string& path, const std::string& body);
-  void respond(const From& from, int status, wire::Value body = nullptr, std::optional<int> retry_after = {});
-  void try_later(const From& from, int status = 503, Seconds in = 1);
-  // The same of a question about a job, counted by why.
-  void put_off(const From& from, const std::string& ref, DeferralReason why);
-
-  void submit(const From& from, const std::string& bytes);
-  struct Creation;
-  void create(const From& from, const wire::JobSpec& spec);
-  struct Needs;
-  void check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes);
-  void check_some_needs(const std::shared_ptr<Needs>& n);
-  void needs_absent(const std::shared_ptr<Needs>& n, std::vector<std::string> refs);
+  void route(const RequestOrigin& origin, const std::string& method, const std::string& path,
+             const std::string& body);
+  bool is_ready() const;
+  void handle_heartbeat(const RequestOrigin& origin, const std::string& bytes);
   void on_live_job_read(const LiveRecord& live);
-  void refuse_unless_accepted(const From& from, const std::string& ref, const std::string& why);
-  bool leader_lacks_dependencies() const;
-  void create_here(const std::shared_ptr<Creation>& c);
-  void lose_patience(const std::shared_ptr<Creation>& c);
-  void create_at_peer(const std::shared_ptr<Creation>& c);
-  void give_up_creation(const std::shared_ptr<Creation>& c);
-  void status(const From& from, const std::string& ref);
-  void abort(const From& from, const std::string& ref);
-  void leave_intent(const From& from, const std::string& ref);
-  void intent_seen(const std::string& key);
-  void cancel(jobs::Job& job);
-  bool gone_for_sure(const jobs::Job& job) const;
-  void follow_aborts();
-  void report(const From& from, const std::string& bytes);
-  std::optional<wire::Value> answer_in_custody(const std::string& bytes);
-  bool leader_answers() const;
-  Seconds vacancy_s() const;
-  Seconds grant_span() const;
-  Seconds granted_for(const peer::Frame& f) const;
-  bool may_consent() const;
-  // Whether no node of a version without custody has led for as long as a cancellation has.
-  bool modern() const;
-  bool all_modern() const;
-  void know_modern();
-  void read_mark(const std::function<void()>& then);
-  void keep_mark();
-  void write_mark(wire::Transaction txn, Seconds not_after, double span);
-  std::optional<std::string> impossible(const wire::JobSpec& spec) const;
-
-  // Answers with the job's state from memory, the leader or a fresh read; 404 only after a fresh read.
-  bool answer_final(const From& from, const std::string& ref, bool brief);
-  void answer_live(const From& from, jobs::Job& job, bool brief);
-  // Jobs on sheets (admission/index.hpp).
+  // Job batches, and this controller's share of the budget.
   bool all_admit() const;
   bool fixed_parts() const;
   store::StateClient::BudgetShare state_parts() const;
@@ -190,17 +149,6 @@
   struct Rereading;
   void read_more(const std::shared_ptr<Rereading>& all);
   void take_again(const std::shared_ptr<Rereading>& all);
-  // `cautious`: the leader was asked and put the question off, so a job that needs others may be an orphan.
-  void answer_fresh(const From& from, const std::string& ref, bool brief, bool cautious = false);
-  void answer_accepted(const From& from, const wire::JobSpec& spec);
-  bool may_be_orphan(const jobs::Job& job) const;
-  // Hands the request on; `otherwise` hears 503 or 429 if the peer put it off, 0 if it gave no answer.
-  void hand_on(const From& from, std::optional<std::size_t> peer, std::string method, std::string path,
-               std::string body, Seconds timeout, const std::function<void(int status)>& otherwise);
-  void ask_peer(std::size_t peer, std::string method, std::string path, std::string body, Seconds timeout,
-                std::function<void(int, const wire::Value&)> then);
-  std::optional<std::size_t> leader_peer() const;
-  std::optional<std::size_t> served_peer(std::uint32_t level = 0) const;
   void remember(const std::string& ref, const wire::FinalState& ended);
 
   void greet();
@@ -269,19 +217,17 @@
   void end_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from);
   void fence(const std::string& ref);
   void write_fence(const std::string& ref);
-  wire::Value away_progress(const jobs::Job& job) const;
 
   settings::Settings settings_;
   ports::Outbox out_;
   store::StateClient store_;
   jobs::JobRegistry registry_;
   leadership::LeaderElection election_;
-  const Seconds delegation_duration_;  // how long a custodian may go on; 0: no custody
-  delegation::LeaseDelegate lease_delegate_;
-  delegation::DelegationLedger delegations_;
+  PeerDirectory peers_;
+  DelegationSupport delegation_support_;
+  DelegatedRenewal delegated_renewal_;
   admission::BudgetShares write_shares_, request_shares_;
   admission::CreationQueue creation_queue_;
-  PeerDirectory peers_;
   BatchIndexFollower batches_;
   JobLookup lookup_;
   FinalStateQuery final_state_query_;
@@ -302,17 +248,7 @@
   std::vector<std::string> intents_;  // read while loading
   std::deque<std::string> to_ask_;    // needed jobs that nothing is known of
   int asking_ = 0;
-  struct Abort {  // a cancellation that waits for its tasks to be gone, and who asked for it
-    jobs::JobIndex job;
-    std::optional<From> from;
-    Seconds until;
-  };
-  std::vector<Abort> aborts_;
-  bool marked_ = false, mark_busy_ = false;  // the mark of custody stands; it is being written
-  std::uint64_t mark_version_ = 0, mark_reads_ = 0;
-  double mark_span_ = 0;
-  std::uint64_t honest_ = 0;  // the newest leadership that workers show to have been an honest one
-  Seconds started_at_ = 0, modern_since_ = ports::kNever, leader_seen_ = -1e9;
+  Seconds started_at_ = 0;
   // Every job that needs one cancelled before then is recorded as cancelled, as far as this node knows.
   Seconds ends_settled_at_ = -1e9;
   Seconds loaded_at_ = 0;
@@ -334,6 +270,11 @@
   bool room_known_ = false;             // in this leadership
   std::set<std::string> looking_at_;    // pages being read
   Seconds guest_wait_s_ = 0, planned_at_ = -1e9, told_strange_ = -1e9;
+  Responder responder_;
+  PeerCalls peer_calls_;
+  JobQueries queries_;
+  JobCancellation cancellation_;
+  JobSubmission submission_;
   std::deque<Seconds> bounced_;  // when worker reports were turned away
   Seconds last_report_ = 0, reach_since_ = 0, unreached_since_ = 0;
   Stats stats_;
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -4,6 +4,14 @@
 #include "controller/controller.hpp"
 
 namespace wingtrail::controller {
+void Controller::remember(const std::string& ref, const wire::FinalState& ended) {
+  if (!final_states_.insert(ref, ended))
+    return;
+  if (election_.holds_leadership())
+    dependencies_.on_ended(
+        ref, {ended.phase == wire::Phase::done, ended.ended_at ? steady(*ended.ended_at) : out_.now()});
+}
+
 // What the others may rely on when this leader does not answer them: up to when all that follows from
 // cancellations is recorded. It stands still after a take-over until every need is known that was not live,
 // and goes no further than the oldest end that waits to be recorded, however many wait before it.
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -28,7 +28,7 @@
   room_known_ = false;
   scheduler_.clear();
   state_writer_.begin_leadership();
-  delegations_.begin_leadership(out_.now());
+  delegated_renewal_.begin_leadership();
   write_shares_.begin_leadership(out_.now());
   request_shares_.begin_leadership(out_.now());
   workers_.begin_leadership();
@@ -39,10 +39,7 @@
 void Controller::lost() {
   ++term_;
   loaded_ = false;
-  for (const Abort& a : std::exchange(aborts_, {})) {
-    if (a.from)
-      try_later(*a.from);
-  }
+  cancellation_.end_leadership();
   state_writer_.end_leadership();
   workers_.end_leadership();
   autoscaler_.end_leadership();
@@ -81,7 +78,7 @@
     if (prefix == jobs::kCompletionPrefix)
       return load(jobs::kInventoryPrefix, "", term);
     // How long earlier leaders may have granted is read before the first lease is taken for over.
-    read_mark([this, term] {
+    delegation_support_.read_record([this, term] {
       if (term == term_)
         loaded();
     });
@@ -137,7 +134,7 @@
   workers_.tick();
   load_away();
   for (const std::string& key : std::exchange(intents_, {}))
-    intent_seen(key);
+    cancellation_.on_marker(key);
   std::vector<jobs::Job*> all;
   registry_.for_each([&all](jobs::Job& job) { all.push_back(&job); });
   if (settings_.tunables.fair_admission <= 0) {
@@ -237,7 +234,7 @@
     }
     for (const wire::Item& i : all->items) {
       if (is_mark(i))
-        intent_seen(i.key);
+        cancellation_.on_marker(i.key);
     }
     follow_jobs(all->revision, all->term);
   });
@@ -245,7 +242,7 @@
 
 void Controller::live_key_seen(const std::string& key, const wire::Value& value, std::uint64_t version) {
   if (key.ends_with(jobs::kCancellationSuffix))
-    return intent_seen(key);
+    return cancellation_.on_marker(key);
   if (cells::is_remote_placement_key(key))
     return;  // this leader's own
   jobs::is_batch_key(key) ? sheet_seen(key, value, version) : job_seen(value, version);
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "controller/job_validation.hpp"
 
 namespace wingtrail::controller {
 namespace {
@@ -55,13 +56,6 @@
   }
 }
 
-wire::Value Controller::away_progress(const jobs::Job& job) const {
-  const cells::RemotePlacements::RemotePlacement* stay = remote_placements_.find(job.spec.ref);
-  const std::uint32_t done = stay ? stay->done : 0, running = stay ? stay->running : 0;
-  return wire::job_progress(job.spec.ref, running > 0 ? wire::Phase::running : wire::Phase::queued, done,
-                            running);
-}
-
 void Controller::tick_cells() {
   if (!settings_.cells.enabled() && remote_placements_.size() == 0)
     return;
@@ -173,8 +167,8 @@
     ++stats_.done_away;
     return state_writer_.record_final_state(*job, wire::Phase::done, {});
   }
-  job->placed_remotely = false;  // follow_aborts() records its end
-  cancel(*job);
+  job->placed_remotely = false;  // cancellation_ records its final state
+  cancellation_.cancel(*job);
 }
 
 void Controller::watch_cell(std::size_t c) {
@@ -237,7 +231,7 @@
   room_.rentable = autoscaler_.rentable_cores();
   // Without custody a cancellation is recorded before its tasks are gone, and its home may start them at
   // once.
-  room_.draining = settings_.cells.drain || delegation_duration_ <= 0;
+  room_.draining = settings_.cells.drain || !delegation_support_.enabled();
   room_.overloaded = overload_.is_overloaded();
   here.draining = settings_.cells.drain;
   here.boot_s = room_.rentable > 0 ? autoscaler_.typical_boot_s() : ports::kNever;
@@ -447,7 +441,7 @@
     return answer(from == known.end() ? 404 : 400, {});
   if (!is_active_leader()) {
     // Only the leader knows, takes and ends; it is asked on the neighbour's behalf, once.
-    const auto leader = f.relayed ? std::nullopt : leader_peer();
+    const auto leader = f.relayed ? std::nullopt : peer_calls_.reachable_leader();
     if (!leader)
       return answer(503, {});
     ports::Call call;
@@ -548,7 +542,7 @@
     return say(JobVerb::never);
   if (catalog_.empty() || !room_known_)
     return say(JobVerb::none);
-  if (impossible(*spec))
+  if (why_unrunnable(*spec, settings_, catalog_))
     return say(JobVerb::never);
   const double cores = spec->tasks * spec->task_resources.cpus;
   // A cell that is being emptied hands on what will have to wait here, too.
@@ -612,7 +606,7 @@
       w.running_tasks = job->running_tasks;
       return say(JobVerb::held);
     }
-    cancel(*job);
+    cancellation_.cancel(*job);
     return say(JobVerb::ending);
   }
   say(JobVerb::none);
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -6,9 +6,9 @@
 
 namespace wingtrail::leadership {
 namespace {
-constexpr double kDrift = 0.0005;  // PROTOCOL: steady clocks differ by up to 0.05%
-constexpr Seconds kMargin = 0.05;  // timers and the clock move in steps of some milliseconds
-constexpr Seconds kRetry = 0.3;
+constexpr double kClockDrift = 0.0005;  // PROTOCOL: steady clocks drift by up to 0.05 %
+constexpr Seconds kTimerMargin = 0.05;  // timers and the clock move in steps of some milliseconds
+constexpr Seconds kRetryDelay = 0.3;
 }  // namespace
 
 LeaderElection::LeaderElection(ports::Outbox& out, store::StateClient& store,
@@ -20,7 +20,7 @@
 }
 
 Seconds LeaderElection::lease_expiry(Seconds sent) const {
-  return sent + settings_.tunables.leader_lease_s * (1 - 2 * kDrift) - kMargin;
+  return sent + settings_.tunables.leader_lease_s * (1 - 2 * kClockDrift) - kTimerMargin;
 }
 
 void LeaderElection::observe_leader(const std::string& leader, std::uint64_t token) {
@@ -31,40 +31,40 @@
 }
 
 void LeaderElection::read_leader_key() {
-  store_.get(kLeaderKey, store::RequestPriority::lease, [this](const store::Reply& r) {
-    if (r.status == 200) {
-      if (auto item = wire::parse_item(r.body)) {
+  store_.get(kLeaderKey, store::RequestPriority::lease, [this](const store::Reply& reply) {
+    if (reply.status == 200) {
+      if (auto item = wire::parse_item(reply.body)) {
         on_occupied(*item);
         return watch_leader_key(item->version);
       }
     }
-    if (r.status == 404) {
-      const auto revision = wire::revision(r.body).value_or(0);
+    if (reply.status == 404) {
+      const auto revision = wire::revision(reply.body).value_or(0);
       on_vacant(revision);
       return watch_leader_key(revision);
     }
-    out_.after(kRetry, [this] { read_leader_key(); });
+    out_.after(kRetryDelay, [this] { read_leader_key(); });
   });
 }
 
 void LeaderElection::watch_leader_key(std::uint64_t after) {
-  store_.watch(kLeaderKey, after, [this, after](const store::Reply& r) {
-    if (r.status != 200)
-      return out_.after(kRetry, [this] { read_leader_key(); });
-    auto changes = wire::parse_changes(r.body);
+  store_.watch(kLeaderKey, after, [this, after](const store::Reply& reply) {
+    if (reply.status != 200)
+      return out_.after(kRetryDelay, [this] { read_leader_key(); });
+    auto changes = wire::parse_changes(reply.body);
     if (!changes)
-      return out_.after(kRetry, [this] { read_leader_key(); });
+      return out_.after(kRetryDelay, [this] { read_leader_key(); });
     const wire::Change* last = nullptr;
-    for (const wire::Change& c : changes->events) {
-      if (c.key == kLeaderKey)
-        last = &c;
+    for (const wire::Change& change : changes->events) {
+      if (change.key == kLeaderKey)
+        last = &change;
     }
     const std::uint64_t next = std::max(after, changes->revision);
     if (last && last->deleted)
       on_vacant(next);
     if (last && !last->deleted)
       on_occupied({last->key, last->value, last->version});
-    // A quiet watch is a chance to notice that the office is still vacant, such as after a lost attempt.
+    // A watch without changes is a chance to notice that nobody leads still, such as after a lost campaign.
     if (!last && leader_.empty() && !holds_leadership_)
       return read_leader_key();
     watch_leader_key(next);
@@ -73,7 +73,7 @@
 
 void LeaderElection::on_vacant(std::uint64_t revision) {
   if (holds_leadership_)
-    step_down("our key is gone");
+    step_down("leader key deleted");
   if (leader_fencing_token_ <= revision)
     leader_.clear();
   campaign();
@@ -84,15 +84,16 @@
   const auto lease = wire::count(item.value, "lease").value_or(0);
   if (item.version > leader_fencing_token_ || (item.version == leader_fencing_token_ && leader_.empty())) {
     if (leader_ != holder)
-      spdlog::info("leader is {} (token {})", holder, item.version);
+      spdlog::info("election: leader changed leader={} token={}", holder, item.version);
     leader_ = holder;
     leader_fencing_token_ = item.version;
   }
   if (holds_leadership_ && item.version != fencing_token_)
-    step_down("another node leads");
+    step_down("another controller leads");
   if (holder == settings_.node && !holds_leadership_ && !campaigning_ && lease != 0 && lease != lease_) {
-    // The holder is an earlier process of this very node. It is dead, so its lease need not be waited for.
-    spdlog::info("ending the lease of this node's earlier process");
+    // The holder is an earlier process of this very controller. It is dead, so its lease need not be waited
+    // for.
+    spdlog::info("election: revoking the lease of an earlier process lease={}", lease);
     store_.revoke_lease(lease);
   }
 }
@@ -108,11 +109,11 @@
   campaigning_ = true;
   const Seconds sent = out_.now();
   store_.create_lease(
-      static_cast<int>(settings_.tunables.leader_lease_s * 1000), [this, sent](const store::Reply& granted) {
-        const auto lease = granted.status == 200 ? wire::lease_id(granted.body) : std::nullopt;
+      static_cast<int>(settings_.tunables.leader_lease_s * 1000), [this, sent](const store::Reply& grant) {
+        const auto lease = grant.status == 200 ? wire::lease_id(grant.body) : std::nullopt;
         if (!lease) {
           campaigning_ = false;
-          return out_.after(kRetry, [this] {
+          return out_.after(kRetryDelay, [this] {
             if (leader_.empty())
               read_leader_key();
           });
@@ -121,15 +122,16 @@
         wire::Transaction txn;
         txn.require(kLeaderKey, 0).put(kLeaderKey, {{"node", settings_.node}, {"lease", *lease}}, *lease);
         store_.transact(std::move(txn), store::RequestPriority::lease, lease_expiry(sent),
-                        [this, sent, lease](const store::Reply& r) {
+                        [this, sent, lease](const store::Reply& reply) {
                           campaigning_ = false;
-                          const auto revision = wire::revision(r.body);
-                          if (r.status == 200 && revision)
+                          const auto revision = wire::revision(reply.body);
+                          if (reply.status == 200 && revision)
                             return on_won(*lease, *revision, sent);
-                          // Ending the lease makes a copy of this attempt that is still under way fail.
+                          // Revoking the lease makes a copy of this campaign's write that is still under way
+                          // fail.
                           store_.revoke_lease(*lease);
-                          if (r.status != 409)
-                            out_.after(kRetry, [this] {
+                          if (reply.status != 409)
+                            out_.after(kRetryDelay, [this] {
                               if (leader_.empty())
                                 read_leader_key();
                             });
@@ -146,7 +148,7 @@
   renewed_at_ = lease_sent;
   observe_leader(settings_.node, token);
   leader_ = settings_.node;
-  spdlog::info("this node leads, token {}", token);
+  spdlog::info("election: won token={}", token);
   store_.set_leading(true);
   schedule_renewal(settings_.tunables.leader_lease_s / 4);
   events_.on_elected();
@@ -161,26 +163,26 @@
 
 void LeaderElection::renew_lease() {
   const Seconds sent = out_.now();
-  store_.renew_lease(lease_, [this, sent, term = term_](const store::Reply& r) {
+  store_.renew_lease(lease_, [this, sent, term = term_](const store::Reply& reply) {
     if (!holds_leadership_ || term != term_)
       return;
-    if (r.status == 200) {
+    if (reply.status == 200) {
       if (out_.now() >= lease_expires_at_)
-        spdlog::info("renewal got through, orders go on (token {})", fencing_token_);
+        spdlog::info("election: lease renewed late, commands resume token={}", fencing_token_);
       lease_expires_at_ = std::max(lease_expires_at_, lease_expiry(sent));
       renewed_at_ = std::max(renewed_at_, sent);
       return schedule_renewal(std::max(0.05, sent + settings_.tunables.leader_lease_s / 4 - out_.now()));
     }
-    if (r.status == 404)
-      return step_down("the lease has ended");
+    if (reply.status == 404)
+      return step_down("lease expired");
     schedule_renewal(settings_.tunables.leader_lease_s / 12);
   });
 }
 
-void LeaderElection::step_down(const char* why) {
+void LeaderElection::step_down(const char* reason) {
   if (!holds_leadership_)
     return;
-  spdlog::info("this node leads no longer (token {}): {}", fencing_token_, why);
+  spdlog::info("election: stepped down token={} reason=\"{}\"", fencing_token_, reason);
   holds_leadership_ = false;
   ++term_;
   lease_expires_at_ = -1;
@@ -190,17 +192,17 @@
   events_.on_lost();
 }
 
-void LeaderElection::resign(Seconds pause, const char* why) {
+void LeaderElection::resign(Seconds pause, const char* reason) {
   if (!holds_leadership_)
     return;
   campaign_after_ = out_.now() + pause;
   const std::uint64_t lease = lease_;
-  step_down(why);
+  step_down(reason);
   store_.revoke_lease(lease);
 }
 
-void LeaderElection::on_superseded(const char* why) {
-  step_down(why);
+void LeaderElection::on_superseded(const char* reason) {
+  step_down(reason);
 }
 
 }  // namespace wingtrail::leadership
