--- a/src/controller/batches.cpp
+++ b/src/controller/batches.cpp
@@ -6,18 +6,18 @@
 
 // Whether every controller creates job batches: none has a version, or settings, that would not find the
 // jobs.
-bool Controller::all_admit() const {
+bool Controller::may_create_batches() const {
   return settings_.tunables.fair_admission > 0 && peers_.all_support_batches();
 }
 
 // A peer that keeps to no shares uses the fixed part that it always had, and so do the others then.
-bool Controller::fixed_parts() const {
+bool Controller::shares_are_fixed() const {
   return peers_.any_lacks_batches();
 }
 
-store::StateClient::BudgetShare Controller::state_parts() const {
+store::StateClient::BudgetShare Controller::budget_share() const {
   const bool leads = election_.may_act();
-  if (!fixed_parts())
+  if (!shares_are_fixed())
     return {request_shares_.own_share(out_.now(), leads), write_shares_.own_share(out_.now(), leads), false};
   const double part = store::StateClient::default_share(election_.holds_leadership(), peers_.size());
   return {part, part, true};
@@ -28,12 +28,12 @@
 void Controller::on_live_job_read(const LiveRecord& live) {
   if (live.term != term_)
     return;
-  job_seen(live.spec, live.version, jobs::is_batch_key(live.key) ? live.key : "");
+  on_job_read(live.spec, live.version, jobs::is_batch_key(live.key) ? live.key : "");
 }
 
 // A batch outlives some of its jobs, so whoever begins to lead asks which have a final state. Nobody but this
 // leader can write one any more: earlier leaders' writes are conditioned on their key.
-void Controller::drop_over(std::function<void()> then) {
+void Controller::drop_jobs_with_final_state(std::function<void()> then) {
   std::vector<std::string> refs;
   registry_.for_each([&](const jobs::Job& job) {
     if (state_writer_.batches().contains(job.index))
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -13,10 +13,6 @@
 constexpr Seconds kReadsWithin =
     12;  // of a new leader, one answer at least: twice what it waits for one, and more
 constexpr Seconds kStatsEvery = 10;
-constexpr Seconds kCatalogEvery = 60;
-constexpr Seconds kBouncedWindow = 4;
-constexpr Seconds kRedirected = 2;  // a worker that was sent here has reported by then
-constexpr const char* kCatalogKey = "catalog";
 
 std::vector<std::string> neighbour_names(const settings::Cells& cells) {
   std::vector<std::string> names;
@@ -59,7 +55,7 @@
       lookup_(out_, store_, batches_,
               {[this] { return term_; },
                [this](const std::string& ref, const wire::FinalState& state) {
-                 remember(ref, state);
+                 on_final_state(ref, state);
                }}),
       final_state_query_(out_, store_, settings_,
                          {[this] { return term_; },
@@ -72,7 +68,7 @@
                                     return std::nullopt;
                                   return jobs::DependencyGraph::End{
                                       state->phase == wire::Phase::done,
-                                      state->ended_at ? steady(*state->ended_at) : 0};
+                                      state->ended_at ? to_steady_time(*state->ended_at) : 0};
                                 },
                                 [this](const jobs::Job& job) {
                                   return scheduler_.expected_duration(job);
@@ -94,7 +90,7 @@
                 [this](workers::Machine& m, const workers::Allocation& s) {
                   scheduler_.on_task_exited(m, s);
                   if (jobs::Job* job = registry_.job_at(s.job)) {
-                    done_if_complete(*job);
+                    complete_if_done(*job);
                     registry_.erase_if_over(*job);
                   }
                 },
@@ -108,6 +104,14 @@
                    [this] {
                      return election_.lease_expires_at();
                    }}),
+      catalog_(out_, store_, election_, settings_,
+               {[this] { return is_active_leader(); },
+                [this](const MachineCatalog::Types& types) {
+                  workers_.set_catalog(types);
+                  scheduler_.set_catalog(types);
+                  autoscaler_.set_catalog(types);
+                }}),
+      zone_reporter_(out_, registry_, workers_, scheduler_),
       remote_placements_(neighbour_names(settings_.cells), page_bytes(settings_)),
       cell_views_(settings_.cells.neighbours.size()),
       responder_(out_, [this] { return frame(); }),
@@ -121,7 +125,7 @@
            peer_calls_, responder_},
           {[this] { return is_active_leader(); }, [this](const LiveRecord& live) { on_live_job_read(live); },
            [this] {
-             return ends_settled_at_;
+             return final_states_recorded_until_;
            }}),
       cancellation_({out_, store_, registry_, state_writer_, workers_, scheduler_, remote_placements_, peers_,
                      lookup_, queries_, peer_calls_, responder_},
@@ -129,14 +133,16 @@
                      [this](const LiveRecord& live) {
                        on_live_job_read(live);
                      }}),
-      submission_(
-          {out_, store_, settings_, catalog_, election_, peers_, final_states_, registry_, batches_,
-           creation_queue_, lookup_, queries_, peer_calls_, responder_},
-          {[this] { return is_active_leader(); }, [this] { return term_; }, [this] { return fixed_parts(); },
-           [this](const wire::Value& record, std::uint64_t revision, const std::string& batch_key) {
-             job_seen(record, revision, batch_key);
-           }}) {
-  state_writer_.set_events({[this](jobs::Job& job) { job_closed(job); },
+      submission_({out_, store_, settings_, catalog_.types(), election_, peers_, final_states_, registry_,
+                   batches_, creation_queue_, lookup_, queries_, peer_calls_, responder_},
+                  {[this] { return is_active_leader(); }, [this] { return term_; },
+                   [this] { return shares_are_fixed(); },
+                   [this](const wire::Value& record, std::uint64_t revision, const std::string& batch_key) {
+                     on_job_read(record, revision, batch_key);
+                   }}),
+      heartbeats_({out_, settings_, election_, peers_, delegated_renewal_, workers_, responder_},
+                  [this] { return is_active_leader(); }) {
+  state_writer_.set_events({[this](jobs::Job& job) { on_job_final(job); },
                             [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
                               workers_.acknowledge_ends(ended);
                             },
@@ -148,13 +154,13 @@
     scheduler_.enqueue(job);
   };
   creation_queue_.batches_allowed = [this] {
-    return all_admit();
+    return may_create_batches();
   };
   creation_queue_.fixed_shares = [this] {
-    return fixed_parts();
+    return shares_are_fixed();
   };
   if (settings_.tunables.fair_admission > 0)
-    store_.set_share_source([this] { return state_parts(); });
+    store_.set_share_source([this] { return budget_share(); });
 }
 
 void Controller::start(Seconds now) {
@@ -162,14 +168,14 @@
   started_at_ = now;
   delegated_renewal_.start();
   election_.start();
-  read_catalog();
+  catalog_.read_stored();
   delegation_support_.read_record({});
-  fetch_catalog();
+  catalog_.start_fetching();
   batches_.start();
   probe_store();
-  greet();
+  greet_peers();
   periodic();
-  out_.after(kStatsEvery, [this] { tell_stats(); });
+  out_.after(kStatsEvery, [this] { log_stats(); });
 }
 
 void Controller::reply(Seconds now, std::uint64_t call, const ports::Reply& reply) {
@@ -192,6 +198,7 @@
 
 Stats Controller::stats() const {
   Stats s = stats_;
+  s.reports = heartbeats_.count();
   s.submitted = submission_.counts().submitted;
   s.admitted = submission_.counts().admitted;
   s.refused = submission_.counts().refused;
@@ -234,8 +241,9 @@
                        load.cores_waiting, load.oldest_wait, load.recent_arrivals.per_s(out_.now()),
                        load.surge(out_.now()), load.served_share(), load.largest_zone_share()});
   }
-  for (jobs::ZoneIndex zone{0}; zone < zone_lives_.size(); ++zone)
-    s.zone_lives.emplace_back(registry_.zones[zone], zones::name(zone_lives_[zone].last));
+  s.zone_lives = zone_reporter_.states();
+  s.zones_lost = zone_reporter_.counts().lost;
+  s.zones_back = zone_reporter_.counts().recovered;
   for (jobs::ZoneIndex zone{0}; zone < picture.cores_by_zone().size(); ++zone)
     s.zones.emplace_back(registry_.zones[zone], picture.cores_by_zone()[zone]);
   for (const auto& [why, cores] : picture.waiting_cores_by_reason())
@@ -256,7 +264,7 @@
   s.admissions_waiting = creation_queue_.waiting_count();
   s.sheets_live = batches_.index().batch_count();
   if (settings_.tunables.fair_admission > 0)
-    s.state_share = state_parts().writes;
+    s.state_share = budget_share().writes;
   s.state_asked = store_.recent_demand().writes;
   s.agreed_age_s = election_.may_act() ? 0 : std::min(1e6, write_shares_.loan_age(out_.now()));
   s.put_off_by.assign(creation_queue_.deferred_by_class().begin(), creation_queue_.deferred_by_class().end());
@@ -306,7 +314,7 @@
   if (path == wire::kHeartbeatPath && !origin.by_peer) {
     if (wrong_method("POST"))
       return;
-    return handle_heartbeat(origin, body);
+    return heartbeats_.handle(origin, body);
   }
   if (path == wire::kReadyPath && !origin.by_peer) {
     if (wrong_method("GET"))
@@ -319,36 +327,10 @@
 // While no controller is served by the state service, being taken out of service would only add the load
 // balancer's pause to the outage; until it is over, users are told at once to come back.
 bool Controller::is_ready() const {
-  return !catalog_.empty() &&
+  return !catalog_.types().empty() &&
          (store_.healthy() || peer_calls_.served_peer() || is_active_leader() || peers_.none_served());
 }
 
-// ---------------------------------------------------------------- heartbeats
-
-void Controller::handle_heartbeat(const RequestOrigin& origin, const std::string& bytes) {
-  ++stats_.reports;
-  if (!is_active_leader()) {
-    if (auto reply = delegated_renewal_.answer_heartbeat(bytes))
-      return responder_.respond(origin, 200, std::move(*reply));
-    bounced_.push_back(out_.now());
-    while (bounced_.size() > 10'000)
-      bounced_.pop_front();
-    // Only a leader that somebody else is: naming this controller would send the worker around in a circle.
-    const bool other = !election_.leader().empty() && election_.leader() != settings_.node;
-    return responder_.respond(origin, 421, wire::leader_redirect(other ? election_.leader() : ""));
-  }
-  const auto heartbeat = wire::parse_heartbeat(bytes);
-  if (!heartbeat) {
-    spdlog::warn("heartbeats: malformed error={}", heartbeat.error());
-    return responder_.respond(origin, 400);
-  }
-  last_report_ = out_.now();
-  auto reply = workers_.handle_heartbeat(*heartbeat);
-  if (!reply)
-    return responder_.respond(origin, 503);
-  responder_.respond(origin, 200, std::move(*reply));
-}
-
 // ---------------------------------------------------------------- peers
 
 peer::Frame Controller::frame() const {
@@ -357,7 +339,7 @@
   f.leader_fencing_token = election_.leader_fencing_token();
   f.leader = election_.leader();
   f.state_service_healthy = store_.healthy();
-  f.rejected_heartbeats = static_cast<std::uint32_t>(bounced_.size());
+  f.rejected_heartbeats = static_cast<std::uint32_t>(heartbeats_.recent_rejections());
   f.level = peer::kProtocolLevel;
   f.process_age_s = out_.now() - started_at_;
   delegated_renewal_.describe(f);
@@ -371,18 +353,17 @@
   if (f.supports_batches)
     f.deferred_attempts = creation_queue_.first_attempts().encode_recent(out_.time_of_day());
   if (election_.holds_leadership() && loaded_)
-    f.final_state_lag_s = out_.now() - ends_settled_at_;
+    f.final_state_lag_s = out_.now() - final_states_recorded_until_;
   f.answers_heartbeats = is_active_leader() || (election_.holds_leadership() && loaded_ &&
                                                 out_.now() < delegated_renewal_.delegated_until());
   return f;
 }
 
-void Controller::greet() {
+void Controller::greet_peers() {
   delegated_renewal_.observe_leadership();
   delegation_support_.update();
   delegation_support_.maintain_record(is_active_leader());
-  while (!bounced_.empty() && bounced_.front() < out_.now() - kBouncedWindow)
-    bounced_.pop_front();
+  heartbeats_.forget_old_rejections();
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
     ports::Call call;
     call.target = ports::Target::peer;
@@ -405,7 +386,7 @@
   }
   // Of nodes that begin together the first to ask finds nobody, and agreement must not wait for a second.
   const Seconds first = settings_.tunables.peer_agreement ? kFirstGreetings : kGreeting;
-  out_.after(std::min(kGreeting, std::max(first, out_.now() - started_at_)), [this] { greet(); });
+  out_.after(std::min(kGreeting, std::max(first, out_.now() - started_at_)), [this] { greet_peers(); });
 }
 
 void Controller::heard(std::size_t i, const peer::Frame& f) {
@@ -418,7 +399,8 @@
   delegated_renewal_.on_frame(f);
   // A version that does not say how far it has come is taken to have recorded all if it can write.
   if (f.answers_heartbeats && f.node == election_.leader() && f.state_service_healthy)
-    ends_settled_at_ = std::max(ends_settled_at_, out_.now() - std::max(0.0, f.final_state_lag_s));
+    final_states_recorded_until_ =
+        std::max(final_states_recorded_until_, out_.now() - std::max(0.0, f.final_state_lag_s));
 }
 
 void Controller::peer(Seconds now, std::uint64_t id, const peer::Frame& f) {
@@ -456,52 +438,6 @@
 
 // ---------------------------------------------------------------- duties
 
-void Controller::fetch_catalog() {
-  ports::Call call;
-  call.target = ports::Target::cloud;
-  call.method = "GET";
-  call.path = wire::kCatalogPath;
-  call.timeout_s = 3;
-  out_.call(std::move(call), [this](const ports::Reply& r) {
-    if (r.status == 200) {
-      use_catalog(r.body);
-      if (is_active_leader())
-        keep_catalog();
-    }
-    out_.after(catalog_.empty() ? 0.5 : kCatalogEvery, [this] { fetch_catalog(); });
-  });
-}
-
-void Controller::use_catalog(const wire::Value& raw) {
-  auto catalog = wire::parse_catalog(raw);
-  if (!catalog)
-    return spdlog::error("catalog: {}", catalog.error());
-  catalog_ = std::move(*catalog);
-  catalog_raw_ = raw;
-  workers_.set_catalog(catalog_);
-  scheduler_.set_catalog(catalog_);
-  autoscaler_.set_catalog(catalog_);
-}
-
-// A node that comes back while the cloud is slow or down can decide at once with the catalog kept by a
-// leader.
-void Controller::read_catalog() {
-  store_.get(kCatalogKey, store::RequestPriority::user, [this](const store::Reply& r) {
-    auto item = r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
-    if (item && catalog_.empty())
-      use_catalog(item->value);
-  });
-}
-
-void Controller::keep_catalog() {
-  if (catalog_raw_.is_null() || catalog_raw_.dump().size() > settings_.value_bytes())
-    return;
-  wire::Transaction txn;
-  txn.require(leadership::kLeaderKey, election_.fencing_token()).put(kCatalogKey, catalog_raw_);
-  store_.transact(std::move(txn), store::RequestPriority::background, election_.lease_expires_at(),
-                  [](const store::Reply&) {});
-}
-
 // A follower asks the state service little; this tells it, and through it its peers, whether it is served.
 void Controller::probe_store() {
   if (!election_.holds_leadership())
@@ -520,63 +456,21 @@
     workers_.tick();
     if (is_active_leader()) {
       dependencies_.propagate_urgency();
-      follow_chains();
-      settle_ends();
+      process_dependencies();
+      update_final_states_recorded_until();
       recording_delays_.update(out_.now(), state_writer_.backlogs(), store_.write_rate());
-      watch_zones();
+      zone_reporter_.update();
       autoscaler_.tick();
       scheduler_.run_pass();
       tick_cells();
-      check_reach();
+      heartbeats_.check_reachability();
     }
   }
-  overload_.update(out_.now(), creation_queue_, state_parts().writes);
+  overload_.update(out_.now(), creation_queue_, budget_share().writes);
   out_.after(kPeriod, [this] { periodic(); });
 }
 
-// One line for each change of a zone that people should know of.
-void Controller::watch_zones() {
-  using zones::ZoneState;
-  const zones::ZoneTracker& zones = workers_.zones();
-  zone_lives_.resize(registry_.zones.size());
-  for (jobs::ZoneIndex zone{0}; zone < zone_lives_.size(); ++zone) {
-    auto& [last, since, looked_at, loss] = zone_lives_[zone];
-    const ZoneState now = zones.state(zone, out_.now());
-    // The leases of a zone end together, so what they take is looked at before.
-    if (now == ZoneState::unreachable && out_.now() >= looked_at + 1) {
-      loss = scheduler_.zone_loss_impact(zone);
-      looked_at = out_.now();
-    }
-    if (now == last || now == ZoneState::silent)
-      continue;
-    const std::string& name = registry_.zones[zone];
-    const double finds =
-        loss.cores_movable > 0 ? std::min(1.0, loss.cores_free_elsewhere / loss.cores_movable) : 1.0;
-    if (now == ZoneState::unreachable)
-      spdlog::info("zone {}: out of reach; {:.0f} cores in use there, {} services", name, loss.cores_in_use,
-                   loss.services_affected);
-    if (now == ZoneState::lost) {
-      ++stats_.zones_lost;
-      spdlog::warn(
-          "zone {}: lost after {:.0f} s; {} services short of replicas, {} with none; {:.0f} of {:.0f} cores "
-          "may run "
-          "elsewhere, room for {:.0f} % of them at once",
-          name, out_.now() - zones.last_contact_at(zone), loss.services_affected,
-          loss.services_without_replicas, loss.cores_movable, loss.cores_in_use, 100 * finds);
-    }
-    if (now == ZoneState::recovering) {
-      ++stats_.zones_back;
-      spdlog::info("zone {}: back after {:.0f} s, for the {}. time without rest", name, out_.now() - since,
-                   zones.flap_count(zone));
-    }
-    if (now == ZoneState::healthy)
-      spdlog::info("zone {}: sound", name);
-    last = now;
-    since = out_.now();
-  }
-}
-
-void Controller::tell_stats() {
+void Controller::log_stats() {
   const Stats s = stats();
   spdlog::debug(
       "so far: {} reports, {} direct calls, {} orders, {} deadlines, {} tasks started, {} preempted, {} "
@@ -597,25 +491,7 @@
   }
   for (const auto& [why, cores] : s.reasons)
     spdlog::debug("{:.0f} cores wait for {}", cores, why);
-  out_.after(kStatsEvery, [this] { tell_stats(); });
-}
-
-// A leader that workers cannot reach lets their leases run out. If peers turn reports away that never come
-// here, one of them should lead.
-void Controller::check_reach() {
-  const Seconds since = out_.now() - std::max(last_report_, reach_since_);
-  if (!peers_.any_rejects_heartbeats() || since < 2 * settings_.heartbeat_interval_s + 1) {
-    unreached_since_ = 0;
-    return;
-  }
-  // The first report of a new machine may go to a peer when no other machine is up; it comes here a moment
-  // later.
-  if (unreached_since_ == 0)
-    unreached_since_ = out_.now();
-  if (out_.now() - unreached_since_ < kRedirected)
-    return;
-  unreached_since_ = 0;
-  election_.resign(5 * settings_.heartbeat_interval_s, "workers reach other nodes but not this one");
+  out_.after(kStatsEvery, [this] { log_stats(); });
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,5 +1,5 @@
-// One controller's decisions, whole: what comes in is a request, a reply or the time; what goes out are
-// actions.
+/// @file
+/// The decisions of one controller. Requests, replies and the time come in; actions go out.
 #pragma once
 
 #include <array>
@@ -21,15 +21,18 @@
 #include "controller/delegation_support.hpp"
 #include "controller/final_state_cache.hpp"
 #include "controller/final_state_query.hpp"
+#include "controller/heartbeat_handler.hpp"
 #include "controller/job_cancellation.hpp"
 #include "controller/job_lookup.hpp"
 #include "controller/job_queries.hpp"
 #include "controller/job_submission.hpp"
+#include "controller/machine_catalog.hpp"
 #include "controller/overload_monitor.hpp"
 #include "controller/peer_calls.hpp"
 #include "controller/peer_directory.hpp"
 #include "controller/recording_delay_reporter.hpp"
 #include "controller/responder.hpp"
+#include "controller/zone_reporter.hpp"
 #include "jobs/dependency_graph.hpp"
 #include "jobs/job_registry.hpp"
 #include "jobs/state_writer.hpp"
@@ -44,12 +47,15 @@
 
 using ports::Seconds;
 
+/// A request of a user or a worker.
 struct IncomingRequest {
-  std::uint64_t id = 0;  // to be named in the answer
-  std::string method, path;
-  std::string body;  // as it came
+  std::uint64_t id = 0;  ///< to be named in the answer
+  std::string method;
+  std::string path;
+  std::string body;  ///< as it came
 };
 
+/// Counters and gauges, as of one moment. The daemon publishes them as metrics.
 struct Stats {
   std::uint64_t submitted = 0, admitted = 0, refused = 0, reports = 0, forwarded = 0, completed = 0,
                 cancelled = 0;
@@ -68,7 +74,7 @@
   jobs::StateWriter::Backlogs ends{};  // to be recorded, by kind
   std::uint64_t leader_token = 0;      // of the newest leadership known of
   std::uint64_t custody_answers = 0, grants = 0, aborts_put_off = 0, alarms = 0;
-  // The picture of the load (spread/picture.hpp), in names.
+  // The load by team and class (balancing/load_snapshot.hpp).
   struct ClassLoad {
     std::string team, job_class;
     double held = 0, waiting = 0, oldest_s = 0, offered = 0, surge = 1, served_share = 1, most_in_a_zone = 0;
@@ -91,26 +97,39 @@
                 guests_ended = 0, fences = 0;
 };
 
-// That a page of jobs which other cells hold may have.
+/// The largest size, in bytes, of a page that records jobs held by other cells.
 std::size_t page_bytes(const settings::Settings& settings);
 
+/// One controller: wires its parts together, routes requests to them, and carries a leadership from its
+/// beginning to its end. It touches neither sockets nor clocks: whoever drives it passes in the time, calls
+/// drain() after every other call and carries the actions out. Times are of a steady clock, in seconds.
 class Controller {
  public:
+  /// @param seed of the random numbers; also names this process, so it must differ between processes
   Controller(settings::Settings settings, std::uint64_t seed);
 
+  /// The process begins. To be called once, before anything else.
   void start(Seconds now);
-  void request(Seconds now, const IncomingRequest& in);  // from users and workers
+  /// A user or a worker has sent a request.
+  void request(Seconds now, const IncomingRequest& in);
+  /// A peer, or a controller of another cell, has sent a frame.
+  /// @param id to be named in the answer
   void peer(Seconds now, std::uint64_t id, const peer::Frame& frame);
+  /// The call with that id has been replied to, or has failed.
   void reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
-  void tick(Seconds now);  // when next_wake() has come
+  /// Runs the timers that are due; to be called when next_wake() has come.
+  void tick(Seconds now);
+  /// Sets the time of day less the steady time.
   void set_day_offset(double offset) {
     out_.set_day_offset(offset);
-  }  // time of day less steady time
+  }
   Seconds next_wake() const {
     return out_.next_wake();
   }
+  /// Returns the actions to be carried out, in order.
   std::vector<ports::Action> drain();
 
+  /// Whether this controller leads, its lease has not run out, and it has read its jobs and machines.
   bool is_active_leader() const {
     return election_.may_act() && loaded_;
   }
@@ -118,7 +137,7 @@
     return election_.lease_expires_at();
   }
   Stats stats() const;
-  // For the tests that look inside.
+  // For tests.
   const leadership::LeaderElection& leader_election() const {
     return election_;
   }
@@ -136,33 +155,26 @@
   void route(const RequestOrigin& origin, const std::string& method, const std::string& path,
              const std::string& body);
   bool is_ready() const;
-  void handle_heartbeat(const RequestOrigin& origin, const std::string& bytes);
   void on_live_job_read(const LiveRecord& live);
   // Job batches, and this controller's share of the budget.
-  bool all_admit() const;
-  bool fixed_parts() const;
-  store::StateClient::BudgetShare state_parts() const;
-  void drop_over(std::function<void()> then);
-  void sheet_seen(const std::string& key, const wire::Value& value, std::uint64_t version,
-                  const std::set<std::string>& over = {});
-  void read_again(std::uint64_t term);
+  bool may_create_batches() const;
+  bool shares_are_fixed() const;
+  store::StateClient::BudgetShare budget_share() const;
+  void drop_jobs_with_final_state(std::function<void()> then);
+  void on_batch_read(const std::string& key, const wire::Value& value, std::uint64_t version,
+                     const std::set<std::string>& over = {});
+  void reread_jobs(std::uint64_t term);
   struct Rereading;
-  void read_more(const std::shared_ptr<Rereading>& all);
-  void take_again(const std::shared_ptr<Rereading>& all);
-  void remember(const std::string& ref, const wire::FinalState& ended);
+  void reread_next_page(const std::shared_ptr<Rereading>& all);
+  void apply_reread_jobs(const std::shared_ptr<Rereading>& all);
+  void on_final_state(const std::string& ref, const wire::FinalState& ended);
 
-  void greet();
+  void greet_peers();
   void heard(std::size_t peer, const peer::Frame& frame);
   peer::Frame frame() const;
-  void fetch_catalog();
-  void read_catalog();
-  void use_catalog(const wire::Value& raw);
-  void keep_catalog();
   void probe_store();
   void periodic();
-  void check_reach();
-  void watch_zones();
-  void tell_stats();
+  void log_stats();
 
   void elected();
   void lost();
@@ -170,17 +182,17 @@
   void load_item(const char* prefix, const wire::Item& item);
   void loaded();
   void follow_jobs(std::uint64_t after, std::uint64_t term);
-  void live_key_seen(const std::string& key, const wire::Value& value, std::uint64_t version);
-  void job_seen(const wire::Value& value, std::uint64_t version, const std::string& sheet = {});
-  jobs::Job* learn_job(const wire::Value& value, std::uint64_t version);
-  Seconds steady(double time_of_day) const;  // no later than now
+  void on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version);
+  void on_job_read(const wire::Value& value, std::uint64_t version, const std::string& sheet = {});
+  jobs::Job* add_job(const wire::Value& value, std::uint64_t version);
+  Seconds to_steady_time(double time_of_day) const;  // no later than now
   // What follows from jobs that were learnt of or that have ended.
-  void follow_chains();
-  void ask_about_needs();
-  void ask_about(const std::string& ref);
-  void settle_ends();
-  void job_closed(jobs::Job& job);
-  void done_if_complete(jobs::Job& job);
+  void process_dependencies();
+  void look_up_unknown_dependencies();
+  void look_up_dependency(const std::string& ref);
+  void update_final_states_recorded_until();
+  void on_job_final(jobs::Job& job);
+  void complete_if_done(jobs::Job& job);
 
   // ---- other cells (daemon/cells.cpp)
   struct CellView {          // a neighbour as this leader sees it
@@ -239,27 +251,21 @@
   scheduling::Scheduler scheduler_;
   autoscaling::Autoscaler autoscaler_;
 
-  std::vector<wire::MachineType> catalog_;
-  wire::Value catalog_raw_;
+  MachineCatalog catalog_;
+  ZoneReporter zone_reporter_;
   FinalStateCache final_states_;
   std::uint64_t term_ = 0;
   bool loaded_ = false;
-  Seconds read_at_ = 0;               // while not loaded: when something was last read
-  std::vector<std::string> intents_;  // read while loading
-  std::deque<std::string> to_ask_;    // needed jobs that nothing is known of
-  int asking_ = 0;
+  Seconds read_at_ = 0;                              // while not loaded: when something was last read
+  std::vector<std::string> markers_read_;            // read while loading
+  std::deque<std::string> dependencies_to_look_up_;  // needed jobs that nothing is known of
+  int dependency_lookups_in_flight_ = 0;
   Seconds started_at_ = 0;
   // Every job that needs one cancelled before then is recorded as cancelled, as far as this node knows.
-  Seconds ends_settled_at_ = -1e9;
+  Seconds final_states_recorded_until_ = -1e9;
   Seconds loaded_at_ = 0;
-  std::deque<std::pair<Seconds, std::string>> unknown_needs_;  // since when, the oldest first
+  std::deque<std::pair<Seconds, std::string>> unknown_dependencies_;  // since when, the oldest first
   std::uint64_t jobs_revision_ = 0;
-  struct ZoneLife {
-    zones::ZoneState last = zones::ZoneState::healthy;  // as last told
-    Seconds since = 0, looked_at = 0;
-    scheduling::Scheduler::ZoneLossImpact loss;  // of a zone out of reach, while its leases last
-  };
-  std::vector<ZoneLife> zone_lives_;
   cells::RemotePlacements remote_placements_;
   std::vector<CellView> cell_views_;
   std::vector<wire::Item> away_pages_;  // read while loading
@@ -275,8 +281,7 @@
   JobQueries queries_;
   JobCancellation cancellation_;
   JobSubmission submission_;
-  std::deque<Seconds> bounced_;  // when worker reports were turned away
-  Seconds last_report_ = 0, reach_since_ = 0, unreached_since_ = 0;
+  HeartbeatHandler heartbeats_;
   Stats stats_;
 };
 
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -1,33 +1,35 @@
-// What is known of ends that are decided and not recorded: what peers may rely on, and what operators hear.
+/// @file
+/// Final states: what the leader remembers of them, and up to when it has recorded them.
 #include <algorithm>
 
 #include "controller/controller.hpp"
 
 namespace wingtrail::controller {
-void Controller::remember(const std::string& ref, const wire::FinalState& ended) {
+void Controller::on_final_state(const std::string& ref, const wire::FinalState& ended) {
   if (!final_states_.insert(ref, ended))
     return;
   if (election_.holds_leadership())
-    dependencies_.on_ended(
-        ref, {ended.phase == wire::Phase::done, ended.ended_at ? steady(*ended.ended_at) : out_.now()});
+    dependencies_.on_ended(ref, {ended.phase == wire::Phase::done,
+                                 ended.ended_at ? to_steady_time(*ended.ended_at) : out_.now()});
 }
 
 // What the others may rely on when this leader does not answer them: up to when all that follows from
 // cancellations is recorded. It stands still after a take-over until every need is known that was not live,
 // and goes no further than the oldest end that waits to be recorded, however many wait before it.
-void Controller::settle_ends() {
-  while (!unknown_needs_.empty() && !dependencies_.awaits_unknown(unknown_needs_.front().second))
-    unknown_needs_.pop_front();
+void Controller::update_final_states_recorded_until() {
+  while (!unknown_dependencies_.empty() &&
+         !dependencies_.awaits_unknown(unknown_dependencies_.front().second))
+    unknown_dependencies_.pop_front();
   Seconds settled_at = out_.now();
-  if (!unknown_needs_.empty()) {
-    settled_at = unknown_needs_.front().first;
+  if (!unknown_dependencies_.empty()) {
+    settled_at = unknown_dependencies_.front().first;
     if (settled_at <= loaded_at_)
       return;
   }
   // One that its user cancelled too may be recorded as that.
   for (const auto kind : {jobs::RecordKind::orphaned, jobs::RecordKind::cancelled})
     settled_at = std::min(settled_at, state_writer_.oldest_unrecorded(kind).value_or(settled_at));
-  ends_settled_at_ = settled_at;
+  final_states_recorded_until_ = settled_at;
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -1,4 +1,5 @@
-// A leadership: what is read at its beginning, what comes in during it, and its end.
+/// @file
+/// A leadership of this controller: what is read at its beginning, what comes in during it, and its end.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -13,13 +14,13 @@
   ++term_;
   loaded_ = false;
   read_at_ = out_.now();
-  intents_.clear();
+  markers_read_.clear();
   registry_.clear();
   dependencies_.clear();
-  to_ask_.clear();
-  unknown_needs_.clear();
-  asking_ = 0;
-  zone_lives_.clear();
+  dependencies_to_look_up_.clear();
+  unknown_dependencies_.clear();
+  dependency_lookups_in_flight_ = 0;
+  zone_reporter_.reset();
   remote_placements_.clear();
   away_pages_.clear();
   fenced_.clear();
@@ -32,7 +33,7 @@
   write_shares_.begin_leadership(out_.now());
   request_shares_.begin_leadership(out_.now());
   workers_.begin_leadership();
-  workers_.set_catalog(catalog_);
+  workers_.set_catalog(catalog_.types());
   load(jobs::kLiveJobPrefix, "", term_);
 }
 
@@ -70,7 +71,7 @@
     if (range->more && !range->items.empty())
       return load(prefix, range->items.back().key, term);
     if (prefix == jobs::kLiveJobPrefix) {
-      return drop_over([this, term] {
+      return drop_jobs_with_final_state([this, term] {
         if (term == term_)
           load(jobs::kCompletionPrefix, "", term);
       });
@@ -87,13 +88,13 @@
 
 void Controller::load_item(const char* prefix, const wire::Item& item) {
   if (prefix == jobs::kLiveJobPrefix && item.key.ends_with(jobs::kCancellationSuffix)) {
-    intents_.push_back(item.key);  // acted on when all is loaded
+    markers_read_.push_back(item.key);  // acted on when all is loaded
   } else if (prefix == jobs::kLiveJobPrefix && cells::is_remote_placement_key(item.key)) {
     away_pages_.push_back(item);  // the same
   } else if (prefix == jobs::kLiveJobPrefix && jobs::is_batch_key(item.key)) {
     jobs::for_each_record(item.value, [&](const std::string& ref, const wire::Value& record) {
       jobs::Job* known = registry_.find(ref);
-      jobs::Job* job = known ? known : learn_job(record, item.version);
+      jobs::Job* job = known ? known : add_job(record, item.version);
       if (!job)
         return;
       if (!known)
@@ -108,17 +109,17 @@
       known->has_own_key = true;
       known->created_revision = std::min(known->created_revision, item.version);
     } else {
-      learn_job(item.value, item.version);
+      add_job(item.value, item.version);
     }
   } else if (prefix == jobs::kCompletionPrefix) {
     if (!state_writer_.load_completion_page(item.key, item.value, item.version))
-      spdlog::error("{}: unreadable progress", item.key);
+      spdlog::error("load: unreadable completion page key={}", item.key);
   } else {
     const bool good = state_writer_.load_inventory_page(
         item.key, item.value, item.version,
         [this](const wire::Value& record) { return workers_.add_from_inventory(record).index; });
     if (!good)
-      spdlog::error("{}: an unreadable page of the roster", item.key);
+      spdlog::error("load: unreadable inventory page key={}", item.key);
   }
 }
 
@@ -126,14 +127,13 @@
   loaded_ = true;
   loaded_at_ = out_.now();
   recording_delays_.reset();
-  last_report_ = 0;
-  reach_since_ = out_.now();
-  spdlog::info("loaded {} jobs and {} machines as of revision {} under token {}", registry_.live_count(),
+  heartbeats_.on_loaded();
+  spdlog::info("load: finished jobs={} machines={} revision={} token={}", registry_.live_count(),
                workers_.machines().size(), jobs_revision_, election_.fencing_token());
   autoscaler_.begin_leadership();
   workers_.tick();
   load_away();
-  for (const std::string& key : std::exchange(intents_, {}))
+  for (const std::string& key : std::exchange(markers_read_, {}))
     cancellation_.on_marker(key);
   std::vector<jobs::Job*> all;
   registry_.for_each([&all](jobs::Job& job) { all.push_back(&job); });
@@ -145,12 +145,12 @@
     dependencies_.add(*job);
   dependencies_.propagate_urgency();
   for (jobs::Job* job : all) {
-    done_if_complete(*job);
+    complete_if_done(*job);
     scheduler_.on_job_ready(*job);
   }
-  follow_chains();
+  process_dependencies();
   follow_jobs(jobs_revision_, term_);
-  keep_catalog();
+  catalog_.save();
 }
 
 void Controller::follow_jobs(std::uint64_t after, std::uint64_t term) {
@@ -161,13 +161,13 @@
     if (changes) {
       for (const wire::Change& c : changes->events) {
         if (!c.deleted)
-          live_key_seen(c.key, c.value, c.version);
+          on_live_key_read(c.key, c.value, c.version);
       }
       return follow_jobs(std::max(after, changes->revision), term);
     }
     if (r.status == 410) {
       // Too far behind: everything is read again. What is known already stays as it is.
-      return out_.after(0.2, [this, term] { read_again(term); });
+      return out_.after(0.2, [this, term] { reread_jobs(term); });
     }
     out_.after(0.3, [this, after, term] {
       if (term == term_)
@@ -183,30 +183,30 @@
   std::vector<wire::Item> items;
 };
 
-void Controller::read_again(std::uint64_t term) {
+void Controller::reread_jobs(std::uint64_t term) {
   if (term == term_)
-    read_more(std::make_shared<Rereading>(Rereading{term, 0, {}}));
+    reread_next_page(std::make_shared<Rereading>(Rereading{term, 0, {}}));
 }
 
-void Controller::read_more(const std::shared_ptr<Rereading>& all) {
+void Controller::reread_next_page(const std::shared_ptr<Rereading>& all) {
   const std::string after = all->items.empty() ? "" : all->items.back().key;
   store_.list(jobs::kLiveJobPrefix, after, [this, all](const store::Reply& r) {
     if (all->term != term_)
       return;
     auto range = r.status == 200 ? wire::parse_range(r.body) : wire::Result<wire::Range>::fail("");
     if (!range)
-      return out_.after(0.3, [this, all] { read_again(all->term); });
+      return out_.after(0.3, [this, all] { reread_jobs(all->term); });
     if (all->items.empty())
       all->revision = range->revision;
     all->items.insert(all->items.end(), range->items.begin(), range->items.end());
     // A deployment may have more live keys than one answer holds; those behind it would stay unknown.
     if (range->more && !range->items.empty())
-      return read_more(all);
-    take_again(all);
+      return reread_next_page(all);
+    apply_reread_jobs(all);
   });
 }
 
-void Controller::take_again(const std::shared_ptr<Rereading>& all) {
+void Controller::apply_reread_jobs(const std::shared_ptr<Rereading>& all) {
   // On sheets that are new here there may be jobs that were over long ago.
   std::vector<std::string> unknown;
   for (const wire::Item& i : all->items) {
@@ -227,9 +227,9 @@
       if (is_mark(i))
         continue;  // its job may be on a sheet, and those come later
       if (!jobs::is_batch_key(i.key)) {
-        live_key_seen(i.key, i.value, i.version);
+        on_live_key_read(i.key, i.value, i.version);
       } else if (!state_writer_.batches().fully_read(i.key)) {
-        sheet_seen(i.key, i.value, i.version, over);
+        on_batch_read(i.key, i.value, i.version, over);
       }
     }
     for (const wire::Item& i : all->items) {
@@ -240,25 +240,25 @@
   });
 }
 
-void Controller::live_key_seen(const std::string& key, const wire::Value& value, std::uint64_t version) {
+void Controller::on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version) {
   if (key.ends_with(jobs::kCancellationSuffix))
     return cancellation_.on_marker(key);
   if (cells::is_remote_placement_key(key))
     return;  // this leader's own
-  jobs::is_batch_key(key) ? sheet_seen(key, value, version) : job_seen(value, version);
+  jobs::is_batch_key(key) ? on_batch_read(key, value, version) : on_job_read(value, version);
 }
 
-void Controller::sheet_seen(const std::string& key, const wire::Value& value, std::uint64_t version,
-                            const std::set<std::string>& over) {
+void Controller::on_batch_read(const std::string& key, const wire::Value& value, std::uint64_t version,
+                               const std::set<std::string>& over) {
   jobs::for_each_record(value, [&](const std::string& ref, const wire::Value& record) {
     if (!over.contains(ref))
-      job_seen(record, version, key);
+      on_job_read(record, version, key);
   });
   state_writer_.batches().on_read(key);
   state_writer_.delete_empty_batches();
 }
 
-void Controller::job_seen(const wire::Value& value, std::uint64_t version, const std::string& sheet) {
+void Controller::on_job_read(const wire::Value& value, std::uint64_t version, const std::string& sheet) {
   const auto ref = wire::text(value, "ref").value_or("");
   if (final_states_.contains(ref) || fenced_.contains(ref))
     return;
@@ -270,7 +270,7 @@
                   : state_writer_.batches().add_live_job(sheet, known->index);
     return;
   }
-  jobs::Job* job = learn_job(value, version);
+  jobs::Job* job = add_job(value, version);
   if (!job)
     return;
   workers_.adopt_stray_instances(*job);
@@ -288,13 +288,13 @@
     scheduler_.record_arrival(*job);
     scheduler_.on_job_ready(*job);
   }
-  follow_chains();
+  process_dependencies();
 }
 
-jobs::Job* Controller::learn_job(const wire::Value& value, std::uint64_t version) {
+jobs::Job* Controller::add_job(const wire::Value& value, std::uint64_t version) {
   auto spec = wire::parse_job(value);
   if (!spec) {
-    spdlog::error("a record that is not a job: {}", spec.error());
+    spdlog::error("load: unreadable job record error=\"{}\"", spec.error());
     return nullptr;
   }
   // Versions before chains kept no time: then it counts from when this leader learns of the job.
@@ -302,29 +302,28 @@
   const auto guest = wire::text(value, jobs::kOriginCellField);
   if (guest)
     spec->priority = wire::Priority::low;  // it gives way to all of this cell's own work
-  jobs::Job& job = registry_.add(*spec, version, at ? steady(*at) : out_.now());
+  jobs::Job& job = registry_.add(*spec, version, at ? to_steady_time(*at) : out_.now());
   if (guest)
     job.origin_cell = *guest;
   return &job;
 }
 
-Seconds Controller::steady(double time_of_day) const {
+Seconds Controller::to_steady_time(double time_of_day) const {
   return out_.now() - std::max(0.0, out_.time_of_day() - time_of_day);
 }
 
-void Controller::done_if_complete(jobs::Job& job) {
+void Controller::complete_if_done(jobs::Job& job) {
   if (!job.is_open() || job.is_service() || job.done_tasks < job.spec.tasks)
     return;
   state_writer_.record_final_state(job, wire::Phase::done, {});
 }
 
-void Controller::job_closed(jobs::Job& job) {
-  remember(job.spec.ref, {job.final_phase, job.spec.tasks, out_.time_of_day()});
+void Controller::on_job_final(jobs::Job& job) {
+  on_final_state(job.spec.ref, {job.final_phase, job.spec.tasks, out_.time_of_day()});
   ++(job.final_phase == wire::Phase::done ? stats_.completed : stats_.cancelled);
   spdlog::info(
-      "{} ({} of {}) is {} after {:.1f} s, its last start after {:.1f} s, estimated at {:.1f} s; {} of its "
-      "{} "
-      "tasks had to start again",
+      "jobs: final ref={} class={} team={} phase={} after_s={:.1f} last_start_after_s={:.1f} "
+      "estimated_run_time_s={:.1f} restarted_tasks={} tasks={}",
       job.spec.ref, job.spec.job_class, job.spec.team, wire::phase_name(job.final_phase),
       out_.now() - job.eligible_since, std::max(0.0, job.last_start_at - job.eligible_since),
       scheduler_.estimated_run_time(job), job.lost_starts, job.spec.tasks);
@@ -332,18 +331,18 @@
   stats_.guests_ended += !job.origin_cell.empty();
   scheduler_.on_job_over(job);
   registry_.erase_if_over(job);
-  follow_chains();
+  process_dependencies();
 }
 
 // ---------------------------------------------------------------- chains
 
-void Controller::follow_chains() {
+void Controller::process_dependencies() {
   for (const jobs::JobIndex ix : dependencies_.take_ready()) {
     jobs::Job* job = registry_.job_at(ix);
     if (!job || !job->is_open())
       continue;
     ++stats_.chains_ready;
-    spdlog::debug("{}: all that it needs is done", job->spec.ref);
+    spdlog::debug("dependencies: all done ref={}", job->spec.ref);
     scheduler_.record_arrival(*job);
     scheduler_.on_job_ready(*job);
   }
@@ -352,62 +351,62 @@
     if (!job || !job->is_open())
       continue;
     ++stats_.orphaned;
-    spdlog::info("{} is cancelled with a job that it needs", job->spec.ref);
+    spdlog::info("dependencies: orphaned ref={}", job->spec.ref);
     state_writer_.record_orphan(*job);
     workers_.cancel_job(*job);  // nothing of it runs, unless a version without chains led in between
   }
   for (std::string& ref : dependencies_.take_unknown()) {
-    unknown_needs_.emplace_back(out_.now(), ref);
-    to_ask_.push_back(std::move(ref));
+    unknown_dependencies_.emplace_back(out_.now(), ref);
+    dependencies_to_look_up_.push_back(std::move(ref));
   }
-  ask_about_needs();
+  look_up_unknown_dependencies();
 }
 
-void Controller::ask_about_needs() {
+void Controller::look_up_unknown_dependencies() {
   constexpr int kAtOnce =
       8;  // a take-over may have hundreds to ask about, and others need the state service too
-  while (is_active_leader() && asking_ < kAtOnce && !to_ask_.empty()) {
-    const std::string ref = std::move(to_ask_.front());
-    to_ask_.pop_front();
+  while (is_active_leader() && dependency_lookups_in_flight_ < kAtOnce && !dependencies_to_look_up_.empty()) {
+    const std::string ref = std::move(dependencies_to_look_up_.front());
+    dependencies_to_look_up_.pop_front();
     if (dependencies_.awaits_unknown(ref))
-      ask_about(ref);
+      look_up_dependency(ref);
   }
 }
 
 // Most needed jobs that are not live were over before this leadership. One that is not over either was
 // created a moment ago, and its creation has not been seen here yet. Absent is never taken for done.
-void Controller::ask_about(const std::string& ref) {
-  ++asking_;
+void Controller::look_up_dependency(const std::string& ref) {
+  ++dependency_lookups_in_flight_;
   store_.get(jobs::kFinalStatePrefix + ref, store::RequestPriority::user,
              [this, ref, term = term_](const store::Reply& r) {
                if (term != term_)
                  return;
-               --asking_;
+               --dependency_lookups_in_flight_;
                const auto item =
                    r.status == 200 ? wire::parse_item(r.body) : wire::Result<wire::Item>::fail("");
                if (const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt) {
-                 remember(ref, *ended);
-                 return follow_chains();
+                 on_final_state(ref, *ended);
+                 return process_dependencies();
                }
                const auto again = [this, ref, term] {
                  out_.after(0.5, [this, ref, term] {
                    if (term == term_ && dependencies_.awaits_unknown(ref))
-                     to_ask_.push_back(ref);
+                     dependencies_to_look_up_.push_back(ref);
                  });
                };
                if (r.status != 404)
                  return again();
-               ++asking_;
+               ++dependency_lookups_in_flight_;
                lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
                                [this, ref, term, again](const LookupResult& result) {
                                  if (term != term_)
                                    return;
-                                 --asking_;
+                                 --dependency_lookups_in_flight_;
                                  if (result.live)
                                    on_live_job_read(*result.live);
                                  else if (result.outcome == LookupOutcome::absent)
                                    spdlog::error("dependencies: unknown dependency ref={}", ref);
-                                 follow_chains();
+                                 process_dependencies();
                                  if (dependencies_.awaits_unknown(ref))
                                    again();
                                });
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -52,7 +52,7 @@
       return job != nullptr;
     };
     if (!remote_placements_.load(page.key, page.value, page.version, live, out_.now()))
-      spdlog::error("{}: an unreadable page of jobs that other cells hold", page.key);
+      spdlog::error("cells: unreadable remote placement page key={}", page.key);
   }
 }
 
@@ -74,7 +74,7 @@
     for (std::size_t c = 0; c < cell_views_.size(); ++c)
       strange -= remote_placements_.count_at(c);
     if (strange > 0)
-      spdlog::error("{} jobs are held by cells that the settings no longer name", strange);
+      spdlog::error("cells: jobs held by unknown cells jobs={}", strange);
   }
   if (settings_.cells.enabled() && out_.now() >= planned_at_ + kPlanEvery) {
     planned_at_ = out_.now();
@@ -179,10 +179,10 @@
   v.there = there;
   const std::string& name = settings_.cells.neighbours[c].name;
   if (there)
-    spdlog::info("cell {}: there; it takes {:.0f} cores of our work, which would begin after {:.0f} s", name,
-                 v.digest->accepts_cores, v.digest->wait_s);
+    spdlog::info("cells: reachable cell={} accepts_cores={:.0f} wait_s={:.0f}", name, v.digest->accepts_cores,
+                 v.digest->wait_s);
   else
-    spdlog::warn("cell {}: not heard of; it holds {} jobs of ours", name, remote_placements_.count_at(c));
+    spdlog::warn("cells: unreachable cell={} jobs_held={}", name, remote_placements_.count_at(c));
 }
 
 // Whole arrays of this cell's own of which nothing has started, and nothing could have been by an earlier
@@ -229,8 +229,8 @@
       room_.free += free;
   }
   room_.rentable = autoscaler_.rentable_cores();
-  // Without custody a cancellation is recorded before its tasks are gone, and its home may start them at
-  // once.
+  // Without delegated renewal a cancellation is recorded before its tasks are gone, and its home may start
+  // them at once.
   room_.draining = settings_.cells.drain || !delegation_support_.enabled();
   room_.overloaded = overload_.is_overloaded();
   here.draining = settings_.cells.drain;
@@ -327,7 +327,7 @@
   }
   for (std::size_t c = 0; c < went.size(); ++c) {
     if (went[c] > 0)
-      spdlog::info("{} jobs are handed on to cell {}; {:.0f} cores wait here for {:.0f}", went[c],
+      spdlog::info("cells: offloaded jobs={} cell={} cores_waiting={:.0f} cores={:.0f}", went[c],
                    settings_.cells.neighbours[c].name, room_.own_waiting, here.cores);
   }
 }
@@ -360,25 +360,25 @@
     txn.require(page.key, page.version);
     page.refs.empty() ? txn.erase(page.key) : txn.put(page.key, page.value());
   }
-  store_.transact(
-      std::move(txn), store::RequestPriority::user, election_.lease_expires_at(),
-      [this, term = term_](const store::Reply& r) {
-        if (term != term_)
-          return;
-        if (r.status == 200) {
-          home_again(remote_placements_.on_written(wire::revision(r.body).value_or(0)));
-          return;
-        }
-        if (r.status == 400) {
-          spdlog::error("the state service calls a page of jobs that go away malformed; they stay");
-          return home_again(remote_placements_.on_write_refused());
-        }
-        const auto failed = r.status == 409 ? wire::failed_keys(r.body) : std::vector<std::string>{};
-        // Certainly not applied: held back here, refused, or compared in vain.
-        remote_placements_.on_write_failed(r.delivered && r.status != 429 && r.status != 503);
-        if (std::find(failed.begin(), failed.end(), leadership::kLeaderKey) != failed.end())
-          election_.on_superseded("a write of what is away found another leader");
-      });
+  store_.transact(std::move(txn), store::RequestPriority::user, election_.lease_expires_at(),
+                  [this, term = term_](const store::Reply& r) {
+                    if (term != term_)
+                      return;
+                    if (r.status == 200) {
+                      home_again(remote_placements_.on_written(wire::revision(r.body).value_or(0)));
+                      return;
+                    }
+                    if (r.status == 400) {
+                      spdlog::error("cells: remote placement page refused as malformed");
+                      return home_again(remote_placements_.on_write_refused());
+                    }
+                    const auto failed =
+                        r.status == 409 ? wire::failed_keys(r.body) : std::vector<std::string>{};
+                    // Certainly not applied: held back here, refused, or compared in vain.
+                    remote_placements_.on_write_failed(r.delivered && r.status != 429 && r.status != 503);
+                    if (std::find(failed.begin(), failed.end(), leadership::kLeaderKey) != failed.end())
+                      election_.on_superseded("a write of what is away found another leader");
+                  });
 }
 
 void Controller::home_again(const std::vector<std::string>& refs) {
@@ -413,7 +413,7 @@
     d.team_cores[team.name] =
         team.cpus_max > 0 ? team.cpus_max - workers_.team_usage(jobs::TeamIndex(t)).cpus : 1e9;
   }
-  for (const auto& t : catalog_)
+  for (const auto& t : catalog_.types())
     d.zones_by_type[t.name] = t.zones;
   return d;
 }
@@ -540,9 +540,9 @@
   auto spec = record ? wire::parse_job(*record) : wire::Result<wire::JobSpec>::fail("not CBOR");
   if (!spec || spec->ref != w.ref)
     return say(JobVerb::never);
-  if (catalog_.empty() || !room_known_)
+  if (catalog_.types().empty() || !room_known_)
     return say(JobVerb::none);
-  if (why_unrunnable(*spec, settings_, catalog_))
+  if (why_unrunnable(*spec, settings_, catalog_.types()))
     return say(JobVerb::never);
   const double cores = spec->tasks * spec->task_resources.cpus;
   // A cell that is being emptied hands on what will have to wait here, too.
@@ -572,7 +572,7 @@
                             if (r.outcome == Outcome::created) {
                               ++stats_.guests_taken;
                               if (is_active_leader())
-                                job_seen(kept, r.revision, r.batch_key);
+                                on_job_read(kept, r.revision, r.batch_key);
                               if (!a->told)
                                 a->say.jobs[i].verb_code = raw(JobVerb::held);
                             } else if (r.outcome == Outcome::exists) {
@@ -651,7 +651,7 @@
                     }
                     fenced_.erase(ref);
                     if (r.status == 200)
-                      remember(ref, ended);
+                      on_final_state(ref, ended);
                   });
 }
 
