--- a/src/admission/creation_queue.cpp
+++ b/src/admission/creation_queue.cpp
@@ -6,6 +6,8 @@
 #include <tuple>
 
 #include "jobs/state_writer.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::admission {
 namespace {
--- a/src/admission/creation_queue.hpp
+++ b/src/admission/creation_queue.hpp
@@ -14,6 +14,7 @@
 #include "admission/first_attempts.hpp"
 #include "jobs/job_batches.hpp"
 #include "store/state_client.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::admission {
 
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "wire/cloud_messages.hpp"
+
 namespace wingtrail::autoscaling {
 namespace {
 constexpr double kBootOverrun = 2.5;   // times the catalog's boot time: then the machine no longer counts
--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -9,6 +9,7 @@
 #include "autoscaling/pool_capacity.hpp"
 #include "autoscaling/rental_requests.hpp"
 #include "scheduling/scheduler.hpp"
+#include "wire/cloud_messages.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::autoscaling {
--- a/src/autoscaling/machine_listing.cpp
+++ b/src/autoscaling/machine_listing.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "wire/cloud_messages.hpp"
+
 namespace wingtrail::autoscaling {
 
 using jobs::MachineIndex;
@@ -34,9 +36,8 @@
   out_.call(std::move(call), [this, generation = generation_](const ports::Reply& reply) {
     if (generation != generation_)
       return;
-    auto page = reply.status == 200
-                    ? wire::parse_machine_list(reply.body)
-                    : wire::malformed("status " + std::to_string(reply.status));
+    auto page = reply.status == 200 ? wire::parse_machine_list(reply.body)
+                                    : wire::malformed("status " + std::to_string(reply.status));
     if (!page) {
       reading_ = false;
       next_read_at_ = out_.now() + 1;
--- a/src/autoscaling/machine_listing.hpp
+++ b/src/autoscaling/machine_listing.hpp
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "autoscaling/machine_returns.hpp"
+#include "wire/cloud_messages.hpp"
 
 namespace wingtrail::autoscaling {
 
--- a/src/autoscaling/machine_returns.cpp
+++ b/src/autoscaling/machine_returns.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include "wire/cloud_messages.hpp"
+
 namespace wingtrail::autoscaling {
 
 using jobs::MachineIndex;
--- a/src/autoscaling/rental_requests.cpp
+++ b/src/autoscaling/rental_requests.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "wire/cloud_messages.hpp"
+
 namespace wingtrail::autoscaling {
 
 using ports::Seconds;
--- a/src/autoscaling/scale_out.cpp
+++ b/src/autoscaling/scale_out.cpp
@@ -5,6 +5,8 @@
 #include <cmath>
 
 #include "autoscaling/autoscaler.hpp"
+#include "wire/cloud_messages.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::autoscaling {
 namespace {
--- a/src/balancing/load_snapshot.cpp
+++ b/src/balancing/load_snapshot.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "wire/job_messages.hpp"
+
 namespace wingtrail::balancing {
 
 void LoadSnapshot::clear() {
--- a/src/balancing/migrations.cpp
+++ b/src/balancing/migrations.cpp
@@ -38,8 +38,9 @@
 
 template <typename F>
 std::vector<Migration> Migrations::take(F selected) {
-  const auto remaining = std::stable_partition(migrations_.begin(), migrations_.end(),
-                                          [&](const Migration& migration) { return !selected(migration); });
+  const auto remaining =
+      std::stable_partition(migrations_.begin(), migrations_.end(),
+                            [&](const Migration& migration) { return !selected(migration); });
   std::vector<Migration> taken(remaining, migrations_.end());
   migrations_.erase(remaining, migrations_.end());
   return taken;
--- a/src/balancing/migrations.hpp
+++ b/src/balancing/migrations.hpp
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "jobs/job_registry.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::balancing {
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -3,22 +3,19 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 #include <sstream>
 
+#include "wire/job_messages.hpp"
+#include "wire/worker_messages.hpp"
+
 namespace wingtrail::controller {
 namespace {
 constexpr Seconds kGreeting = 1.0;        // how often peers hear of each other
 constexpr Seconds kFirstGreetings = 0.1;  // and doubling until then, while a node is new
-constexpr Seconds kPeerFresh = 2.5;       // a peer heard of within this time is taken to be there
 constexpr Seconds kPeriod = 0.25;
+constexpr Seconds kStatsInterval = 10;
 constexpr Seconds kReadsWithin =
     12;  // of a new leader, one answer at least: twice what it waits for one, and more
-constexpr Seconds kStatsEvery = 10;
-constexpr Seconds kCatalogEvery = 60;
-constexpr Seconds kBouncedWindow = 4;
-constexpr Seconds kRedirected = 2;  // a worker that was sent here has reported by then
-constexpr const char* kCatalogKey = "catalog";
 
 std::vector<std::string> neighbour_names(const settings::Cells& cells) {
   std::vector<std::string> names;
@@ -44,19 +41,37 @@
                  [this] {
                    lost();
                  }}),
-      delegation_duration_(settings_.tunables.delegation_leases * settings_.worker_lease_s),
-      lease_delegate_(delegation_duration_, settings_.peers.size()),
-      delegations_(delegation_duration_, settings_.worker_lease_s, settings_.peers.size()),
+      peers_(out_, settings_),
+      delegation_support_(
+          out_, store_, election_, peers_, settings_,
+          [this](Seconds duration_s) { delegated_renewal_.assume_earlier_delegations(duration_s); }),
+      delegated_renewal_(out_, store_, election_, peers_, delegation_support_, settings_,
+                         {[this] { return loaded_; },
+                          [this](const wire::Heartbeat& heartbeat) {
+                            return workers_.handle_heartbeat(
+                                heartbeat, workers::WorkerManager::CommandsInReply::withheld);
+                          }}),
       write_shares_(settings_.peers.size() + 1),
       request_shares_(settings_.peers.size() + 1),
       creation_queue_(out_, store_, settings_, life_name(seed)),
+      batches_(out_, store_, peers_, settings_.tunables.fair_admission > 0),
+      lookup_(out_, store_, batches_,
+              {[this] { return term_; },
+               [this](const std::string& ref, const wire::FinalState& state) {
+                 on_final_state(ref, state);
+               }}),
+      final_state_query_(out_, store_, settings_,
+                         {[this] { return term_; },
+                          [this] {
+                            read_at_ = out_.now();
+                          }}),
       dependencies_(registry_, {[this](const std::string& ref) -> std::optional<jobs::DependencyGraph::End> {
-                                  const auto it = finals_.find(ref);
-                                  if (it == finals_.end())
+                                  const wire::FinalState* state = final_states_.find(ref);
+                                  if (!state)
                                     return std::nullopt;
-                                  const wire::FinalState& e = it->second;
-                                  return jobs::DependencyGraph::End{e.phase == wire::Phase::done,
-                                                                    e.ended_at ? steady(*e.ended_at) : 0};
+                                  return jobs::DependencyGraph::End{
+                                      state->phase == wire::Phase::done,
+                                      state->ended_at ? to_steady_time(*state->ended_at) : 0};
                                 },
                                 [this](const jobs::Job& job) {
                                   return scheduler_.expected_duration(job);
@@ -67,9 +82,10 @@
            [this] { election_.on_superseded("a write found another leader"); }, leadership::kLeaderKey}),
       workers_(out_, settings_, registry_, state_writer_,
                {[this] { return election_.fencing_token(); }, [this] { return election_.lease_expires_at(); },
-                [this](Seconds own) { return delegations_.worker_lease_expiry(own); },
+                [this](Seconds own) { return delegated_renewal_.worker_lease_expiry(own); },
                 [this] {
-                  return settings_.tunables.peer_agreement && delegation_duration_ > 0 && modern();
+                  return settings_.tunables.peer_agreement && delegation_support_.enabled() &&
+                         delegation_support_.all_cancellations_strict();
                 }},
                {[this](workers::Machine& m) { scheduler_.on_capacity_available(m); },
                 [this](workers::Machine& m) { scheduler_.on_capacity_available(m); },
@@ -77,7 +93,7 @@
                 [this](workers::Machine& m, const workers::Allocation& s) {
                   scheduler_.on_task_exited(m, s);
                   if (jobs::Job* job = registry_.job_at(s.job)) {
-                    done_if_complete(*job);
+                    complete_if_done(*job);
                     registry_.erase_if_over(*job);
                   }
                 },
@@ -91,10 +107,45 @@
                    [this] {
                      return election_.lease_expires_at();
                    }}),
-      peers_(settings_.peers.size()),
+      catalog_(out_, store_, election_, settings_,
+               {[this] { return is_active_leader(); },
+                [this](const MachineCatalog::Types& types) {
+                  workers_.set_catalog(types);
+                  scheduler_.set_catalog(types);
+                  autoscaler_.set_catalog(types);
+                }}),
+      zone_reporter_(out_, registry_, workers_, scheduler_),
       remote_placements_(neighbour_names(settings_.cells), page_bytes(settings_)),
-      cell_views_(settings_.cells.neighbours.size()) {
-  state_writer_.set_events({[this](jobs::Job& job) { job_closed(job); },
+      cell_views_(settings_.cells.neighbours.size()),
+      responder_(out_, [this] { return frame(); }),
+      peer_calls_(out_, election_, peers_, responder_,
+                  {[this] { return frame(); },
+                   [this](std::size_t peer, const peer::Frame& received) {
+                     heard(peer, received);
+                   }}),
+      queries_(
+          {out_, store_, settings_, final_states_, registry_, dependencies_, remote_placements_, lookup_,
+           peer_calls_, responder_},
+          {[this] { return is_active_leader(); }, [this](const LiveRecord& live) { on_live_job_read(live); },
+           [this] {
+             return final_states_recorded_until_;
+           }}),
+      cancellation_({out_, store_, registry_, state_writer_, workers_, scheduler_, remote_placements_, peers_,
+                     lookup_, queries_, peer_calls_, responder_},
+                    {[this] { return is_active_leader(); }, [this] { return loaded_; },
+                     [this](const LiveRecord& live) {
+                       on_live_job_read(live);
+                     }}),
+      submission_({out_, store_, settings_, catalog_.types(), election_, peers_, final_states_, registry_,
+                   batches_, creation_queue_, lookup_, queries_, peer_calls_, responder_},
+                  {[this] { return is_active_leader(); }, [this] { return term_; },
+                   [this] { return shares_are_fixed(); },
+                   [this](const wire::Value& record, std::uint64_t revision, const std::string& batch_key) {
+                     on_job_read(record, revision, batch_key);
+                   }}),
+      heartbeats_({out_, settings_, election_, peers_, delegated_renewal_, workers_, responder_},
+                  [this] { return is_active_leader(); }) {
+  state_writer_.set_events({[this](jobs::Job& job) { on_job_final(job); },
                             [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
                               workers_.acknowledge_ends(ended);
                             },
@@ -106,28 +157,28 @@
     scheduler_.enqueue(job);
   };
   creation_queue_.batches_allowed = [this] {
-    return all_admit();
+    return may_create_batches();
   };
   creation_queue_.fixed_shares = [this] {
-    return fixed_parts();
+    return shares_are_fixed();
   };
   if (settings_.tunables.fair_admission > 0)
-    store_.set_share_source([this] { return state_parts(); });
+    store_.set_share_source([this] { return budget_share(); });
 }
 
 void Controller::start(Seconds now) {
   out_.set_now(now);
   started_at_ = now;
+  delegated_renewal_.start();
   election_.start();
-  read_catalog();
-  read_mark({});
-  fetch_catalog();
-  if (settings_.tunables.fair_admission > 0)
-    read_anew();
+  catalog_.read_stored();
+  delegation_support_.read_record({});
+  catalog_.start_fetching();
+  batches_.start();
   probe_store();
-  greet();
+  greet_peers();
   periodic();
-  out_.after(kStatsEvery, [this] { tell_stats(); });
+  out_.after(kStatsInterval, [this] { log_stats(); });
 }
 
 void Controller::reply(Seconds now, std::uint64_t call, const ports::Reply& reply) {
@@ -142,84 +193,12 @@
 
 std::vector<ports::Action> Controller::drain() {
   if (election_.holds_leadership())
-    follow_aborts();
+    cancellation_.progress();
   if (is_active_leader())
     workers_.flush_commands();
   return out_.drain();
 }
 
-Stats Controller::stats() const {
-  Stats s = stats_;
-  s.state_calls = store_.requests();
-  s.state_refused = store_.throttled();
-  s.orders = workers_.commands_sent();
-  s.hired = autoscaler_.machines_rented();
-  s.returned = autoscaler_.machines_returned();
-  s.commits = state_writer_.commits();
-  s.live_jobs = registry_.live_count();
-  s.machines = workers_.live_machines().size();
-  s.direct_calls = workers_.direct_calls();
-  s.deadlines = workers_.deadline_checks();
-  s.ends_written = state_writer_.writes().final_states;
-  s.roster_written = state_writer_.writes().inventory;
-  s.progress_written = state_writer_.writes().completions;
-  s.ends = state_writer_.backlogs();
-  s.leader_token = election_.leader_fencing_token();
-  s.state_writes = s.ends_written + s.roster_written + s.progress_written;
-  s.pages_divided = state_writer_.pages_split();
-  s.malformed = state_writer_.malformed_commits();
-  s.held_jobs = registry_.held_count();
-  s.record_pages = state_writer_.page_count();
-  s.tasks_started = scheduler_.tasks_started();
-  s.machines_examined = scheduler_.machines_examined();
-  s.jobs_examined = scheduler_.jobs_examined();
-  s.preempted = scheduler_.tasks_preempted();
-  s.reclaimed = scheduler_.tasks_reclaimed();
-  s.alarms = workers_.liveness_sweeps();
-  s.settled_after_s = workers_.reconciled_after();
-  s.leading = is_active_leader();
-  const balancing::LoadSnapshot& picture = scheduler_.load();
-  for (const auto& [key, load] : picture.loads()) {
-    s.loads.push_back({registry_.teams[key.first], registry_.classes[key.second], load.cores_in_use,
-                       load.cores_waiting, load.oldest_wait, load.recent_arrivals.per_s(out_.now()),
-                       load.surge(out_.now()), load.served_share(), load.largest_zone_share()});
-  }
-  for (jobs::ZoneIndex zone{0}; zone < zone_lives_.size(); ++zone)
-    s.zone_lives.emplace_back(registry_.zones[zone], zones::name(zone_lives_[zone].last));
-  for (jobs::ZoneIndex zone{0}; zone < picture.cores_by_zone().size(); ++zone)
-    s.zones.emplace_back(registry_.zones[zone], picture.cores_by_zone()[zone]);
-  for (const auto& [why, cores] : picture.waiting_cores_by_reason())
-    s.reasons.emplace_back(std::string(why), cores);
-  for (const auto cause : {balancing::MigrationCause::slow_machine, balancing::MigrationCause::draining}) {
-    const auto& c = scheduler_.migrations().counts(cause);
-    s.moves_begun += c.begun;
-    s.moves_done += c.done;
-    s.moves_failed += c.failed;
-    s.moves_lost_s += c.lost_work_s;
-  }
-  s.slow_machines = scheduler_.slow_machines();
-  const auto& admitted = creation_queue_.counts();
-  s.sheets = admitted.batches;
-  s.on_sheets = admitted.batched_jobs;
-  s.put_off = admitted.deferred;
-  s.swept = state_writer_.writes().deletions;
-  s.admissions_waiting = creation_queue_.waiting_count();
-  s.sheets_live = batch_index_.batch_count();
-  if (settings_.tunables.fair_admission > 0)
-    s.state_share = state_parts().writes;
-  s.state_asked = store_.recent_demand().writes;
-  s.agreed_age_s = election_.may_act() ? 0 : std::min(1e6, write_shares_.loan_age(out_.now()));
-  s.put_off_by.assign(creation_queue_.deferred_by_class().begin(), creation_queue_.deferred_by_class().end());
-  for (std::size_t c = 0; c < cell_views_.size(); ++c) {
-    const CellView& v = cell_views_[c];
-    s.cells.push_back({settings_.cells.neighbours[c].name,
-                       static_cast<double>(remote_placements_.count_at(c)),
-                       std::min(1e6, out_.now() - v.heard), v.digest ? v.digest->accepts_cores : 0,
-                       v.digest ? v.digest->wait_s : 0});
-  }
-  return s;
-}
-
 // ---------------------------------------------------------------- requests
 
 void Controller::request(Seconds now, const IncomingRequest& in) {
@@ -227,103 +206,50 @@
   route({in.id, false}, in.method, in.path, in.body);
 }
 
-void Controller::route(const From& from, const std::string& method, const std::string& path,
+void Controller::route(const RequestOrigin& origin, const std::string& method, const std::string& path,
                        const std::string& body) {
-  auto wrong_method = [&](const char* wanted) {
-    if (method == wanted)
+  const auto wrong_method = [&](const char* allowed) {
+    if (method == allowed)
       return false;
-    respond(from, 405);
+    responder_.respond(origin, 405);
     return true;
   };
   const std::string jobs_path = wire::kJobsPath;
   if (path == jobs_path) {
     if (wrong_method("POST"))
       return;
-    return submit(from, body);
+    return submission_.submit(origin, body);
   }
   if (path.starts_with(jobs_path + "/")) {
     std::string ref = path.substr(jobs_path.size() + 1);
     const std::string suffix = wire::kAbortSuffix;
-    if (ref.ends_with(suffix)) {
+    const bool cancels = ref.ends_with(suffix);
+    if (cancels)
       ref.resize(ref.size() - suffix.size());
-      if (wrong_method("POST"))
-        return;
-      if (!wire::valid_ref(ref))
-        return respond(from, 404);
-      return abort(from, ref);
-    }
-    if (wrong_method("GET"))
+    if (wrong_method(cancels ? "POST" : "GET"))
       return;
     if (!wire::valid_ref(ref))
-      return respond(from, 404);
-    return status(from, ref);
+      return responder_.respond(origin, 404);
+    return cancels ? cancellation_.request(origin, ref) : queries_.status(origin, ref);
   }
-  if (path == wire::kHeartbeatPath && !from.by_peer) {
+  if (path == wire::kHeartbeatPath && !origin.by_peer) {
     if (wrong_method("POST"))
       return;
-    return report(from, body);
+    return heartbeats_.handle(origin, body);
   }
-  if (path == wire::kReadyPath && !from.by_peer) {
+  if (path == wire::kReadyPath && !origin.by_peer) {
     if (wrong_method("GET"))
       return;
-    const bool ready =
-        !catalog_.empty() && (store_.healthy() || served_peer() || is_active_leader() || everybody_waits());
-    return ready ? respond(from, 200, wire::Value::object()) : try_later(from);
+    return is_ready() ? responder_.respond(origin, 200, wire::Value::object()) : responder_.try_later(origin);
   }
-  respond(from, 404);
-}
-
-void Controller::try_later(const From& from, int status, Seconds in) {
-  // The protocol knows whole seconds, and nobody comes back later than after 30.
-  respond(from, status, nullptr, static_cast<int>(std::clamp(std::ceil(in), 1.0, 30.0)));
+  responder_.respond(origin, 404);
 }
 
-void Controller::respond(const From& from, int status, wire::Value body, std::optional<int> retry_after) {
-  ports::Answer a;
-  a.request = from.id;
-  a.status = status;
-  a.retry_after_s = retry_after;
-  if (from.by_peer) {
-    peer::Frame f = frame();
-    f.status = status;
-    f.retry_after_s = retry_after.value_or(0);
-    if (!body.is_null())
-      f.body = wire::encode_cbor(body);
-    a.status = 200;
-    a.retry_after_s = {};
-    a.frame = std::move(f);
-  } else {
-    a.body = std::move(body);
-  }
-  out_.answer(std::move(a));
-}
-
-// ---------------------------------------------------------------- workers' reports
-
-void Controller::report(const From& from, const std::string& bytes) {
-  ++stats_.reports;
-  if (!is_active_leader()) {
-    if (auto kept = answer_in_custody(bytes)) {
-      ++stats_.custody_answers;
-      return respond(from, 200, std::move(*kept));
-    }
-    bounced_.push_back(out_.now());
-    while (bounced_.size() > 10'000)
-      bounced_.pop_front();
-    // Only a leader that somebody else is: naming this node would send the worker around in a circle.
-    const bool other = !election_.leader().empty() && election_.leader() != settings_.node;
-    return respond(from, 421, wire::leader_redirect(other ? election_.leader() : ""));
-  }
-  auto r = wire::parse_heartbeat(bytes);
-  if (!r) {
-    spdlog::warn("a malformed report: {}", r.error().text());
-    return respond(from, 400);
-  }
-  last_report_ = out_.now();
-  auto answer = workers_.handle_heartbeat(*r);
-  if (!answer)
-    return respond(from, 503);
-  respond(from, 200, std::move(*answer));
+// While no controller is served by the state service, being taken out of service would only add the load
+// balancer's pause to the outage; until it is over, users are told at once to come back.
+bool Controller::is_ready() const {
+  return !catalog_.types().empty() &&
+         (store_.healthy() || peer_calls_.served_peer() || is_active_leader() || peers_.none_served());
 }
 
 // ---------------------------------------------------------------- peers
@@ -334,14 +260,10 @@
   f.leader_fencing_token = election_.leader_fencing_token();
   f.leader = election_.leader();
   f.state_service_healthy = store_.healthy();
-  f.rejected_heartbeats = static_cast<std::uint32_t>(bounced_.size());
+  f.rejected_heartbeats = static_cast<std::uint32_t>(heartbeats_.recent_rejections());
   f.level = peer::kProtocolLevel;
   f.process_age_s = out_.now() - started_at_;
-  f.since_delegated_renewal_s = lease_delegate_.since_last_renewal_s(out_.now());
-  f.all_support_delegation_s = all_modern() ? out_.now() - modern_since_ : -1;
-  f.max_delegation_s = delegation_duration_;
-  f.newest_fencing_token = lease_delegate_.newest_token();
-  f.strict_cancellation_token = honest_;
+  delegated_renewal_.describe(f);
   f.supports_batches = settings_.tunables.fair_admission > 0;
   // Twice what was asked for lately: a loan lasts for seconds, in which a surge may double.
   const auto asked = store_.recent_demand();
@@ -352,18 +274,17 @@
   if (f.supports_batches)
     f.deferred_attempts = creation_queue_.first_attempts().encode_recent(out_.time_of_day());
   if (election_.holds_leadership() && loaded_)
-    f.final_state_lag_s = out_.now() - ends_settled_at_;
+    f.final_state_lag_s = out_.now() - final_states_recorded_until_;
   f.answers_heartbeats = is_active_leader() || (election_.holds_leadership() && loaded_ &&
-                                                out_.now() < lease_delegate_.delegated_until());
+                                                out_.now() < delegated_renewal_.delegated_until());
   return f;
 }
 
-void Controller::greet() {
-  lease_delegate_.observe_leadership(election_.leader_fencing_token());
-  know_modern();
-  keep_mark();
-  while (!bounced_.empty() && bounced_.front() < out_.now() - kBouncedWindow)
-    bounced_.pop_front();
+void Controller::greet_peers() {
+  delegated_renewal_.observe_leadership();
+  delegation_support_.update();
+  delegation_support_.maintain_record(is_active_leader());
+  heartbeats_.forget_old_rejections();
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
     ports::Call call;
     call.target = ports::Target::peer;
@@ -376,50 +297,31 @@
       if (!r.frame)
         return;
       heard(i, *r.frame);
-      if (r.frame->grants_delegation && r.frame->node == r.frame->leader)
-        lease_delegate_.on_grant(r.frame->leader_fencing_token, asked, granted_for(*r.frame));
-      if (r.frame->lent_write_share >= 0 && r.frame->leader_fencing_token >= election_.leader_fencing_token())
-        write_shares_.on_loan(r.frame->lent_write_share, asked),
-            request_shares_.on_loan(r.frame->lent_request_share, asked);
-      if (r.frame->agreement_token >= 0)
-        lease_delegate_.on_peer_agreement(i, static_cast<std::uint64_t>(r.frame->agreement_token), asked,
-                                          granted_for(*r.frame));
-      if (election_.holds_leadership() && r.frame->leader_fencing_token >= election_.fencing_token())
-        delegations_.on_peer_statement(i, asked, out_.now(),
-                                       {r.frame->process_age_s, r.frame->since_delegated_renewal_s,
-                                        r.frame->level >= peer::kLevelDelegation});
+      delegated_renewal_.on_greeting_reply(i, *r.frame, asked);
+      if (r.frame->lent_write_share >= 0 &&
+          r.frame->leader_fencing_token >= election_.leader_fencing_token()) {
+        write_shares_.on_loan(r.frame->lent_write_share, asked);
+        request_shares_.on_loan(r.frame->lent_request_share, asked);
+      }
     });
   }
   // Of nodes that begin together the first to ask finds nobody, and agreement must not wait for a second.
   const Seconds first = settings_.tunables.peer_agreement ? kFirstGreetings : kGreeting;
-  out_.after(std::min(kGreeting, std::max(first, out_.now() - started_at_)), [this] { greet(); });
+  out_.after(std::min(kGreeting, std::max(first, out_.now() - started_at_)), [this] { greet_peers(); });
 }
 
 void Controller::heard(std::size_t i, const peer::Frame& f) {
-  peers_[i].last_ok = out_.now();
-  peers_[i].store_ok = f.state_service_healthy;
-  peers_[i].bounced = f.rejected_heartbeats;
-  peers_[i].level = f.level;
-  peers_[i].answers = f.answers_heartbeats;
-  peers_[i].modern_since = ports::kNever;
-  if (f.all_support_delegation_s >= 0)
-    peers_[i].modern_since = out_.now() - f.all_support_delegation_s;
-  if (f.level >= peer::kLevelPeerAgreement)
-    peers_[i].span_s = f.max_delegation_s;
-  peers_[i].admission = f.supports_batches;
+  peers_.on_frame(i, f);
   if (!f.deferred_attempts.empty())
     creation_queue_.first_attempts().merge(f.deferred_attempts, out_.time_of_day());
-  know_modern();
+  delegation_support_.update();
   if (!f.leader.empty())
     election_.observe_leader(f.leader, f.leader_fencing_token);
-  lease_delegate_.observe_leadership(std::max(election_.leader_fencing_token(), f.newest_fencing_token));
-  honest_ = std::max(honest_, f.strict_cancellation_token);
-  if (f.answers_heartbeats && f.node == election_.leader()) {
-    leader_seen_ = out_.now();
-    // A version that does not say how far it has come is taken to have recorded all if it can write.
-    if (f.state_service_healthy)
-      ends_settled_at_ = std::max(ends_settled_at_, out_.now() - std::max(0.0, f.final_state_lag_s));
-  }
+  delegated_renewal_.on_frame(f);
+  // A version that does not say how far it has come is taken to have recorded all if it can write.
+  if (f.answers_heartbeats && f.node == election_.leader() && f.state_service_healthy)
+    final_states_recorded_until_ =
+        std::max(final_states_recorded_until_, out_.now() - std::max(0.0, f.final_state_lag_s));
 }
 
 void Controller::peer(Seconds now, std::uint64_t id, const peer::Frame& f) {
@@ -431,171 +333,32 @@
     if (settings_.peers[i].name != f.node)
       continue;
     heard(i, f);
-    // Before it has read its jobs, too: it answers nobody itself until then.
-    const bool grant = election_.may_act() && modern() && delegation_duration_ > 0;
-    const bool consent = !grant && f.level >= peer::kLevelPeerAgreement && may_consent();
+    const DelegatedRenewal::Permission permission = delegated_renewal_.permission(f);
     const bool lends = election_.may_act() && f.supports_batches && settings_.tunables.fair_admission > 0;
-    if (f.path.empty() && f.cell.empty() && (grant || consent || lends)) {
-      // What is agreed on past this node's authority must be reckoned with if a renewal gets through after
-      // all.
-      if (grant || (consent && election_.holds_leadership()))
-        delegations_.on_granted(i, out_.now());
-      stats_.grants += grant;
+    if (f.path.empty() && f.cell.empty() && (permission.grant || permission.agreement || lends)) {
+      delegated_renewal_.on_permitted(i, permission);
       ports::Answer a;
       a.request = id;
       a.frame = frame();
       a.frame->status = 200;
-      a.frame->grants_delegation = grant;
-      a.frame->delegation_s = grant_span();
+      delegated_renewal_.permit(*a.frame, permission);
       if (lends) {
         a.frame->lent_write_share = write_shares_.lend(i, f.requested_write_share, out_.now());
         a.frame->lent_request_share = request_shares_.lend(i, f.requested_request_share, out_.now());
       }
-      if (consent)
-        a.frame->agreement_token = static_cast<std::int64_t>(lease_delegate_.newest_token());
       return out_.answer(std::move(a));
     }
   }
   if (!f.cell.empty())
     return between(id, f);
-  const From from{id, true};
+  const RequestOrigin origin{id, true};
   if (f.path.empty())
-    return respond(from, 200);
-  route(from, f.method, f.path, f.body);
-}
-
-std::optional<std::size_t> Controller::leader_peer() const {
-  for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
-    if (settings_.peers[i].name == election_.leader() && out_.now() - peers_[i].last_ok < kPeerFresh)
-      return i;
-  }
-  return std::nullopt;
-}
-
-std::optional<std::size_t> Controller::served_peer(std::uint32_t level) const {
-  auto served = [this, level](std::size_t i) {
-    return out_.now() - peers_[i].last_ok < kPeerFresh && peers_[i].store_ok &&
-           peers_[i].level.value_or(0) >= level;
-  };
-  if (auto leader = leader_peer(); leader && served(*leader))
-    return leader;
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (served(i))
-      return i;
-  }
-  return std::nullopt;
-}
-
-// `then` hears the peer's verdict; status 0: it gave none. 503 and 429: it put the question off.
-void Controller::ask_peer(std::size_t peer, std::string method, std::string path, std::string body,
-                          Seconds timeout, std::function<void(int, const wire::Value&)> then) {
-  ++stats_.forwarded;
-  ports::Call call;
-  call.target = ports::Target::peer;
-  call.peer = static_cast<std::uint32_t>(peer);
-  call.method = "POST";
-  call.path = peer::kPeerPath;
-  call.frame = frame();
-  call.frame->method = std::move(method);
-  call.frame->path = std::move(path);
-  call.frame->body = std::move(body);
-  call.timeout_s = timeout;
-  out_.call(std::move(call), [this, peer, then = std::move(then), asked = out_.now()](const ports::Reply& r) {
-    if (!r.frame || r.frame->status == 0) {
-      // It is not waited for again before it is heard of. One that was heard of meanwhile only takes long
-      // over this: a cancellation, say, that waits for its tasks. Taken for dead, it cost every question of a
-      // second a fresh read, and those the budget (a flood of cub-meterlink-fleet: 20,450 answers of 429).
-      if (peers_[peer].last_ok <= asked)
-        peers_[peer].last_ok = -1e9;
-      return then(0, nullptr);
-    }
-    heard(peer, *r.frame);
-    const int st = r.frame->status;
-    if (st == 503 || st == 429)
-      return then(st, nullptr);
-    auto decoded =
-        r.frame->body.empty() ? std::optional<wire::Value>(nullptr) : wire::decode_cbor(r.frame->body);
-    if (!decoded)
-      return then(0, nullptr);
-    then(st, *decoded);
-  });
-}
-
-// As far as it can be seen, no node is served by the state service. Being taken out of service would only add
-// the load balancer's pause to the outage; until it is over, users are told at once to come back.
-bool Controller::everybody_waits() const {
-  bool any = false;
-  for (const PeerView& p : peers_) {
-    if (out_.now() - p.last_ok >= kPeerFresh)
-      continue;
-    if (p.store_ok)
-      return false;
-    any = true;
-  }
-  return any;
-}
-
-void Controller::hand_on(const From& from, std::optional<std::size_t> peer, std::string method,
-                         std::string path, std::string body, Seconds timeout,
-                         const std::function<void(int)>& otherwise) {
-  if (!peer)
-    return otherwise(0);
-  ask_peer(*peer, std::move(method), std::move(path), std::move(body), timeout,
-           [this, from, otherwise](int status, const wire::Value& answer) {
-             if (status == 0 || status == 503 || status == 429)
-               return otherwise(status);
-             respond(from, status, answer);
-           });
+    return responder_.respond(origin, 200);
+  route(origin, f.method, f.path, f.body);
 }
 
 // ---------------------------------------------------------------- duties
 
-void Controller::fetch_catalog() {
-  ports::Call call;
-  call.target = ports::Target::cloud;
-  call.method = "GET";
-  call.path = wire::kCatalogPath;
-  call.timeout_s = 3;
-  out_.call(std::move(call), [this](const ports::Reply& r) {
-    if (r.status == 200) {
-      use_catalog(r.body);
-      if (is_active_leader())
-        keep_catalog();
-    }
-    out_.after(catalog_.empty() ? 0.5 : kCatalogEvery, [this] { fetch_catalog(); });
-  });
-}
-
-void Controller::use_catalog(const wire::Value& raw) {
-  auto catalog = wire::parse_catalog(raw);
-  if (!catalog)
-    return spdlog::error("catalog: {}", catalog.error().text());
-  catalog_ = std::move(*catalog);
-  catalog_raw_ = raw;
-  workers_.set_catalog(catalog_);
-  scheduler_.set_catalog(catalog_);
-  autoscaler_.set_catalog(catalog_);
-}
-
-// A node that comes back while the cloud is slow or down can decide at once with the catalog kept by a
-// leader.
-void Controller::read_catalog() {
-  store_.get(kCatalogKey, store::RequestPriority::user, [this](const store::Reply& r) {
-    auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
-    if (item && catalog_.empty())
-      use_catalog(item->value);
-  });
-}
-
-void Controller::keep_catalog() {
-  if (catalog_raw_.is_null() || catalog_raw_.dump().size() > settings_.value_bytes())
-    return;
-  wire::Transaction txn;
-  txn.require(leadership::kLeaderKey, election_.fencing_token()).put(kCatalogKey, catalog_raw_);
-  store_.transact(std::move(txn), store::RequestPriority::background, election_.lease_expires_at(),
-                  [](const store::Reply&) {});
-}
-
 // A follower asks the state service little; this tells it, and through it its peers, whether it is served.
 void Controller::probe_store() {
   if (!election_.holds_leadership())
@@ -614,105 +377,18 @@
     workers_.tick();
     if (is_active_leader()) {
       dependencies_.propagate_urgency();
-      follow_chains();
-      settle_ends();
-      tell_late_ends();
-      watch_zones();
+      process_dependencies();
+      update_final_states_recorded_until();
+      recording_delays_.update(out_.now(), state_writer_.backlogs(), store_.write_rate());
+      zone_reporter_.update();
       autoscaler_.tick();
       scheduler_.run_pass();
       tick_cells();
-      check_reach();
+      heartbeats_.check_reachability();
     }
   }
-  tell_admission();
+  overload_.update(out_.now(), creation_queue_, budget_share().writes);
   out_.after(kPeriod, [this] { periodic(); });
 }
 
-// One line for each change of a zone that people should know of.
-void Controller::watch_zones() {
-  using zones::ZoneState;
-  const zones::ZoneTracker& zones = workers_.zones();
-  zone_lives_.resize(registry_.zones.size());
-  for (jobs::ZoneIndex zone{0}; zone < zone_lives_.size(); ++zone) {
-    auto& [last, since, looked_at, loss] = zone_lives_[zone];
-    const ZoneState now = zones.state(zone, out_.now());
-    // The leases of a zone end together, so what they take is looked at before.
-    if (now == ZoneState::unreachable && out_.now() >= looked_at + 1) {
-      loss = scheduler_.zone_loss_impact(zone);
-      looked_at = out_.now();
-    }
-    if (now == last || now == ZoneState::unresponsive)
-      continue;
-    const std::string& name = registry_.zones[zone];
-    const double finds =
-        loss.cores_movable > 0 ? std::min(1.0, loss.cores_free_elsewhere / loss.cores_movable) : 1.0;
-    if (now == ZoneState::unreachable)
-      spdlog::info("zone {}: out of reach; {:.0f} cores in use there, {} services", name, loss.cores_in_use,
-                   loss.services_affected);
-    if (now == ZoneState::lost) {
-      ++stats_.zones_lost;
-      spdlog::warn(
-          "zone {}: lost after {:.0f} s; {} services short of replicas, {} with none; {:.0f} of {:.0f} cores "
-          "may run "
-          "elsewhere, room for {:.0f} % of them at once",
-          name, out_.now() - zones.last_contact_at(zone), loss.services_affected,
-          loss.services_without_replicas, loss.cores_movable, loss.cores_in_use, 100 * finds);
-    }
-    if (now == ZoneState::recovering) {
-      ++stats_.zones_back;
-      spdlog::info("zone {}: back after {:.0f} s, for the {}. time without rest", name, out_.now() - since,
-                   zones.flap_count(zone));
-    }
-    if (now == ZoneState::healthy)
-      spdlog::info("zone {}: sound", name);
-    last = now;
-    since = out_.now();
-  }
-}
-
-void Controller::tell_stats() {
-  const Stats s = stats();
-  spdlog::debug(
-      "so far: {} reports, {} direct calls, {} orders, {} deadlines, {} tasks started, {} preempted, {} "
-      "reclaimed, {} machines and {} jobs "
-      "examined, {} state calls ({} held back), {} writes ({} ends, {} roster, {} progress), {} handed on; "
-      "now {} "
-      "jobs ({} wait for others), {} machines, {} pages",
-      s.reports, s.direct_calls, s.orders, s.deadlines, s.tasks_started, s.preempted, s.reclaimed,
-      s.machines_examined, s.jobs_examined, s.state_calls, s.state_refused, s.state_writes, s.ends_written,
-      s.roster_written, s.progress_written, s.forwarded, s.live_jobs, s.held_jobs, s.machines,
-      s.record_pages);
-  for (const Stats::ClassLoad& l : s.loads) {
-    spdlog::debug(
-        "{} of {}: {:.0f} cores in use, {:.0f} wait, the longest for {:.0f} s; offered {:.0f}, {:.1f} times "
-        "the usual; "
-        "{:.3f} served",
-        l.job_class, l.team, l.held, l.waiting, l.oldest_s, l.offered, l.surge, l.served_share);
-  }
-  for (const auto& [why, cores] : s.reasons)
-    spdlog::debug("{:.0f} cores wait for {}", cores, why);
-  out_.after(kStatsEvery, [this] { tell_stats(); });
-}
-
-// A leader that workers cannot reach lets their leases run out. If peers turn reports away that never come
-// here, one of them should lead.
-void Controller::check_reach() {
-  bool elsewhere = false;
-  for (const PeerView& p : peers_)
-    elsewhere |= out_.now() - p.last_ok < kPeerFresh && p.bounced > 0;
-  const Seconds since = out_.now() - std::max(last_report_, reach_since_);
-  if (!elsewhere || since < 2 * settings_.heartbeat_interval_s + 1) {
-    unreached_since_ = 0;
-    return;
-  }
-  // The first report of a new machine may go to a peer when no other machine is up; it comes here a moment
-  // later.
-  if (unreached_since_ == 0)
-    unreached_since_ = out_.now();
-  if (out_.now() - unreached_since_ < kRedirected)
-    return;
-  unreached_since_ = 0;
-  election_.resign(5 * settings_.heartbeat_interval_s, "workers reach other nodes but not this one");
-}
-
 }  // namespace wingtrail::controller
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,5 +1,5 @@
-// One controller's decisions, whole: what comes in is a request, a reply or the time; what goes out are
-// actions.
+/// @file
+/// The decisions of one controller. Requests, replies and the time come in; actions go out.
 #pragma once
 
 #include <array>
@@ -10,14 +10,29 @@
 #include <string>
 #include <unordered_map>
 
-#include "admission/batch_index.hpp"
 #include "admission/budget_shares.hpp"
 #include "admission/creation_queue.hpp"
 #include "autoscaling/autoscaler.hpp"
 #include "cells/offload_planner.hpp"
 #include "cells/remote_placements.hpp"
+#include "controller/batch_index_follower.hpp"
 #include "controller/deferral_reason.hpp"
-#include "delegation/delegation.hpp"
+#include "controller/delegated_renewal.hpp"
+#include "controller/delegation_support.hpp"
+#include "controller/final_state_cache.hpp"
+#include "controller/final_state_query.hpp"
+#include "controller/heartbeat_handler.hpp"
+#include "controller/job_cancellation.hpp"
+#include "controller/job_lookup.hpp"
+#include "controller/job_queries.hpp"
+#include "controller/job_submission.hpp"
+#include "controller/machine_catalog.hpp"
+#include "controller/overload_monitor.hpp"
+#include "controller/peer_calls.hpp"
+#include "controller/peer_directory.hpp"
+#include "controller/recording_delay_reporter.hpp"
+#include "controller/responder.hpp"
+#include "controller/zone_reporter.hpp"
 #include "jobs/dependency_graph.hpp"
 #include "jobs/job_registry.hpp"
 #include "jobs/state_writer.hpp"
@@ -26,18 +41,23 @@
 #include "scheduling/scheduler.hpp"
 #include "settings/settings.hpp"
 #include "store/state_client.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::controller {
 
 using ports::Seconds;
 
+/// A request of a user or a worker.
 struct IncomingRequest {
-  std::uint64_t id = 0;  // to be named in the answer
-  std::string method, path;
-  std::string body;  // as it came
+  std::uint64_t id = 0;  ///< to be named in the answer
+  std::string method;
+  std::string path;
+  std::string body;  ///< as it came
 };
 
+/// Counters and gauges, as of one moment. The daemon publishes them as metrics.
 struct Stats {
   std::uint64_t submitted = 0, admitted = 0, refused = 0, reports = 0, forwarded = 0, completed = 0,
                 cancelled = 0;
@@ -56,7 +76,7 @@
   jobs::StateWriter::Backlogs ends{};  // to be recorded, by kind
   std::uint64_t leader_token = 0;      // of the newest leadership known of
   std::uint64_t custody_answers = 0, grants = 0, aborts_put_off = 0, alarms = 0;
-  // The picture of the load (spread/picture.hpp), in names.
+  // The load by team and class (balancing/load_snapshot.hpp).
   struct ClassLoad {
     std::string team, job_class;
     double held = 0, waiting = 0, oldest_s = 0, offered = 0, surge = 1, served_share = 1, most_in_a_zone = 0;
@@ -79,26 +99,39 @@
                 guests_ended = 0, fences = 0;
 };
 
-// That a page of jobs which other cells hold may have.
+/// The largest size, in bytes, of a page that records jobs held by other cells.
 std::size_t page_bytes(const settings::Settings& settings);
 
+/// One controller: wires its parts together, routes requests to them, and carries a leadership from its
+/// beginning to its end. It touches neither sockets nor clocks: whoever drives it passes in the time, calls
+/// drain() after every other call and carries the actions out. Times are of a steady clock, in seconds.
 class Controller {
  public:
+  /// @param seed of the random numbers; also names this process, so it must differ between processes
   Controller(settings::Settings settings, std::uint64_t seed);
 
+  /// The process begins. To be called once, before anything else.
   void start(Seconds now);
-  void request(Seconds now, const IncomingRequest& in);  // from users and workers
+  /// A user or a worker has sent a request.
+  void request(Seconds now, const IncomingRequest& in);
+  /// A peer, or a controller of another cell, has sent a frame.
+  /// @param id to be named in the answer
   void peer(Seconds now, std::uint64_t id, const peer::Frame& frame);
+  /// The call with that id has been replied to, or has failed.
   void reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
-  void tick(Seconds now);  // when next_wake() has come
+  /// Runs the timers that are due; to be called when next_wake() has come.
+  void tick(Seconds now);
+  /// Sets the time of day less the steady time.
   void set_day_offset(double offset) {
     out_.set_day_offset(offset);
-  }  // time of day less steady time
+  }
   Seconds next_wake() const {
     return out_.next_wake();
   }
+  /// Returns the actions to be carried out, in order.
   std::vector<ports::Action> drain();
 
+  /// Whether this controller leads, its lease has not run out, and it has read its jobs and machines.
   bool is_active_leader() const {
     return election_.may_act() && loaded_;
   }
@@ -106,7 +139,7 @@
     return election_.lease_expires_at();
   }
   Stats stats() const;
-  // For the tests that look inside.
+  // For tests.
   const leadership::LeaderElection& leader_election() const {
     return election_;
   }
@@ -121,123 +154,29 @@
   }
 
  private:
-  // Where an answer goes: a request of this node's own, or one that a peer handed on.
-  struct From {
-    std::uint64_t id = 0;
-    bool by_peer = false;
-  };
-  struct PeerView {
-    Seconds last_ok = -1e9;
-    bool store_ok = false;
-    std::uint32_t bounced = 0;
-    std::optional<std::uint32_t> level;  // what it understands, see peer::kLevel; nothing: not heard of yet
-    bool answers = false;
-    Seconds modern_since = ports::kNever;  // since when it has known all nodes to be of level 2
-    std::optional<Seconds> span_s;         // how long it reckons with grants; nothing: it does not say
-    std::optional<bool> admission;         // admits on sheets and keeps to shares; nothing: not heard of yet
-  };
-
-  void route(const From& from, const std::string& method, const std::string& path, const std::string& body);
-  void respond(const From& from, int status, wire::Value body = nullptr, std::optional<int> retry_after = {});
-  void try_later(const From& from, int status = 503, Seconds in = 1);
-  // The same of a question about a job, counted by why.
-  void put_off(const From& from, const std::string& ref, DeferralReason why);
-
-  void submit(const From& from, const std::string& bytes);
-  struct Creation;
-  void create(const From& from, const wire::JobSpec& spec);
-  struct Needs;
-  void check_needs(const From& from, const wire::JobSpec& spec, const std::string& bytes);
-  void check_some_needs(const std::shared_ptr<Needs>& n);
-  void needs_absent(const std::shared_ptr<Needs>& n, std::vector<std::string> refs);
-  // What is known of a live job by a read, and by which leadership of this node it was asked for.
-  static wire::Value live_record(const wire::Value& spec, const wire::Item& item, std::uint64_t term);
-  void found_live(const wire::Value& live);
-  void refuse_unless_accepted(const From& from, const std::string& ref, const std::string& why);
-  bool old_leader() const;
-  void create_here(const std::shared_ptr<Creation>& c);
-  void lose_patience(const std::shared_ptr<Creation>& c);
-  void create_at_peer(const std::shared_ptr<Creation>& c);
-  void give_up_creation(const std::shared_ptr<Creation>& c);
-  void status(const From& from, const std::string& ref);
-  void abort(const From& from, const std::string& ref);
-  void leave_intent(const From& from, const std::string& ref);
-  void intent_seen(const std::string& key);
-  void cancel(jobs::Job& job);
-  bool gone_for_sure(const jobs::Job& job) const;
-  void follow_aborts();
-  void report(const From& from, const std::string& bytes);
-  std::optional<wire::Value> answer_in_custody(const std::string& bytes);
-  bool leader_answers() const;
-  Seconds vacancy_s() const;
-  Seconds grant_span() const;
-  Seconds granted_for(const peer::Frame& f) const;
-  bool may_consent() const;
-  // Whether no node of a version without custody has led for as long as a cancellation has.
-  bool modern() const;
-  bool all_modern() const;
-  void know_modern();
-  void read_mark(const std::function<void()>& then);
-  void keep_mark();
-  void write_mark(wire::Transaction txn, Seconds not_after, double span);
-  std::optional<std::string> impossible(const wire::JobSpec& spec) const;
-
-  // Answers with the job's state from memory, the leader or a fresh read; 404 only after a fresh read.
-  bool answer_final(const From& from, const std::string& ref, bool brief);
-  void answer_live(const From& from, jobs::Job& job, bool brief);
-  // Jobs on sheets (admission/index.hpp).
-  bool all_admit() const;
-  bool sheets_matter() const;
-  bool fixed_parts() const;
-  store::StateClient::BudgetShare state_parts() const;
-  void read_sheets(const std::string& after);
-  void follow_sheets();
-  void read_anew();
-  void take_changes(const wire::Changes& changes);
-  void catch_up(std::function<void(bool)> then);
-  void catch_up_now();
-  // Which of the jobs named are over; `then` does not run if the leadership ends before.
-  void ask_over(std::vector<std::string> refs, std::function<void(const std::set<std::string>&)> then);
-  struct Over;
-  void ask_some_over(const std::shared_ptr<Over>& o);
-  void drop_over(std::function<void()> then);
-  void sheet_seen(const std::string& key, const wire::Value& value, std::uint64_t version,
-                  const std::set<std::string>& over = {});
-  void read_again(std::uint64_t term);
+  void route(const RequestOrigin& origin, const std::string& method, const std::string& path,
+             const std::string& body);
+  bool is_ready() const;
+  void on_live_job_read(const LiveRecord& live);
+  // Job batches, and this controller's share of the budget.
+  bool may_create_batches() const;
+  bool shares_are_fixed() const;
+  store::StateClient::BudgetShare budget_share() const;
+  void drop_jobs_with_final_state(std::function<void()> then);
+  void on_batch_read(const std::string& key, const wire::Value& value, std::uint64_t version,
+                     const std::set<std::string>& over = {});
+  void reread_jobs(std::uint64_t term);
   struct Rereading;
-  void read_more(const std::shared_ptr<Rereading>& all);
-  void take_again(const std::shared_ptr<Rereading>& all);
-  void tell_admission();
-  using OnFresh = std::function<void(int status, std::optional<wire::Phase>, wire::Value)>;
-  void fresh(const std::string& ref, store::RequestPriority urgency, bool need_spec, const OnFresh& then);
-  void fresh_on_sheets(const std::string& ref, store::RequestPriority urgency, bool need_spec, Seconds asked,
-                       const OnFresh& then);
-  // `cautious`: the leader was asked and put the question off, so a job that needs others may be an orphan.
-  void answer_fresh(const From& from, const std::string& ref, bool brief, bool cautious = false);
-  void answer_accepted(const From& from, const wire::JobSpec& spec);
-  bool may_be_orphan(const jobs::Job& job) const;
-  // Hands the request on; `otherwise` hears 503 or 429 if the peer put it off, 0 if it gave no answer.
-  void hand_on(const From& from, std::optional<std::size_t> peer, std::string method, std::string path,
-               std::string body, Seconds timeout, const std::function<void(int status)>& otherwise);
-  void ask_peer(std::size_t peer, std::string method, std::string path, std::string body, Seconds timeout,
-                std::function<void(int, const wire::Value&)> then);
-  std::optional<std::size_t> leader_peer() const;
-  std::optional<std::size_t> served_peer(std::uint32_t level = 0) const;
-  bool everybody_waits() const;
-  void remember(const std::string& ref, const wire::FinalState& ended);
+  void reread_next_page(const std::shared_ptr<Rereading>& all);
+  void apply_reread_jobs(const std::shared_ptr<Rereading>& all);
+  void on_final_state(const std::string& ref, const wire::FinalState& ended);
 
-  void greet();
+  void greet_peers();
   void heard(std::size_t peer, const peer::Frame& frame);
   peer::Frame frame() const;
-  void fetch_catalog();
-  void read_catalog();
-  void use_catalog(const wire::Value& raw);
-  void keep_catalog();
   void probe_store();
   void periodic();
-  void check_reach();
-  void watch_zones();
-  void tell_stats();
+  void log_stats();
 
   void elected();
   void lost();
@@ -245,18 +184,17 @@
   void load_item(const char* prefix, const wire::Item& item);
   void loaded();
   void follow_jobs(std::uint64_t after, std::uint64_t term);
-  void live_key_seen(const std::string& key, const wire::Value& value, std::uint64_t version);
-  void job_seen(const wire::Value& value, std::uint64_t version, const std::string& sheet = {});
-  jobs::Job* learn_job(const wire::Value& value, std::uint64_t version);
-  Seconds steady(double time_of_day) const;  // no later than now
+  void on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version);
+  void on_job_read(const wire::Value& value, std::uint64_t version, const std::string& sheet = {});
+  jobs::Job* add_job(const wire::Value& value, std::uint64_t version);
+  Seconds to_steady_time(double time_of_day) const;  // no later than now
   // What follows from jobs that were learnt of or that have ended.
-  void follow_chains();
-  void ask_about_needs();
-  void ask_about(const std::string& ref);
-  void settle_ends();
-  void tell_late_ends();
-  void job_closed(jobs::Job& job);
-  void done_if_complete(jobs::Job& job);
+  void process_dependencies();
+  void look_up_unknown_dependencies();
+  void look_up_dependency(const std::string& ref);
+  void update_final_states_recorded_until();
+  void on_job_final(jobs::Job& job);
+  void complete_if_done(jobs::Job& job);
 
   // ---- other cells (daemon/cells.cpp)
   struct CellView {          // a neighbour as this leader sees it
@@ -293,71 +231,43 @@
   void end_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from);
   void fence(const std::string& ref);
   void write_fence(const std::string& ref);
-  wire::Value away_progress(const jobs::Job& job) const;
 
   settings::Settings settings_;
   ports::Outbox out_;
   store::StateClient store_;
   jobs::JobRegistry registry_;
   leadership::LeaderElection election_;
-  const Seconds delegation_duration_;  // how long a custodian may go on; 0: no custody
-  delegation::LeaseDelegate lease_delegate_;
-  delegation::DelegationLedger delegations_;
+  PeerDirectory peers_;
+  DelegationSupport delegation_support_;
+  DelegatedRenewal delegated_renewal_;
   admission::BudgetShares write_shares_, request_shares_;
   admission::CreationQueue creation_queue_;
-  admission::BatchIndex batch_index_;
+  BatchIndexFollower batches_;
+  JobLookup lookup_;
+  FinalStateQuery final_state_query_;
+  OverloadMonitor overload_;
+  RecordingDelayReporter recording_delays_;
   jobs::DependencyGraph dependencies_;
   jobs::StateWriter state_writer_;
   workers::WorkerManager workers_;
   scheduling::Scheduler scheduler_;
   autoscaling::Autoscaler autoscaler_;
 
-  std::vector<wire::MachineType> catalog_;
-  wire::Value catalog_raw_;
-  std::vector<PeerView> peers_;
-  std::unordered_map<std::string, wire::FinalState>
-      finals_;  // final states never change, so they may be kept
-  std::deque<std::string> finals_order_;
+  MachineCatalog catalog_;
+  ZoneReporter zone_reporter_;
+  FinalStateCache final_states_;
   std::uint64_t term_ = 0;
   bool loaded_ = false;
-  Seconds read_at_ = 0;               // while not loaded: when something was last read
-  std::vector<std::string> intents_;  // read while loading
-  std::deque<std::string> to_ask_;    // needed jobs that nothing is known of
-  int asking_ = 0;
-  struct Abort {  // a cancellation that waits for its tasks to be gone, and who asked for it
-    jobs::JobIndex job;
-    std::optional<From> from;
-    Seconds until;
-  };
-  std::vector<Abort> aborts_;
-  std::vector<std::function<void(bool)>> to_catch_up_;  // that wait for a reading begun after they came
-  bool catching_up_ = false, reading_sheets_ = false, pressed_ = false;
-  std::uint64_t sheets_revision_ = 0;
-  Seconds index_since_ = 0, index_read_ = -1e9;  // when it was begun; as of when it is known to be whole
-  std::uint64_t put_off_told_ = 0;
-  Seconds pressed_since_ = 0, last_put_off_ = -1e9;
-  bool marked_ = false, mark_busy_ = false;  // the mark of custody stands; it is being written
-  std::uint64_t mark_version_ = 0, mark_reads_ = 0;
-  double mark_span_ = 0;
-  std::uint64_t honest_ = 0;  // the newest leadership that workers show to have been an honest one
-  Seconds started_at_ = 0, modern_since_ = ports::kNever, leader_seen_ = -1e9;
+  Seconds read_at_ = 0;                              // while not loaded: when something was last read
+  std::vector<std::string> markers_read_;            // read while loading
+  std::deque<std::string> dependencies_to_look_up_;  // needed jobs that nothing is known of
+  int dependency_lookups_in_flight_ = 0;
+  Seconds started_at_ = 0;
   // Every job that needs one cancelled before then is recorded as cancelled, as far as this node knows.
-  Seconds ends_settled_at_ = -1e9;
+  Seconds final_states_recorded_until_ = -1e9;
   Seconds loaded_at_ = 0;
-  struct LateEnds {  // as last told
-    std::optional<Seconds> since;
-    Seconds longest = 0;
-    std::uint64_t recorded = 0;
-  };
-  LateEnds late_ends_;
-  std::deque<std::pair<Seconds, std::string>> unknown_needs_;  // since when, the oldest first
+  std::deque<std::pair<Seconds, std::string>> unknown_dependencies_;  // since when, the oldest first
   std::uint64_t jobs_revision_ = 0;
-  struct ZoneLife {
-    zones::ZoneState last = zones::ZoneState::healthy;  // as last told
-    Seconds since = 0, looked_at = 0;
-    scheduling::Scheduler::ZoneLossImpact loss;  // of a zone out of reach, while its leases last
-  };
-  std::vector<ZoneLife> zone_lives_;
   cells::RemotePlacements remote_placements_;
   std::vector<CellView> cell_views_;
   std::vector<wire::Item> away_pages_;  // read while loading
@@ -368,8 +278,12 @@
   bool room_known_ = false;             // in this leadership
   std::set<std::string> looking_at_;    // pages being read
   Seconds guest_wait_s_ = 0, planned_at_ = -1e9, told_strange_ = -1e9;
-  std::deque<Seconds> bounced_;  // when worker reports were turned away
-  Seconds last_report_ = 0, reach_since_ = 0, unreached_since_ = 0;
+  Responder responder_;
+  PeerCalls peer_calls_;
+  JobQueries queries_;
+  JobCancellation cancellation_;
+  JobSubmission submission_;
+  HeartbeatHandler heartbeats_;
   Stats stats_;
 };
 
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -5,6 +5,9 @@
 #include <algorithm>
 
 #include "controller/controller.hpp"
+#include "controller/job_validation.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::controller {
 namespace {
@@ -39,8 +42,7 @@
 
 // An older version of this cell's own would start what is away.
 bool Controller::may_hand_on() const {
-  return std::all_of(peers_.begin(), peers_.end(),
-                     [](const PeerView& p) { return p.level.value_or(0) >= peer::kLevelCells; });
+  return peers_.all_have_level(peer::kLevelCells);
 }
 
 void Controller::load_away() {
@@ -52,17 +54,10 @@
       return job != nullptr;
     };
     if (!remote_placements_.load(page.key, page.value, page.version, live, out_.now()))
-      spdlog::error("{}: an unreadable page of jobs that other cells hold", page.key);
+      spdlog::error("cells: unreadable remote placement page key={}", page.key);
   }
 }
 
-wire::Value Controller::away_progress(const jobs::Job& job) const {
-  const cells::RemotePlacements::RemotePlacement* stay = remote_placements_.find(job.spec.ref);
-  const std::uint32_t done = stay ? stay->done : 0, running = stay ? stay->running : 0;
-  return wire::job_progress(job.spec.ref, running > 0 ? wire::Phase::running : wire::Phase::queued, done,
-                            running);
-}
-
 void Controller::tick_cells() {
   if (!settings_.cells.enabled() && remote_placements_.size() == 0)
     return;
@@ -81,7 +76,7 @@
     for (std::size_t c = 0; c < cell_views_.size(); ++c)
       strange -= remote_placements_.count_at(c);
     if (strange > 0)
-      spdlog::error("{} jobs are held by cells that the settings no longer name", strange);
+      spdlog::error("cells: jobs held by unknown cells jobs={}", strange);
   }
   if (settings_.cells.enabled() && out_.now() >= planned_at_ + kPlanEvery) {
     planned_at_ = out_.now();
@@ -174,8 +169,8 @@
     ++stats_.done_away;
     return state_writer_.record_final_state(*job, wire::Phase::done, {});
   }
-  job->placed_remotely = false;  // follow_aborts() records its end
-  cancel(*job);
+  job->placed_remotely = false;  // cancellation_ records its final state
+  cancellation_.cancel(*job);
 }
 
 void Controller::watch_cell(std::size_t c) {
@@ -186,10 +181,10 @@
   v.there = there;
   const std::string& name = settings_.cells.neighbours[c].name;
   if (there)
-    spdlog::info("cell {}: there; it takes {:.0f} cores of our work, which would begin after {:.0f} s", name,
-                 v.digest->accepts_cores, v.digest->wait_s);
+    spdlog::info("cells: reachable cell={} accepts_cores={:.0f} wait_s={:.0f}", name, v.digest->accepts_cores,
+                 v.digest->wait_s);
   else
-    spdlog::warn("cell {}: not heard of; it holds {} jobs of ours", name, remote_placements_.count_at(c));
+    spdlog::warn("cells: unreachable cell={} jobs_held={}", name, remote_placements_.count_at(c));
 }
 
 // Whole arrays of this cell's own of which nothing has started, and nothing could have been by an earlier
@@ -236,10 +231,10 @@
       room_.free += free;
   }
   room_.rentable = autoscaler_.rentable_cores();
-  // Without custody a cancellation is recorded before its tasks are gone, and its home may start them at
-  // once.
-  room_.draining = settings_.cells.drain || delegation_duration_ <= 0;
-  room_.overloaded = pressed_;
+  // Without delegated renewal a cancellation is recorded before its tasks are gone, and its home may start
+  // them at once.
+  room_.draining = settings_.cells.drain || !delegation_support_.enabled();
+  room_.overloaded = overload_.is_overloaded();
   here.draining = settings_.cells.drain;
   here.boot_s = room_.rentable > 0 ? autoscaler_.typical_boot_s() : ports::kNever;
   here.cores = room_.free;
@@ -334,7 +329,7 @@
   }
   for (std::size_t c = 0; c < went.size(); ++c) {
     if (went[c] > 0)
-      spdlog::info("{} jobs are handed on to cell {}; {:.0f} cores wait here for {:.0f}", went[c],
+      spdlog::info("cells: offloaded jobs={} cell={} cores_waiting={:.0f} cores={:.0f}", went[c],
                    settings_.cells.neighbours[c].name, room_.own_waiting, here.cores);
   }
 }
@@ -367,25 +362,25 @@
     txn.require(page.key, page.version);
     page.refs.empty() ? txn.erase(page.key) : txn.put(page.key, page.value());
   }
-  store_.transact(
-      std::move(txn), store::RequestPriority::user, election_.lease_expires_at(),
-      [this, term = term_](const store::Reply& r) {
-        if (term != term_)
-          return;
-        if (r.status == 200) {
-          home_again(remote_placements_.on_written(wire::revision(r.body).value_or(0)));
-          return;
-        }
-        if (r.status == 400) {
-          spdlog::error("the state service calls a page of jobs that go away malformed; they stay");
-          return home_again(remote_placements_.on_write_refused());
-        }
-        const auto failed = r.status == 409 ? wire::failed_keys(r.body) : std::vector<std::string>{};
-        // Certainly not applied: held back here, refused, or compared in vain.
-        remote_placements_.on_write_failed(r.delivered && r.status != 429 && r.status != 503);
-        if (std::find(failed.begin(), failed.end(), leadership::kLeaderKey) != failed.end())
-          election_.on_superseded("a write of what is away found another leader");
-      });
+  store_.transact(std::move(txn), store::RequestPriority::user, election_.lease_expires_at(),
+                  [this, term = term_](const store::Reply& r) {
+                    if (term != term_)
+                      return;
+                    if (r.status == 200) {
+                      home_again(remote_placements_.on_written(wire::revision(r.body).value_or(0)));
+                      return;
+                    }
+                    if (r.status == 400) {
+                      spdlog::error("cells: remote placement page refused as malformed");
+                      return home_again(remote_placements_.on_write_refused());
+                    }
+                    const auto failed =
+                        r.status == 409 ? wire::failed_keys(r.body) : std::vector<std::string>{};
+                    // Certainly not applied: held back here, refused, or compared in vain.
+                    remote_placements_.on_write_failed(r.delivered && r.status != 429 && r.status != 503);
+                    if (std::find(failed.begin(), failed.end(), leadership::kLeaderKey) != failed.end())
+                      election_.on_superseded("a write of what is away found another leader");
+                  });
 }
 
 void Controller::home_again(const std::vector<std::string>& refs) {
@@ -420,7 +415,7 @@
     d.team_cores[team.name] =
         team.cpus_max > 0 ? team.cpus_max - workers_.team_usage(jobs::TeamIndex(t)).cpus : 1e9;
   }
-  for (const auto& t : catalog_)
+  for (const auto& t : catalog_.types())
     d.zones_by_type[t.name] = t.zones;
   return d;
 }
@@ -448,7 +443,7 @@
     return answer(from == known.end() ? 404 : 400, {});
   if (!is_active_leader()) {
     // Only the leader knows, takes and ends; it is asked on the neighbour's behalf, once.
-    const auto leader = f.relayed ? std::nullopt : leader_peer();
+    const auto leader = f.relayed ? std::nullopt : peer_calls_.reachable_leader();
     if (!leader)
       return answer(503, {});
     ports::Call call;
@@ -497,8 +492,8 @@
   const auto say = [&w](JobVerb word) {
     w.verb_code = raw(word);
   };
-  if (const auto it = finals_.find(w.ref); it != finals_.end())
-    return say(word_of(it->second.phase));
+  if (const wire::FinalState* state = final_states_.find(w.ref))
+    return say(word_of(state->phase));
   if (!wire::valid_ref(w.ref) || fenced_.contains(w.ref))
     return say(JobVerb::none);
   if (asked == JobVerb::offer)
@@ -518,17 +513,17 @@
     return say(job->cancelling ? JobVerb::ending : JobVerb::held);
   }
   say(JobVerb::none);
-  fresh(w.ref, store::RequestPriority::user, true,
-        [this, a, i](int st, std::optional<wire::Phase> phase, const wire::Value& live) {
-          if (st == 200 && !live.is_null() && is_active_leader())
-            found_live(live);
-          if (a->told)
-            return;
-          if (st == 404)
-            a->say.jobs[i].verb_code = raw(JobVerb::unknown);
-          if (st == 200 && live.is_null())
-            a->say.jobs[i].verb_code = raw(word_of(*phase));
-        });
+  lookup_.look_up(w.ref, store::RequestPriority::user, LookupDetail::live_record,
+                  [this, a, i](const LookupResult& result) {
+                    if (result.live && is_active_leader())
+                      on_live_job_read(*result.live);
+                    if (a->told)
+                      return;
+                    if (result.outcome == LookupOutcome::absent)
+                      a->say.jobs[i].verb_code = raw(JobVerb::unknown);
+                    if (result.outcome == LookupOutcome::found && !result.live)
+                      a->say.jobs[i].verb_code = raw(word_of(*result.phase));
+                  });
 }
 
 void Controller::offered_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from) {
@@ -547,9 +542,9 @@
   auto spec = record ? wire::parse_job(*record) : wire::malformed("not CBOR");
   if (!spec || spec->ref != w.ref)
     return say(JobVerb::never);
-  if (catalog_.empty() || !room_known_)
+  if (catalog_.types().empty() || !room_known_)
     return say(JobVerb::none);
-  if (impossible(*spec))
+  if (why_unrunnable(*spec, settings_, catalog_.types()))
     return say(JobVerb::never);
   const double cores = spec->tasks * spec->task_resources.cpus;
   // A cell that is being emptied hands on what will have to wait here, too.
@@ -579,17 +574,17 @@
                             if (r.outcome == Outcome::created) {
                               ++stats_.guests_taken;
                               if (is_active_leader())
-                                job_seen(kept, r.revision, r.batch_key);
+                                on_job_read(kept, r.revision, r.batch_key);
                               if (!a->told)
                                 a->say.jobs[i].verb_code = raw(JobVerb::held);
                             } else if (r.outcome == Outcome::exists) {
                               // Live since another try of the same offer, or over; it is said when it is
                               // asked about next.
-                              fresh(ref, store::RequestPriority::user, true,
-                                    [this](int st, std::optional<wire::Phase>, const wire::Value& live) {
-                                      if (st == 200 && !live.is_null() && is_active_leader())
-                                        found_live(live);
-                                    });
+                              lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
+                                              [this](const LookupResult& result) {
+                                                if (result.live && is_active_leader())
+                                                  on_live_job_read(*result.live);
+                                              });
                             }
                           });
 }
@@ -613,26 +608,26 @@
       w.running_tasks = job->running_tasks;
       return say(JobVerb::held);
     }
-    cancel(*job);
+    cancellation_.cancel(*job);
     return say(JobVerb::ending);
   }
   say(JobVerb::none);
-  fresh(w.ref, store::RequestPriority::user, true,
-        [this, ref = w.ref](int st, std::optional<wire::Phase>, const wire::Value& live) {
-          if (!is_active_leader())
-            return;
-          if (st == 200 && !live.is_null())
-            found_live(live);
-          if (st == 404)
-            fence(ref);
-        });
+  lookup_.look_up(w.ref, store::RequestPriority::user, LookupDetail::live_record,
+                  [this, ref = w.ref](const LookupResult& result) {
+                    if (!is_active_leader())
+                      return;
+                    if (result.live)
+                      on_live_job_read(*result.live);
+                    if (result.outcome == LookupOutcome::absent)
+                      fence(ref);
+                  });
 }
 
 // Neither live nor over here, so far. An offer that is on its way, or was sent twice, may yet be taken, and
 // the home wants to start the job: it gets a final state, beside which it can never be created. Until that is
 // certain nothing is known of the job here: a creation on a sheet does not exclude the final state.
 void Controller::fence(const std::string& ref) {
-  if (registry_.find(ref) || finals_.contains(ref) || !fenced_.insert(ref).second)
+  if (registry_.find(ref) || final_states_.contains(ref) || !fenced_.insert(ref).second)
     return;
   ++stats_.fences;
   write_fence(ref);
@@ -658,7 +653,7 @@
                     }
                     fenced_.erase(ref);
                     if (r.status == 200)
-                      remember(ref, ended);
+                      on_final_state(ref, ended);
                   });
 }
 
--- a/src/filters/dependency_filter.hpp
+++ b/src/filters/dependency_filter.hpp
@@ -6,9 +6,9 @@
 
 namespace wingtrail::filters {
 
-/// Refuses a job that has reached its final state, and a job that is held (`Job::is_held`): because a job that
-/// it depends on is not done yet or cannot be done any more, because its own cancellation is under way, or
-/// because it is placed in another cell.
+/// Refuses a job that has reached its final state, and a job that is held (`Job::is_held`): because a job
+/// that it depends on is not done yet or cannot be done any more, because its own cancellation is under way,
+/// or because it is placed in another cell.
 class DependencyFilter : public Filter {
  public:
   std::string_view name() const override {
--- a/src/filters/quota_filter.cpp
+++ b/src/filters/quota_filter.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "wire/job_messages.hpp"
+
 namespace wingtrail::filters {
 namespace {
 constexpr double kRoundingTolerance = 1e-6;      // cores or GPUs
--- a/src/jobs/completion_pages.hpp
+++ b/src/jobs/completion_pages.hpp
@@ -9,8 +9,8 @@
 #include "jobs/job_registry.hpp"
 #include "jobs/page_values.hpp"
 #include "jobs/record_pages.hpp"
-#include "wire/state_messages.hpp"
 #include "jobs/write_limits.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "wire/job_messages.hpp"
+
 namespace wingtrail::jobs {
 
 void DependencyGraph::clear() {
--- a/src/jobs/final_state_queue.cpp
+++ b/src/jobs/final_state_queue.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "wire/job_messages.hpp"
+
 namespace wingtrail::jobs {
 namespace {
 /// A kind is near its limit after that part of the time within which a cancelled job's tasks must be gone.
--- a/src/jobs/final_state_queue.hpp
+++ b/src/jobs/final_state_queue.hpp
@@ -10,6 +10,7 @@
 
 #include "jobs/job_registry.hpp"
 #include "jobs/write_shares.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -8,7 +8,7 @@
 #include "jobs/dense_index.hpp"
 #include "jobs/write_shares.hpp"
 #include "ports/outbox.hpp"
-#include "wire/messages.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/jobs/record_cleanup.cpp
+++ b/src/jobs/record_cleanup.cpp
@@ -1,6 +1,8 @@
 #include "jobs/record_cleanup.hpp"
 
 #include "jobs/record_keys.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::jobs {
 namespace {
--- a/src/jobs/record_cleanup.hpp
+++ b/src/jobs/record_cleanup.hpp
@@ -8,6 +8,7 @@
 #include "jobs/job_batches.hpp"
 #include "jobs/job_registry.hpp"
 #include "jobs/write_limits.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -4,6 +4,9 @@
 
 #include <algorithm>
 
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
+
 namespace wingtrail::jobs {
 namespace {
 constexpr int kStatusOk = 200;
@@ -292,8 +295,8 @@
              [this, &pages, page, term = term_](const store::Reply& reply) {
                if (term != term_)
                  return;
-               const auto item = reply.status == kStatusOk ? wire::parse_item(reply.body)
-                                                           : wire::Result<wire::Item>::fail("");
+               const auto item =
+                   reply.status == kStatusOk ? wire::parse_item(reply.body) : wire::malformed("");
                if (!item && reply.status != kStatusNotFound)
                  return out_.after(kRetryDelay, [this, &pages, page, term] {
                    if (term == term_)
--- a/src/jobs/state_writer.hpp
+++ b/src/jobs/state_writer.hpp
@@ -19,6 +19,8 @@
 #include "jobs/record_keys.hpp"
 #include "jobs/write_limits.hpp"
 #include "store/state_client.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::jobs {
 
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "scheduling/scheduler.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::scheduling {
 namespace {
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -6,6 +6,8 @@
 #include <cmath>
 
 #include "scheduling/short_partition.hpp"
+#include "wire/cloud_messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail::scheduling {
 
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -17,6 +17,7 @@
 #include "scheduling/run_time_estimates.hpp"
 #include "scheduling/service_objectives.hpp"
 #include "scheduling/zone_loss.hpp"
+#include "wire/cloud_messages.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::scheduling {
--- a/src/simulation/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 
 #include "simulation/components.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
@@ -249,7 +250,8 @@
 
 std::size_t SimulatedCluster::open_cancellations() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
-    return j.second->cancellation_wanted && j.second->accepted && !j.second->told_done && j.second->told_cancelled_at < 0;
+    return j.second->cancellation_wanted && j.second->accepted && !j.second->told_done &&
+           j.second->told_cancelled_at < 0;
   }));
 }
 bool SimulatedCluster::told_done(const std::string& ref) const {
--- a/src/simulation/components.hpp
+++ b/src/simulation/components.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include "simulation/simulated_cluster.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/simulation/history.cpp
+++ b/src/simulation/history.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 
 #include "simulation/components.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -4,7 +4,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "delegation/strict_cancellation.hpp"
 #include "simulation/components.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -4,6 +4,8 @@
 #include <algorithm>
 
 #include "simulation/components.hpp"
+#include "wire/cloud_messages.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -14,6 +14,8 @@
 #include <vector>
 
 #include "controller/controller.hpp"
+#include "wire/cloud_messages.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -3,6 +3,7 @@
 #include <cstdio>
 
 #include "simulation/components.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/simulation/workers.cpp
+++ b/src/simulation/workers.cpp
@@ -4,6 +4,8 @@
 #include <algorithm>
 
 #include "simulation/components.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -7,8 +7,8 @@
 #include "ports/outbox.hpp"
 #include "settings/settings.hpp"
 #include "store/token_bucket.hpp"
-#include "wire/messages.hpp"
 #include "wire/state_messages.hpp"
+#include "wire/value.hpp"
 
 namespace wingtrail::store {
 
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -5,7 +5,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "delegation/delegation.hpp"
+#include "delegation/strict_cancellation.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/worker_messages.hpp"
 #include "workers/resources.hpp"
 #include "workers/worker_manager.hpp"
 
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "wire/job_messages.hpp"
+#include "wire/worker_messages.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::workers {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -15,6 +15,7 @@
 #include "admission/fair_queue.hpp"
 #include "controller/controller.hpp"
 #include "jobs/state_writer.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::admission {
 namespace {
--- a/tests/cells_benchmark.cpp
+++ b/tests/cells_benchmark.cpp
@@ -10,6 +10,7 @@
 #include <iostream>
 
 #include "simulation/simulated_cells.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/cells_simulation_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -2,6 +2,7 @@
 // neighbour's own work loses.
 #include "scenarios.hpp"
 #include "simulation/simulated_cells.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -5,6 +5,7 @@
 #pragma once
 
 #include "scenarios.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,6 +1,8 @@
 // Combinations of two faults: docs/combined-faults.md has a row for each.
 #include "combined_faults.hpp"
 
+#include "wire/job_messages.hpp"
+
 namespace wingtrail::simulation {
 namespace {
 
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,10 +1,12 @@
+#include "jobs/dependency_graph.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <map>
 #include <pcg_random.hpp>
 
-#include "jobs/dependency_graph.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::jobs {
 namespace {
--- a/tests/final_state_backlog_test.cpp
+++ b/tests/final_state_backlog_test.cpp
@@ -8,6 +8,7 @@
 // ledger_backlog_test.cpp. The cause of the second: a controller that got no answer from its leader took it
 // that a leader that could write lately had recorded by then whatever follows from a cancellation.
 #include "combined_faults.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/final_state_queue_test.cpp
+++ b/tests/final_state_queue_test.cpp
@@ -5,6 +5,8 @@
 
 #include "jobs/completion_pages.hpp"
 #include "jobs/inventory_pages.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/state_messages.hpp"
 
 namespace wingtrail::jobs {
 namespace {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -9,6 +9,7 @@
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "store/state_client.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail {
 namespace {
--- a/tests/load_balancing_test.cpp
+++ b/tests/load_balancing_test.cpp
@@ -10,6 +10,7 @@
 #include "balancing/load_snapshot.hpp"
 #include "balancing/migrations.hpp"
 #include "balancing/speed_estimator.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::balancing {
 namespace {
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "scenarios.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,6 +1,7 @@
 // Floods of submissions on several controllers, with failures amid them: the rules, the sum of what all nodes
 // ask of the state service, and that who does not flood is admitted as on a calm day.
 #include "scenarios.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/process_limits_test.cpp
+++ b/tests/process_limits_test.cpp
@@ -17,6 +17,7 @@
 #include <sstream>
 #include <thread>
 
+#include "wire/job_messages.hpp"
 #include "wire/worker_messages.hpp"
 
 namespace wingtrail {
--- a/tests/record_pages_test.cpp
+++ b/tests/record_pages_test.cpp
@@ -6,6 +6,8 @@
 #include <set>
 
 #include "jobs/state_writer.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/parse_result.hpp"
 
 namespace wingtrail::jobs {
 namespace {
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -8,6 +8,7 @@
 #include <cstdlib>
 
 #include "simulation/simulated_cluster.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -2,6 +2,7 @@
 #include <spdlog/spdlog.h>
 
 #include "scenarios.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::simulation {
 namespace {
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -6,10 +6,10 @@
 // service; submissions that never stopped used all of them. The evidence: each of some twenty questions in a
 // row was put off with `requests_used_up`, at all controllers, for a job that the log told as recorded a
 // minute before. The cause: questions got requests only if submissions left a third of the budget.
-#include <gtest/gtest.h>
-
 #include "store/state_client.hpp"
 
+#include <gtest/gtest.h>
+
 namespace wingtrail::store {
 namespace {
 
--- a/tests/state_writer_backlog_test.cpp
+++ b/tests/state_writer_backlog_test.cpp
@@ -18,6 +18,7 @@
 #include <vector>
 
 #include "jobs/state_writer.hpp"
+#include "wire/job_messages.hpp"
 
 namespace wingtrail::jobs {
 namespace {
--- a/tests/worker_manager_test.cpp
+++ b/tests/worker_manager_test.cpp
@@ -8,6 +8,9 @@
 #include <map>
 
 #include "filters/reconciled_filter.hpp"
+#include "wire/cloud_messages.hpp"
+#include "wire/job_messages.hpp"
+#include "wire/worker_messages.hpp"
 
 namespace wingtrail::workers {
 namespace {
