--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -24,7 +24,7 @@
   return names;
 }
 
-// What no other process writes its sheets under.
+// What no other process writes its job batches under.
 std::string life_name(std::uint64_t seed) {
   std::ostringstream out;
   out << std::hex << seed;
@@ -116,7 +116,7 @@
                 }}),
       zone_reporter_(out_, registry_, workers_, scheduler_),
       remote_placements_(neighbour_names(settings_.cells), page_bytes(settings_)),
-      cell_views_(settings_.cells.neighbours.size()),
+      neighbours_(settings_.cells.neighbours.size()),
       responder_(out_, [this] { return frame(); }),
       peer_calls_(out_, election_, peers_, responder_,
                   {[this] { return frame(); },
@@ -328,7 +328,7 @@
   out_.set_now(now);
   // Names of nodes say nothing between cells.
   if (!f.cell.empty() && !f.relayed)
-    return between(id, f);
+    return on_cell_message(id, f);
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
     if (settings_.peers[i].name != f.node)
       continue;
@@ -350,7 +350,7 @@
     }
   }
   if (!f.cell.empty())
-    return between(id, f);
+    return on_cell_message(id, f);
   const RequestOrigin origin{id, true};
   if (f.path.empty())
     return responder_.respond(origin, 200);
@@ -383,7 +383,7 @@
       zone_reporter_.update();
       autoscaler_.tick();
       scheduler_.run_pass();
-      tick_cells();
+      update_cells();
       heartbeats_.check_reachability();
     }
   }
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -59,44 +59,109 @@
 
 /// Counters and gauges, as of one moment. The daemon publishes them as metrics.
 struct Stats {
-  std::uint64_t submitted = 0, admitted = 0, refused = 0, reports = 0, forwarded = 0, completed = 0,
-                cancelled = 0;
-  std::uint64_t state_calls = 0, state_refused = 0, orders = 0, hired = 0, returned = 0, commits = 0;
-  std::uint64_t direct_calls = 0, deadlines = 0, state_writes = 0, tasks_started = 0, machines_examined = 0,
-                jobs_examined = 0, preempted = 0, reclaimed = 0;
-  std::uint64_t ends_written = 0, roster_written = 0, progress_written = 0, pages_divided = 0, malformed = 0;
-  std::uint64_t chains_ready = 0, orphaned = 0;
-  std::size_t live_jobs = 0, held_jobs = 0, machines = 0, record_pages = 0;
-  std::uint64_t sheets = 0, on_sheets = 0, put_off = 0, swept = 0;
-  std::size_t admissions_waiting = 0, sheets_live = 0;
-  double state_share = 0, state_asked = 0;  // of its budget: what this node may use, what it asks for
-  double agreed_age_s = 0;                  // since the leader last said what this node may use
-  std::vector<std::pair<std::pair<std::string, std::string>, std::uint64_t>> put_off_by;  // team, class
-  std::array<std::uint64_t, kDeferralReasons> questions_put_off{};                        // by reason
-  jobs::StateWriter::Backlogs ends{};  // to be recorded, by kind
-  std::uint64_t leader_token = 0;      // of the newest leadership known of
-  std::uint64_t custody_answers = 0, grants = 0, aborts_put_off = 0, alarms = 0;
-  // The load by team and class (balancing/load_snapshot.hpp).
-  struct ClassLoad {
-    std::string team, job_class;
-    double held = 0, waiting = 0, oldest_s = 0, offered = 0, surge = 1, served_share = 1, most_in_a_zone = 0;
+  struct ClassLoad {  ///< of one class of one team; see balancing/load_snapshot.hpp
+    std::string team;
+    std::string job_class;
+    double cores_in_use = 0;
+    double cores_waiting = 0;
+    double oldest_wait_s = 0;
+    double arriving_cores = 0;
+    double surge = 1;
+    double served_share = 1;
+    double largest_zone_share = 0;
   };
-  std::vector<ClassLoad> loads;
-  std::vector<std::pair<std::string, std::string>> zone_lives;  // zone and state
-  std::uint64_t zones_lost = 0, zones_back = 0;
-  std::vector<std::pair<std::string, double>> zones, reasons;  // cores in use; cores that wait, by why
-  std::uint64_t moves_begun = 0, moves_done = 0, moves_failed = 0;
-  double moves_lost_s = 0;  // work thrown away by them
-  std::size_t slow_machines = 0;
-  double settled_after_s = 0;
-  bool leading = false;
-  struct CellLoad {  // what is between this cell and a neighbour
+  struct CellLoad {  ///< what is between this cell and a neighbour
     std::string name;
-    double away = 0, heard_s = 0, takes = 0, wait_s = 0;
+    double remote_jobs = 0;
+    double digest_age_s = 0;
+    double accepts_cores = 0;
+    double wait_s = 0;
   };
-  std::vector<CellLoad> cells;  // by neighbour
-  std::uint64_t handed_on = 0, handed_back = 0, done_away = 0, guests_taken = 0, guests_refused = 0,
-                guests_ended = 0, fences = 0;
+
+  // Requests.
+  std::uint64_t submissions = 0;
+  std::uint64_t jobs_accepted = 0;
+  std::uint64_t submissions_refused = 0;
+  std::uint64_t heartbeats = 0;
+  std::uint64_t forwarded_requests = 0;
+  std::uint64_t jobs_done = 0;
+  std::uint64_t jobs_cancelled = 0;
+  std::uint64_t cancellations_deferred = 0;
+  std::array<std::uint64_t, kDeferralReasons> queries_deferred{};  ///< by reason
+
+  // Leadership and the state service.
+  bool leading = false;
+  std::uint64_t leader_fencing_token = 0;  ///< of the newest leadership known of
+  double reconciled_after_s = 0;           ///< from the failover; 0: not yet
+  std::uint64_t delegated_renewals = 0;
+  std::uint64_t delegations_granted = 0;
+  std::uint64_t state_requests = 0;
+  std::uint64_t state_throttled = 0;
+  double state_share = 0;   ///< of the budget: what this controller may use
+  double state_demand = 0;  ///< of the budget: what it has asked for lately
+  double loan_age_s = 0;    ///< since the leader last said what this controller may use
+
+  // Records.
+  std::uint64_t commits = 0;
+  std::uint64_t malformed_commits = 0;
+  std::uint64_t state_writes = 0;
+  std::uint64_t final_states_written = 0;
+  std::uint64_t inventory_written = 0;
+  std::uint64_t completions_written = 0;
+  std::uint64_t records_deleted = 0;
+  std::uint64_t pages_split = 0;
+  std::size_t record_pages = 0;
+  jobs::StateWriter::Backlogs final_state_backlogs{};  ///< by kind
+
+  // Jobs.
+  std::size_t live_jobs = 0;
+  std::size_t held_jobs = 0;
+  std::uint64_t dependencies_met = 0;  ///< jobs whose dependencies are all done
+  std::uint64_t orphaned = 0;
+  std::uint64_t batches_created = 0;
+  std::uint64_t batched_jobs = 0;
+  std::size_t live_batches = 0;
+  std::uint64_t creations_deferred = 0;
+  std::size_t admissions_waiting = 0;
+  std::vector<std::pair<std::pair<std::string, std::string>, std::uint64_t>>
+      deferred_by_class;  ///< team, class
+
+  // Machines and tasks.
+  std::size_t machines = 0;
+  std::size_t slow_machines = 0;
+  std::uint64_t machines_rented = 0;
+  std::uint64_t machines_returned = 0;
+  std::uint64_t commands_sent = 0;
+  std::uint64_t direct_calls = 0;
+  std::uint64_t deadline_checks = 0;
+  std::uint64_t liveness_sweeps = 0;
+  std::uint64_t tasks_started = 0;
+  std::uint64_t tasks_preempted = 0;
+  std::uint64_t tasks_reclaimed = 0;
+  std::uint64_t machines_examined = 0;
+  std::uint64_t jobs_examined = 0;
+  std::uint64_t migrations_begun = 0;
+  std::uint64_t migrations_done = 0;
+  std::uint64_t migrations_failed = 0;
+  double migrations_lost_work_s = 0;
+
+  // Load.
+  std::vector<ClassLoad> loads;
+  std::vector<std::pair<std::string, std::string>> zone_states;  ///< zone, state
+  std::uint64_t zones_lost = 0;
+  std::uint64_t zones_returned = 0;
+  std::vector<std::pair<std::string, double>> cores_by_zone;            ///< in use
+  std::vector<std::pair<std::string, double>> waiting_cores_by_reason;  ///< filter, cores
+
+  // Other cells.
+  std::vector<CellLoad> cells;  ///< by neighbour
+  std::uint64_t jobs_offloaded = 0;
+  std::uint64_t jobs_returned_home = 0;
+  std::uint64_t remote_jobs_done = 0;
+  std::uint64_t offers_accepted = 0;
+  std::uint64_t offers_refused = 0;
+  std::uint64_t offered_jobs_ended = 0;
+  std::uint64_t tombstones = 0;
 };
 
 /// The largest size, in bytes, of a page that records jobs held by other cells.
@@ -185,7 +250,7 @@
   void loaded();
   void follow_jobs(std::uint64_t after, std::uint64_t term);
   void on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version);
-  void on_job_read(const wire::Value& value, std::uint64_t version, const std::string& sheet = {});
+  void on_job_read(const wire::Value& value, std::uint64_t version, const std::string& batch_key = {});
   jobs::Job* add_job(const wire::Value& value, std::uint64_t version);
   Seconds to_steady_time(double time_of_day) const;  // no later than now
   // What follows from jobs that were learnt of or that have ended.
@@ -196,41 +261,58 @@
   void on_job_final(jobs::Job& job);
   void complete_if_done(jobs::Job& job);
 
-  // ---- other cells (daemon/cells.cpp)
-  struct CellView {          // a neighbour as this leader sees it
-    std::size_t asks = 0;    // which of its controllers is asked
-    bool busy = false;       // a question is under way
-    Seconds told_at = -1e9;  // when it last was sent this cell's digest
-    Seconds heard = -1e9;
+  // ---- other cells (offloading.cpp, remote_jobs.cpp)
+  struct NeighbourState {           // a neighbouring cell as this leader sees it
+    std::size_t controller = 0;     // which of its controllers is queried
+    bool query_in_flight = false;   // a query is in flight
+    Seconds digest_sent_at = -1e9;  // when it last was sent this cell's digest
+    Seconds last_digest_at = -1e9;
     std::optional<peer::CapacityDigest> digest;
     std::deque<std::pair<Seconds, double>> offered;  // when, and how many cores
-    double promised = 0;  // cores that it was told of, less what it has offered since
+    double promised = 0;  // cores in the last digest sent to it, less what it has offered since
     Seconds promised_at = -1e9;
-    bool there = false;  // as last logged
+    bool reachable = false;  // as last logged
   };
-  void told_by(CellView& v, const peer::CapacityDigest& digest);
+  void on_digest(NeighbourState& v, const peer::CapacityDigest& digest);
   // What is said between cells, by this one or on a neighbour's behalf.
-  peer::Frame cell_frame(const std::string& cell, std::string between) const;
-  bool may_hand_on() const;
-  void tick_cells();
-  void ask_cell(std::size_t cell);
-  void cell_said(std::size_t cell, const peer::Frame& frame);
-  void heard_of_job(std::size_t cell, const peer::JobMessage& said);
-  void watch_cell(std::size_t cell);
-  void plan_spill();
-  void hold_for_spill(jobs::Job& job);
-  bool may_go(const jobs::Job& job) const;
-  void write_away();
-  void home_again(const std::vector<std::string>& refs);
-  void load_away();
-  peer::CapacityDigest digest(std::size_t to);
-  void between(std::uint64_t id, const peer::Frame& frame);
-  struct Answering;
-  void answer_word(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from);
-  void offered_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from);
-  void end_guest(const std::shared_ptr<Answering>& a, std::size_t i, const std::string& from);
-  void fence(const std::string& ref);
-  void write_fence(const std::string& ref);
+  peer::Frame make_cell_frame(const std::string& cell, std::string cell_message) const;
+  bool peers_support_cells() const;
+  void update_cells();
+  void query_cell(std::size_t cell);
+  void on_cell_reply(std::size_t cell, const peer::Frame& frame);
+  void on_job_message(std::size_t cell, const peer::JobMessage& said);
+  void log_reachability(std::size_t cell);
+  struct WaitingWork;
+  void plan_offloading();
+  void release_selected_jobs();
+  WaitingWork collect_waiting_work();
+  cells::LocalCapacity measure_local_capacity();
+  std::vector<cells::NeighbourCapacity> neighbour_capacities(const cells::LocalCapacity& here,
+                                                             bool starts_at_once);
+  cells::WaitingJob describe_for_offloading(const jobs::Job& job) const;
+  double core_seconds(const jobs::Job& job) const;
+  void offload_jobs(const cells::OffloadPlan& plan, const std::vector<jobs::Job*>& waiting,
+                    const std::vector<cells::WaitingJob>& candidates, double cores);
+  void hold_for_offloading(jobs::Job& job);
+  bool may_be_offloaded(const jobs::Job& job) const;
+  void read_uncertain_pages();
+  void write_remote_placements();
+  void on_remote_placements_reply(const store::Reply& reply);
+  void return_home(const std::vector<std::string>& refs);
+  void load_remote_placements();
+  peer::CapacityDigest make_digest(std::size_t to);
+  void on_cell_message(std::uint64_t id, const peer::Frame& frame);
+  void answer_cell(std::uint64_t id, int status, const peer::CellMessage& message);
+  void relay_to_leader(std::uint64_t id, const peer::Frame& frame);
+  struct CellReply;
+  void answer_job_message(const std::shared_ptr<CellReply>& reply, std::size_t i, const std::string& from);
+  void on_offer(const std::shared_ptr<CellReply>& reply, std::size_t i, const std::string& from);
+  bool accepts_offer(const wire::JobSpec& spec, const std::string& from);
+  void create_offered_job(const std::shared_ptr<CellReply>& reply, std::size_t i, const wire::JobSpec& spec,
+                          wire::Value record, const std::string& from);
+  void on_recall(const std::shared_ptr<CellReply>& reply, std::size_t i, const std::string& from);
+  void put_tombstone(const std::string& ref);
+  void write_tombstone(const std::string& ref);
 
   settings::Settings settings_;
   ports::Outbox out_;
@@ -269,15 +351,16 @@
   std::deque<std::pair<Seconds, std::string>> unknown_dependencies_;  // since when, the oldest first
   std::uint64_t jobs_revision_ = 0;
   cells::RemotePlacements remote_placements_;
-  std::vector<CellView> cell_views_;
-  std::vector<wire::Item> away_pages_;  // read while loading
-  std::set<std::string> fenced_;        // jobs of others that are being recorded as never to run here
-  cells::GuestCapacity room_;           // as of the last second
-  std::vector<jobs::JobIndex> going_;   // jobs that are not begun, since they are to go
-  bool spills_ = false;                 // what comes would begin sooner elsewhere, as of the last plan
-  bool room_known_ = false;             // in this leadership
-  std::set<std::string> looking_at_;    // pages being read
-  Seconds guest_wait_s_ = 0, planned_at_ = -1e9, told_strange_ = -1e9;
+  std::vector<NeighbourState> neighbours_;
+  std::vector<wire::Item> remote_placement_pages_;  // read while loading
+  std::set<std::string> tombstones_in_progress_;    // jobs of other cells whose tombstones are being written
+  cells::GuestCapacity guest_capacity_;             // as of the last second
+  std::vector<jobs::JobIndex>
+      selected_for_offload_;                // jobs not started, since they are selected for offloading
+  bool offloading_expected_ = false;        // new jobs would start sooner elsewhere, as of the last plan
+  bool guest_capacity_known_ = false;       // in this leadership
+  std::set<std::string> pages_being_read_;  // pages being read
+  Seconds guest_wait_s_ = 0, offloading_planned_at_ = -1e9, unknown_cells_logged_at_ = -1e9;
   Responder responder_;
   PeerCalls peer_calls_;
   JobQueries queries_;
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -15,22 +15,22 @@
 }
 
 // What the others may rely on when this leader does not answer them: up to when all that follows from
-// cancellations is recorded. It stands still after a take-over until every need is known that was not live,
-// and goes no further than the oldest end that waits to be recorded, however many wait before it.
+// cancellations is recorded. It stands still after a failover until every dependency is known that was not
+// live, and goes no further than the oldest end that waits to be recorded, however many wait before it.
 void Controller::update_final_states_recorded_until() {
   while (!unknown_dependencies_.empty() &&
          !dependencies_.awaits_unknown(unknown_dependencies_.front().second))
     unknown_dependencies_.pop_front();
-  Seconds settled_at = out_.now();
+  Seconds recorded_until = out_.now();
   if (!unknown_dependencies_.empty()) {
-    settled_at = unknown_dependencies_.front().first;
-    if (settled_at <= loaded_at_)
+    recorded_until = unknown_dependencies_.front().first;
+    if (recorded_until <= loaded_at_)
       return;
   }
   // One that its user cancelled too may be recorded as that.
   for (const auto kind : {jobs::RecordKind::orphaned, jobs::RecordKind::cancelled})
-    settled_at = std::min(settled_at, state_writer_.oldest_unrecorded(kind).value_or(settled_at));
-  final_states_recorded_until_ = settled_at;
+    recorded_until = std::min(recorded_until, state_writer_.oldest_unrecorded(kind).value_or(recorded_until));
+  final_states_recorded_until_ = recorded_until;
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -10,8 +10,6 @@
 
 namespace wingtrail::controller {
 
-// ---------------------------------------------------------------- leading
-
 void Controller::elected() {
   ++term_;
   loaded_ = false;
@@ -24,11 +22,11 @@
   dependency_lookups_in_flight_ = 0;
   zone_reporter_.reset();
   remote_placements_.clear();
-  away_pages_.clear();
-  fenced_.clear();
-  going_.clear();
-  spills_ = false;
-  room_known_ = false;
+  remote_placement_pages_.clear();
+  tombstones_in_progress_.clear();
+  selected_for_offload_.clear();
+  offloading_expected_ = false;
+  guest_capacity_known_ = false;
   scheduler_.clear();
   state_writer_.begin_leadership();
   delegated_renewal_.begin_leadership();
@@ -49,7 +47,7 @@
   scheduler_.clear();
   dependencies_.clear();
   remote_placements_.clear();
-  fenced_.clear();
+  tombstones_in_progress_.clear();
   registry_.clear();
 }
 
@@ -92,7 +90,7 @@
   if (prefix == jobs::kLiveJobPrefix && item.key.ends_with(jobs::kCancellationSuffix)) {
     markers_read_.push_back(item.key);  // acted on when all is loaded
   } else if (prefix == jobs::kLiveJobPrefix && cells::is_remote_placement_key(item.key)) {
-    away_pages_.push_back(item);  // the same
+    remote_placement_pages_.push_back(item);  // the same
   } else if (prefix == jobs::kLiveJobPrefix && jobs::is_batch_key(item.key)) {
     jobs::for_each_record(item.value, [&](const std::string& ref, const wire::Value& record) {
       jobs::Job* known = registry_.find(ref);
@@ -101,7 +99,7 @@
         return;
       if (!known)
         job->has_own_key = false;
-      // It may be on two sheets, and have a key too: what it is as old as is the first of them.
+      // It may be in two batches, and have a key of its own too: the oldest record counts.
       job->created_revision = std::min(job->created_revision, item.version);
       state_writer_.batches().add_live_job(item.key, job->index);
     });
@@ -134,7 +132,7 @@
                workers_.machines().size(), jobs_revision_, election_.fencing_token());
   autoscaler_.begin_leadership();
   workers_.tick();
-  load_away();
+  load_remote_placements();
   for (const std::string& key : std::exchange(markers_read_, {}))
     cancellation_.on_marker(key);
   std::vector<jobs::Job*> all;
@@ -209,7 +207,7 @@
 }
 
 void Controller::apply_reread_jobs(const std::shared_ptr<Rereading>& all) {
-  // On sheets that are new here there may be jobs that were over long ago.
+  // In batches that are new here there may be jobs that were over long ago.
   std::vector<std::string> unknown;
   for (const wire::Item& i : all->items) {
     if (!jobs::is_batch_key(i.key) || state_writer_.batches().fully_read(i.key))
@@ -227,7 +225,7 @@
     };
     for (const wire::Item& i : all->items) {
       if (is_mark(i))
-        continue;  // its job may be on a sheet, and those come later
+        continue;  // its job may be in a batch, and those come later
       if (!jobs::is_batch_key(i.key)) {
         on_live_key_read(i.key, i.value, i.version);
       } else if (!state_writer_.batches().fully_read(i.key)) {
@@ -260,33 +258,33 @@
   state_writer_.delete_empty_batches();
 }
 
-void Controller::on_job_read(const wire::Value& value, std::uint64_t version, const std::string& sheet) {
+void Controller::on_job_read(const wire::Value& value, std::uint64_t version, const std::string& batch_key) {
   const auto ref = wire::text(value, "ref").value_or("");
-  if (final_states_.contains(ref) || fenced_.contains(ref))
+  if (final_states_.contains(ref) || tombstones_in_progress_.contains(ref))
     return;
   if (jobs::Job* known = registry_.find(ref)) {
     known->created_revision = std::min(known->created_revision, version);
     if (known->final_state_recorded)
       return;
-    sheet.empty() ? void(known->has_own_key = true)
-                  : state_writer_.batches().add_live_job(sheet, known->index);
+    batch_key.empty() ? void(known->has_own_key = true)
+                      : state_writer_.batches().add_live_job(batch_key, known->index);
     return;
   }
   jobs::Job* job = add_job(value, version);
   if (!job)
     return;
   workers_.adopt_stray_instances(*job);
-  if (!sheet.empty()) {
+  if (!batch_key.empty()) {
     job->has_own_key = false;
-    state_writer_.batches().add_live_job(sheet, job->index);
+    state_writer_.batches().add_live_job(batch_key, job->index);
     if (settings_.tunables.fair_admission <= 0)
       state_writer_.move_to_own_key(*job);
   }
   dependencies_.add(*job);
   dependencies_.propagate_urgency();
   if (!job->is_held()) {
-    if (spills_ && may_go(*job))
-      hold_for_spill(*job);
+    if (offloading_expected_ && may_be_offloaded(*job))
+      hold_for_offloading(*job);
     scheduler_.record_arrival(*job);
     scheduler_.on_job_ready(*job);
   }
@@ -299,7 +297,7 @@
     spdlog::error("load: unreadable job record error=\"{}\"", spec.error().text());
     return nullptr;
   }
-  // Versions before chains kept no time: then it counts from when this leader learns of the job.
+  // Versions before job dependencies kept no time: then it counts from when this leader learns of the job.
   const auto at = wire::submitted_at(value);
   const auto guest = wire::text(value, jobs::kOriginCellField);
   if (guest)
@@ -322,7 +320,7 @@
 
 void Controller::on_job_final(jobs::Job& job) {
   on_final_state(job.spec.ref, {job.final_phase, job.spec.tasks, out_.time_of_day()});
-  ++(job.final_phase == wire::Phase::done ? stats_.completed : stats_.cancelled);
+  ++(job.final_phase == wire::Phase::done ? stats_.jobs_done : stats_.jobs_cancelled);
   spdlog::info(
       "jobs: final ref={} class={} team={} phase={} after_s={:.1f} last_start_after_s={:.1f} "
       "estimated_run_time_s={:.1f} restarted_tasks={} tasks={}",
@@ -330,88 +328,10 @@
       out_.now() - job.eligible_since, std::max(0.0, job.last_start_at - job.eligible_since),
       scheduler_.estimated_run_time(job), job.lost_starts, job.spec.tasks);
   remote_placements_.on_job_over(job.spec.ref);
-  stats_.guests_ended += !job.origin_cell.empty();
+  stats_.offered_jobs_ended += !job.origin_cell.empty();
   scheduler_.on_job_over(job);
   registry_.erase_if_over(job);
   process_dependencies();
 }
 
-// ---------------------------------------------------------------- chains
-
-void Controller::process_dependencies() {
-  for (const jobs::JobIndex ix : dependencies_.take_ready()) {
-    jobs::Job* job = registry_.job_at(ix);
-    if (!job || !job->is_open())
-      continue;
-    ++stats_.chains_ready;
-    spdlog::debug("dependencies: all done ref={}", job->spec.ref);
-    scheduler_.record_arrival(*job);
-    scheduler_.on_job_ready(*job);
-  }
-  for (const jobs::JobIndex ix : dependencies_.take_orphans()) {
-    jobs::Job* job = registry_.job_at(ix);
-    if (!job || !job->is_open())
-      continue;
-    ++stats_.orphaned;
-    spdlog::info("dependencies: orphaned ref={}", job->spec.ref);
-    state_writer_.record_orphan(*job);
-    workers_.cancel_job(*job);  // nothing of it runs, unless a version without chains led in between
-  }
-  for (std::string& ref : dependencies_.take_unknown()) {
-    unknown_dependencies_.emplace_back(out_.now(), ref);
-    dependencies_to_look_up_.push_back(std::move(ref));
-  }
-  look_up_unknown_dependencies();
-}
-
-void Controller::look_up_unknown_dependencies() {
-  constexpr int kAtOnce =
-      8;  // a take-over may have hundreds to ask about, and others need the state service too
-  while (is_active_leader() && dependency_lookups_in_flight_ < kAtOnce && !dependencies_to_look_up_.empty()) {
-    const std::string ref = std::move(dependencies_to_look_up_.front());
-    dependencies_to_look_up_.pop_front();
-    if (dependencies_.awaits_unknown(ref))
-      look_up_dependency(ref);
-  }
-}
-
-// Most needed jobs that are not live were over before this leadership. One that is not over either was
-// created a moment ago, and its creation has not been seen here yet. Absent is never taken for done.
-void Controller::look_up_dependency(const std::string& ref) {
-  ++dependency_lookups_in_flight_;
-  store_.get(jobs::kFinalStatePrefix + ref, store::RequestPriority::user,
-             [this, ref, term = term_](const store::Reply& r) {
-               if (term != term_)
-                 return;
-               --dependency_lookups_in_flight_;
-               const auto item = r.status == 200 ? wire::parse_item(r.body) : wire::malformed("");
-               if (const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt) {
-                 on_final_state(ref, *ended);
-                 return process_dependencies();
-               }
-               const auto again = [this, ref, term] {
-                 out_.after(0.5, [this, ref, term] {
-                   if (term == term_ && dependencies_.awaits_unknown(ref))
-                     dependencies_to_look_up_.push_back(ref);
-                 });
-               };
-               if (r.status != 404)
-                 return again();
-               ++dependency_lookups_in_flight_;
-               lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
-                               [this, ref, term, again](const LookupResult& result) {
-                                 if (term != term_)
-                                   return;
-                                 --dependency_lookups_in_flight_;
-                                 if (result.live)
-                                   on_live_job_read(*result.live);
-                                 else if (result.outcome == LookupOutcome::absent)
-                                   spdlog::error("dependencies: unknown dependency ref={}", ref);
-                                 process_dependencies();
-                                 if (dependencies_.awaits_unknown(ref))
-                                   again();
-                               });
-             });
-}
-
 }  // namespace wingtrail::controller
--- a/src/controller/stats.cpp
+++ b/src/controller/stats.cpp
@@ -18,84 +18,85 @@
                        load.served_share(), load.largest_zone_share()});
   }
   for (jobs::ZoneIndex zone{0}; zone < snapshot.cores_by_zone().size(); ++zone)
-    s.zones.emplace_back(registry.zones[zone], snapshot.cores_by_zone()[zone]);
+    s.cores_by_zone.emplace_back(registry.zones[zone], snapshot.cores_by_zone()[zone]);
   for (const auto& [why, cores] : snapshot.waiting_cores_by_reason())
-    s.reasons.emplace_back(std::string(why), cores);
+    s.waiting_cores_by_reason.emplace_back(std::string(why), cores);
 }
 
 void add_migrations(Stats& s, const scheduling::Scheduler& scheduler) {
   for (const auto cause : {balancing::MigrationCause::slow_machine, balancing::MigrationCause::draining}) {
     const auto& c = scheduler.migrations().counts(cause);
-    s.moves_begun += c.begun;
-    s.moves_done += c.done;
-    s.moves_failed += c.failed;
-    s.moves_lost_s += c.lost_work_s;
+    s.migrations_begun += c.begun;
+    s.migrations_done += c.done;
+    s.migrations_failed += c.failed;
+    s.migrations_lost_work_s += c.lost_work_s;
   }
 }
 }  // namespace
 
 Stats Controller::stats() const {
   Stats s = stats_;
-  s.reports = heartbeats_.count();
-  s.submitted = submission_.counts().submitted;
-  s.admitted = submission_.counts().admitted;
-  s.refused = submission_.counts().refused;
-  s.forwarded = peer_calls_.count();
-  s.questions_put_off = queries_.deferral_counts();
-  s.custody_answers = delegated_renewal_.counts().renewals;
-  s.grants = delegated_renewal_.counts().grants;
-  s.aborts_put_off = cancellation_.deferred_count();
-  s.state_calls = store_.requests();
-  s.state_refused = store_.throttled();
-  s.orders = workers_.commands_sent();
-  s.hired = autoscaler_.machines_rented();
-  s.returned = autoscaler_.machines_returned();
+  s.heartbeats = heartbeats_.count();
+  s.submissions = submission_.counts().submitted;
+  s.jobs_accepted = submission_.counts().admitted;
+  s.submissions_refused = submission_.counts().refused;
+  s.forwarded_requests = peer_calls_.count();
+  s.queries_deferred = queries_.deferral_counts();
+  s.delegated_renewals = delegated_renewal_.counts().renewals;
+  s.delegations_granted = delegated_renewal_.counts().grants;
+  s.cancellations_deferred = cancellation_.deferred_count();
+  s.state_requests = store_.requests();
+  s.state_throttled = store_.throttled();
+  s.commands_sent = workers_.commands_sent();
+  s.machines_rented = autoscaler_.machines_rented();
+  s.machines_returned = autoscaler_.machines_returned();
   s.commits = state_writer_.commits();
   s.live_jobs = registry_.live_count();
   s.machines = workers_.live_machines().size();
   s.direct_calls = workers_.direct_calls();
-  s.deadlines = workers_.deadline_checks();
-  s.ends_written = state_writer_.writes().final_states;
-  s.roster_written = state_writer_.writes().inventory;
-  s.progress_written = state_writer_.writes().completions;
-  s.ends = state_writer_.backlogs();
-  s.leader_token = election_.leader_fencing_token();
-  s.state_writes = s.ends_written + s.roster_written + s.progress_written;
-  s.pages_divided = state_writer_.pages_split();
-  s.malformed = state_writer_.malformed_commits();
+  s.deadline_checks = workers_.deadline_checks();
+  s.final_states_written = state_writer_.writes().final_states;
+  s.inventory_written = state_writer_.writes().inventory;
+  s.completions_written = state_writer_.writes().completions;
+  s.final_state_backlogs = state_writer_.backlogs();
+  s.leader_fencing_token = election_.leader_fencing_token();
+  s.state_writes = s.final_states_written + s.inventory_written + s.completions_written;
+  s.pages_split = state_writer_.pages_split();
+  s.malformed_commits = state_writer_.malformed_commits();
   s.held_jobs = registry_.held_count();
   s.record_pages = state_writer_.page_count();
   s.tasks_started = scheduler_.tasks_started();
   s.machines_examined = scheduler_.machines_examined();
   s.jobs_examined = scheduler_.jobs_examined();
-  s.preempted = scheduler_.tasks_preempted();
-  s.reclaimed = scheduler_.tasks_reclaimed();
-  s.alarms = workers_.liveness_sweeps();
-  s.settled_after_s = workers_.reconciled_after();
+  s.tasks_preempted = scheduler_.tasks_preempted();
+  s.tasks_reclaimed = scheduler_.tasks_reclaimed();
+  s.liveness_sweeps = workers_.liveness_sweeps();
+  s.reconciled_after_s = workers_.reconciled_after();
   s.leading = is_active_leader();
   add_load(s, scheduler_.load(), registry_, out_.now());
-  s.zone_lives = zone_reporter_.states();
+  s.zone_states = zone_reporter_.states();
   s.zones_lost = zone_reporter_.counts().lost;
-  s.zones_back = zone_reporter_.counts().recovered;
+  s.zones_returned = zone_reporter_.counts().recovered;
   add_migrations(s, scheduler_);
   s.slow_machines = scheduler_.slow_machines();
   const auto& admitted = creation_queue_.counts();
-  s.sheets = admitted.batches;
-  s.on_sheets = admitted.batched_jobs;
-  s.put_off = admitted.deferred;
-  s.swept = state_writer_.writes().deletions;
+  s.batches_created = admitted.batches;
+  s.batched_jobs = admitted.batched_jobs;
+  s.creations_deferred = admitted.deferred;
+  s.records_deleted = state_writer_.writes().deletions;
   s.admissions_waiting = creation_queue_.waiting_count();
-  s.sheets_live = batches_.index().batch_count();
+  s.live_batches = batches_.index().batch_count();
   if (settings_.tunables.fair_admission > 0)
     s.state_share = budget_share().writes;
-  s.state_asked = store_.recent_demand().writes;
-  s.agreed_age_s = election_.may_act() ? 0 : std::min(1e6, write_shares_.loan_age(out_.now()));
-  s.put_off_by.assign(creation_queue_.deferred_by_class().begin(), creation_queue_.deferred_by_class().end());
-  for (std::size_t c = 0; c < cell_views_.size(); ++c) {
-    const CellView& v = cell_views_[c];
+  s.state_demand = store_.recent_demand().writes;
+  s.loan_age_s = election_.may_act() ? 0 : std::min(1e6, write_shares_.loan_age(out_.now()));
+  s.deferred_by_class.assign(creation_queue_.deferred_by_class().begin(),
+                             creation_queue_.deferred_by_class().end());
+  for (std::size_t c = 0; c < neighbours_.size(); ++c) {
+    const NeighbourState& v = neighbours_[c];
     s.cells.push_back({settings_.cells.neighbours[c].name,
                        static_cast<double>(remote_placements_.count_at(c)),
-                       std::min(1e6, out_.now() - v.heard), v.digest ? v.digest->accepts_cores : 0,
+                       std::min(1e6, out_.now() - v.last_digest_at), v.digest ? v.digest->accepts_cores : 0,
                        v.digest ? v.digest->wait_s : 0});
   }
   return s;
@@ -109,18 +110,19 @@
       "examined, {} state calls ({} held back), {} writes ({} ends, {} roster, {} progress), {} handed on; "
       "now {} "
       "jobs ({} wait for others), {} machines, {} pages",
-      s.reports, s.direct_calls, s.orders, s.deadlines, s.tasks_started, s.preempted, s.reclaimed,
-      s.machines_examined, s.jobs_examined, s.state_calls, s.state_refused, s.state_writes, s.ends_written,
-      s.roster_written, s.progress_written, s.forwarded, s.live_jobs, s.held_jobs, s.machines,
-      s.record_pages);
+      s.heartbeats, s.direct_calls, s.commands_sent, s.deadline_checks, s.tasks_started, s.tasks_preempted,
+      s.tasks_reclaimed, s.machines_examined, s.jobs_examined, s.state_requests, s.state_throttled,
+      s.state_writes, s.final_states_written, s.inventory_written, s.completions_written,
+      s.forwarded_requests, s.live_jobs, s.held_jobs, s.machines, s.record_pages);
   for (const Stats::ClassLoad& l : s.loads) {
     spdlog::debug(
         "{} of {}: {:.0f} cores in use, {:.0f} wait, the longest for {:.0f} s; offered {:.0f}, {:.1f} times "
         "the usual; "
         "{:.3f} served",
-        l.job_class, l.team, l.held, l.waiting, l.oldest_s, l.offered, l.surge, l.served_share);
+        l.job_class, l.team, l.cores_in_use, l.cores_waiting, l.oldest_wait_s, l.arriving_cores, l.surge,
+        l.served_share);
   }
-  for (const auto& [why, cores] : s.reasons)
+  for (const auto& [why, cores] : s.waiting_cores_by_reason)
     spdlog::debug("{:.0f} cores wait for {}", cores, why);
   out_.after(kStatsInterval, [this] { log_stats(); });
 }
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -16,7 +16,7 @@
     if (!c->controller || !c->controller->is_active_leader())
       continue;
     const controller::Stats stats = c->controller->stats();
-    if (stats.moves_begun > stats.moves_done + stats.moves_failed)
+    if (stats.migrations_begun > stats.migrations_done + stats.migrations_failed)
       continue;
     for (const workers::Machine& m : c->controller->workers().machines()) {
       if (m.gone)
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -51,7 +51,7 @@
   return got;
 }
 
-TEST(Turns, SharesAreThoseOfACentralAllocator) {
+TEST(FairQueue, SharesAreThoseOfACentralAllocator) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     pcg32 rng(seed);
     const std::size_t teams = 2 + rng(4);
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(Turns, AFloodLengthensItsOwnLineOnly) {
+TEST(FairQueue, AFloodLengthensItsOwnLineOnly) {
   FairQueue turns({1, 1});
   for (FairQueue::Id id = 1; id <= 1000; ++id)
     turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), id, 1);
@@ -99,7 +99,7 @@
   EXPECT_TRUE(first.contains(2001) && first.contains(2002));
 }
 
-TEST(Turns, TheOldestTryComesFirstInItsClass) {
+TEST(FairQueue, TheOldestTryComesFirstInItsClass) {
   FairQueue turns({1});
   for (FairQueue::Id id = 1; id <= 3; ++id)
     turns.push(jobs::TeamIndex(0), jobs::ClassIndex(0), id, 10 + static_cast<double>(id));
@@ -116,7 +116,7 @@
   EXPECT_EQ(turns.pop(), 3U);
 }
 
-TEST(Turns, APauseSavesNothingUp) {
+TEST(FairQueue, APauseSavesNothingUp) {
   FairQueue turns({1, 1});
   FairQueue::Id id = 0;
   for (int n = 0; n < 500; ++n)
@@ -133,7 +133,7 @@
 
 // ---------------------------------------------------------------- tries
 
-TEST(Tries, AllNodesKnowTheFirstTryWithinAGreeting) {
+TEST(FirstAttempts, AllNodesKnowTheFirstTryWithinAGreeting) {
   pcg32 rng(3);
   std::vector<FirstAttempts> nodes(5);
   std::map<std::string, double> first;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST(Tries, AreForgottenAndBounded) {
+TEST(FirstAttempts, AreForgottenAndBounded) {
   FirstAttempts tries;
   for (int n = 0; n < 50'000; ++n)
     tries.record_deferral("req-" + std::to_string(n), n * 0.001, n * 0.001);
@@ -207,7 +207,7 @@
   std::vector<Node> nodes;
 };
 
-TEST(Shares, NeverMoreThanTheWholeWhoeverFails) {
+TEST(BudgetShares, NeverMoreThanTheWholeWhoeverFails) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     const std::size_t count = seed % 2 == 0 ? 5 : 3;
     Nodes w(seed, count);
@@ -272,7 +272,7 @@
   }
 }
 
-TEST(Shares, WhatADeadNodeHadIsInUseWithinTwoSeconds) {
+TEST(BudgetShares, WhatADeadNodeHadIsInUseWithinTwoSeconds) {
   BudgetShares leader(3);
   leader.begin_leadership(0);
   const double alone = leader.own_share(10, true);
@@ -281,7 +281,7 @@
   EXPECT_NEAR(leader.own_share(12, true), alone, 1e-9);
 }
 
-TEST(Shares, WantsThatExceedWhatThereIsShareIt) {
+TEST(BudgetShares, WantsThatExceedWhatThereIsShareIt) {
   BudgetShares leader(3);
   leader.begin_leadership(0);
   leader.lend(0, 0.8, 10);
@@ -290,7 +290,7 @@
   EXPECT_NEAR(leader.lend(1, 0.4, 12), BudgetShares::kMaxLent / 3, 1e-9);
 }
 
-TEST(Shares, ALateAnswerChangesNothing) {
+TEST(BudgetShares, ALateAnswerChangesNothing) {
   BudgetShares follower(3);
   follower.on_loan(0.3, 10);
   follower.on_loan(0.1, 9);
@@ -308,7 +308,7 @@
 }
 
 // Sheets come and go in any order and share jobs; the index and the leader's account against plain sets.
-TEST(Sheets, IndexAndAccountAgreeWithPlainSets) {
+TEST(JobBatches, IndexAndAccountAgreeWithPlainSets) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 rng(seed);
     BatchIndex index;
@@ -379,7 +379,7 @@
 
 // The leader may know a sheet by one of its jobs alone; when that is over the sheet must stay, since it is
 // all that is left of the others (seed 400310 of the random days).
-TEST(Sheets, OneKnownByOneJobIsNotTakenForEmpty) {
+TEST(JobBatches, OneKnownByOneJobIsNotTakenForEmpty) {
   jobs::JobBatches sheets;
   sheets.add_live_job("j/sheet/a/1/1", jobs::JobIndex(7));
   sheets.on_job_over(jobs::JobIndex(7));
@@ -455,7 +455,7 @@
   std::map<int, std::vector<CreationQueue::Result>> told;
 };
 
-TEST(Intake, OneAloneHasAKeyOfItsOwnAndWhatComesMeanwhileGoesTogether) {
+TEST(CreationQueue, OneAloneHasAKeyOfItsOwnAndWhatComesMeanwhileGoesTogether) {
   Desk d;
   for (int n = 0; n < 10; ++n)
     d.offer(n);
@@ -476,7 +476,7 @@
     EXPECT_EQ(d.told[n][0].batch_key, second[0].body["apply"][0]["put"]);
 }
 
-TEST(Intake, KeepsToTheLimitsOfATransaction) {
+TEST(CreationQueue, KeepsToTheLimitsOfATransaction) {
   Desk d;
   for (int n = 0; n < 25; ++n)
     d.offer(n);
@@ -488,7 +488,7 @@
   EXPECT_GT(Desk::jobs_in(next[0]), 10U);
 }
 
-TEST(Intake, NobodyWaitsForOneThatIsThereAlready) {
+TEST(CreationQueue, NobodyWaitsForOneThatIsThereAlready) {
   Desk d;
   for (int n = 0; n < 6; ++n)
     d.offer(n);
@@ -506,7 +506,7 @@
     EXPECT_EQ(d.told[n][0].outcome, CreationQueue::Outcome::created);
 }
 
-TEST(Intake, ARetryJoinsTheTryThatIsUnderWay) {
+TEST(CreationQueue, ARetryJoinsTheTryThatIsUnderWay) {
   Desk d;
   for (int n = 0; n < 4; ++n)
     d.offer(n);
@@ -521,7 +521,7 @@
   EXPECT_EQ(d.told[3].size(), 2U);
 }
 
-TEST(Intake, OneNodeThatDoesNotKnowSheetsMeansAKeyEach) {
+TEST(CreationQueue, OneNodeThatDoesNotKnowSheetsMeansAKeyEach) {
   Desk d;
   d.together = false;
   for (int n = 0; n < 5; ++n)
@@ -535,7 +535,7 @@
 }
 
 // An upgrade: a peer that keeps to no shares (cub-meterlink-next).
-TEST(Intake, BesideAPeerWithoutSharesEverythingIsAsEver) {
+TEST(CreationQueue, BesideAPeerWithoutSharesEverythingIsAsEver) {
   Desk d;
   d.fixed = true;
   d.together = false;
@@ -552,7 +552,7 @@
   EXPECT_EQ(told, 25U);
 }
 
-TEST(Intake, ASheetCalledMalformedIsMadeSmaller) {
+TEST(CreationQueue, ASheetCalledMalformedIsMadeSmaller) {
   Desk d;
   for (int n = 0; n < 9; ++n)
     d.offer(n);
@@ -564,7 +564,7 @@
   EXPECT_TRUE(d.told[1].empty());
 }
 
-TEST(Intake, AnAnswerThatIsMissingIsToldAsSuch) {
+TEST(CreationQueue, AnAnswerThatIsMissingIsToldAsSuch) {
   Desk d;
   for (int n = 0; n < 4; ++n)
     d.offer(n);
@@ -577,7 +577,7 @@
 
 // A flood of one class at forty times what the budget lets through: the others go at once, what cannot go
 // within a second is told so at once, with its turn, and nothing is answered later than it may be.
-TEST(Intake, AFloodIsPutOffAndTheOthersAreNot) {
+TEST(CreationQueue, AFloodIsPutOffAndTheOthersAreNot) {
   for (const bool together : {true, false}) {
     Desk d(together ? 5 : 35);
     d.together = together;
@@ -621,7 +621,7 @@
   }
 }
 
-TEST(Intake, TheBudgetIsKeptToWhateverComes) {
+TEST(CreationQueue, TheBudgetIsKeptToWhateverComes) {
   Desk d(20);
   d.share = 0.3;
   int sent = 0;
@@ -643,7 +643,7 @@
 // A cancellation that waits for its tasks keeps its asker waiting; the leader that greets meanwhile is not
 // dead, and questions still go to it (a flood of cub-meterlink-fleet: 20,450 answers of 429, since each
 // question became a fresh read).
-TEST(Node, ALeaderThatTakesLongOverOneRequestIsStillAsked) {
+TEST(ControllerTest, ALeaderThatTakesLongOverOneRequestIsStillAsked) {
   spdlog::set_level(spdlog::level::off);
   settings::Settings s;
   s.node = "node-0";
--- a/tests/cells_benchmark.cpp
+++ b/tests/cells_benchmark.cpp
@@ -68,12 +68,12 @@
         continue;
       double held = 0, waiting = 0;
       for (const auto& l : s->loads)
-        held += l.held, waiting += l.waiting;
+        held += l.cores_in_use, waiting += l.cores_waiting;
       std::cout << " | " << held << " cores in use, " << waiting << " wait, " << all[c].startable_here()
                 << " jobs not begun";
       for (const auto& n : s->cells)
-        std::cout << "; " << n.away << " at " << n.name << ", which takes " << n.takes << " after "
-                  << n.wait_s;
+        std::cout << "; " << n.remote_jobs << " at " << n.name << ", which takes " << n.accepts_cores
+                  << " after " << n.wait_s;
     }
     std::cout << "\n";
   }
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -278,7 +278,7 @@
   RemotePlacements stays_;
 };
 
-TEST(Stays, OneHolderAtMostWhateverIsLostLateOrNew) {
+TEST(RemotePlacements, OneHolderAtMostWhateverIsLostLateOrNew) {
   int handed_on = 0, back = 0, done = 0, withdrawn = 0, leaders = 0, old_pages = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -298,7 +298,7 @@
   EXPECT_GT(old_pages, 30);
 }
 
-TEST(Stays, ManyJobsGoWithOneChange) {
+TEST(RemotePlacements, ManyJobsGoWithOneChange) {
   RemotePlacements stays({"south"}, 6000);
   for (int n = 0; n < 200; ++n)
     stays.offload("req-" + std::to_string(100000 + n), 0);
@@ -311,7 +311,7 @@
   EXPECT_EQ(stays.next_questions(0, 500, 100).size(), 200U);
 }
 
-TEST(Stays, APageThatIsFullIsFollowedByAnother) {
+TEST(RemotePlacements, APageThatIsFullIsFollowedByAnother) {
   RemotePlacements stays({"south"}, 400);
   for (int n = 0; n < 100; ++n)
     stays.offload("req-" + std::to_string(100000 + n), 0);
@@ -323,7 +323,7 @@
   EXPECT_GT(keys.size(), 3U);
 }
 
-TEST(Stays, WhatTheStateServiceCallsTooLargeStaysHome) {
+TEST(RemotePlacements, WhatTheStateServiceCallsTooLargeStaysHome) {
   RemotePlacements stays({"south"}, 6000);
   for (int n = 0; n < 100; ++n)
     stays.offload("req-" + std::to_string(100000 + n), 0);
@@ -337,7 +337,7 @@
     EXPECT_LE(page.value().dump().size(), 3000U);
 }
 
-TEST(Stays, ANeighbourThatIsGoneForGoodGivesEverythingBack) {
+TEST(RemotePlacements, ANeighbourThatIsGoneForGoodGivesEverythingBack) {
   RemotePlacements stays({"south"}, 6000);
   stays.offload("req-1", 0);
   (void)stays.next_write(1);
@@ -348,7 +348,7 @@
   EXPECT_EQ(stays.size(), 0U);
 }
 
-TEST(Stays, WhatACellHoldsThatIsNoLongerNamedStaysAway) {
+TEST(RemotePlacements, WhatACellHoldsThatIsNoLongerNamedStaysAway) {
   RemotePlacements stays({"south"}, 6000);
   const wire::Value page{{"cell", "north"}, {"refs", {"req-1", "req-2"}}};
   EXPECT_TRUE(stays.load(
@@ -369,7 +369,7 @@
   return {"red", cores, cores * run_s, 0.2, {true, true}};
 }
 
-TEST(Planner, WhatWouldBeginSoonerElsewhereGoes) {
+TEST(OffloadPlanner, WhatWouldBeginSoonerElsewhereGoes) {
   LocalCapacity here{10, {}, ports::kNever, false};
   std::vector<WaitingJob> waiting(6, job(10, 10));  // each takes 10 s of all that there is
   const auto spills = plan_offloads(here, waiting, {open(1000, 0), open(1000, 0)}, 100).offloads;
@@ -377,7 +377,7 @@
   EXPECT_EQ(spills[0].waiting, 1U);
 }
 
-TEST(Planner, NothingGoesWhereItWouldWaitAsLong) {
+TEST(OffloadPlanner, NothingGoesWhereItWouldWaitAsLong) {
   LocalCapacity here{10, {}, ports::kNever, false};
   std::vector<WaitingJob> waiting(3, job(10, 10));
   EXPECT_TRUE(plan_offloads(here, waiting, {open(1000, 60)}, 100).offloads.empty());
@@ -387,7 +387,7 @@
       << "more is had here as soon";
 }
 
-TEST(Planner, KeepsToWhatIsTakenAndToLimits) {
+TEST(OffloadPlanner, KeepsToWhatIsTakenAndToLimits) {
   LocalCapacity here{1, {}, ports::kNever, false};
   std::vector<WaitingJob> waiting(50, job(10, 10));
   EXPECT_EQ(plan_offloads(here, waiting, {open(95, 0)}, 100).offloads.size(), 10U)
@@ -403,13 +403,13 @@
   EXPECT_TRUE(plan_offloads(here, waiting, {limited}, 100).offloads.empty()) << "it has no such team";
 }
 
-TEST(Planner, ATeamsOwnLimitIsAReasonToo) {
+TEST(OffloadPlanner, ATeamsOwnLimitIsAReasonToo) {
   LocalCapacity here{1000, {{"red", 10}}, 1, false};
   std::vector<WaitingJob> waiting(4, job(10, 20));
   EXPECT_EQ(plan_offloads(here, waiting, {open(1000, 0)}, 100).offloads.size(), 3U);
 }
 
-TEST(Planner, ADrainedCellHandsOnWhatMayGo) {
+TEST(OffloadPlanner, ADrainedCellHandsOnWhatMayGo) {
   LocalCapacity here{1000, {}, 0, true};
   std::vector<WaitingJob> waiting(4, job(10, 20));
   waiting[2].may_offload.clear();
@@ -418,7 +418,7 @@
       << "they wait as well there";
 }
 
-TEST(Planner, TakesWhatIsFreeThenWhatCanBeHad) {
+TEST(OffloadPlanner, TakesWhatIsFreeThenWhatCanBeHad) {
   EXPECT_EQ(acceptable_guest_cores({100, 800, 30, 20, 0, false, false}), 50);
   EXPECT_EQ(acceptable_guest_cores({100, 800, 80, 30, 0, false, false}), 70) << "a tenth of what may be had";
   EXPECT_EQ(acceptable_guest_cores({100, 80000, 400, 30, 2000, false, false}), 7870);
@@ -433,7 +433,7 @@
 
 // Against all ways to divide a few jobs between two cells that serve them one after the other: the sum of the
 // times at which they begin is at most what it is without spilling, and within the margins of the best.
-TEST(Planner, ComesNearTheBestDivision) {
+TEST(OffloadPlanner, ComesNearTheBestDivision) {
   pcg32 rng(7);
   double planned = 0, best_of_all = 0, stay_of_all = 0;
   for (int round = 0; round < 300; ++round) {
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -15,7 +15,7 @@
   return "req-" + std::to_string(n);
 }
 
-class ChainsTest : public ::testing::Test {
+class DependencyGraphTest : public ::testing::Test {
  protected:
   settings::Settings settings;
   JobRegistry registry{settings};
@@ -61,7 +61,7 @@
   using Refs = std::vector<std::string>;
 };
 
-TEST_F(ChainsTest, AJobIsReadyOnceAllItNeedsIsDone) {
+TEST_F(DependencyGraphTest, AJobIsReadyOnceAllItNeedsIsDone) {
   over[ref(1)] = {true, 5};
   add(2, {});
   add(3, {});
@@ -80,7 +80,7 @@
 }
 
 // Unknown is not done: it may be live and not seen yet, or over before this leadership.
-TEST_F(ChainsTest, WhatIsUnknownIsAskedAboutOnceAndHoldsTheJob) {
+TEST_F(DependencyGraphTest, WhatIsUnknownIsAskedAboutOnceAndHoldsTheJob) {
   Job& a = add(2, {1});
   add(3, {1});
   EXPECT_TRUE(a.is_held());
@@ -94,7 +94,7 @@
   EXPECT_EQ(names(chains.take_ready()), (Refs{ref(2), ref(3)}));
 }
 
-TEST_F(ChainsTest, ACancelledJobTakesAllThatNeedItWithIt) {
+TEST_F(DependencyGraphTest, ACancelledJobTakesAllThatNeedItWithIt) {
   add(1, {});
   add(2, {1});
   add(3, {2});
@@ -114,7 +114,7 @@
   EXPECT_TRUE(chains.take_ready().empty());
 }
 
-TEST_F(ChainsTest, UrgencyTravelsUpAndIsTakenBack) {
+TEST_F(DependencyGraphTest, UrgencyTravelsUpAndIsTakenBack) {
   Job& first = add(1, {});
   Job& middle = add(2, {1});
   Job& side = add(3, {1}, wire::Priority::normal);
@@ -136,7 +136,7 @@
   EXPECT_EQ(first.latest_finish, ports::kNever);
 }
 
-TEST_F(ChainsTest, ThousandsInARowOrInAFanCostNoMoreThanTheirNumber) {
+TEST_F(DependencyGraphTest, ThousandsInARowOrInAFanCostNoMoreThanTheirNumber) {
   constexpr int kMany = 5000;
   add(0, {});
   for (int i = 1; i <= kMany; ++i) {
@@ -158,7 +158,7 @@
 }
 
 // Against a plain walk over all jobs, for random graphs and ends in random order.
-TEST_F(ChainsTest, AgreesWithAPlainWalk) {
+TEST_F(DependencyGraphTest, AgreesWithAPlainWalk) {
   pcg32 rng(5);
   std::vector<std::vector<int>> needs;
   std::map<int, int> fate;  // 1 done, 2 cancelled
--- a/tests/final_state_backlog_test.cpp
+++ b/tests/final_state_backlog_test.cpp
@@ -101,19 +101,19 @@
   }
 }
 
-TEST(Backlog, JobsWhoseNeedIsCancelledAreAnswered) {
+TEST(FinalStateBacklog, JobsWhoseNeedIsCancelledAreAnswered) {
   play(Faults::none, 1);
   play(Faults::of_the_incident, 1);
 }
 
-TEST(Backlog, NoJobIsCalledQueuedLongAfterItsNeedIsCancelled) {
+TEST(FinalStateBacklog, NoJobIsCalledQueuedLongAfterItsNeedIsCancelled) {
   play(Faults::leader_ends, 2);
 }
 
 // Users repeat cancellations that are late to be recorded. As long as their leader can be reached, that costs
 // the state service nothing: with a mark written for each, the backlog that made them late fed itself (some
 // seven marks a second in the incident, of thirty changes).
-TEST(Backlog, RepeatedCancellationsOfALateLeaderCostNoChanges) {
+TEST(FinalStateBacklog, RepeatedCancellationsOfALateLeaderCostNoChanges) {
   BacklogDay day(1, Faults::none);
   day.world.step(kUntil);
   EXPECT_GT(day.most_unrecorded(), kManyEnds) << "there was no backlog";
@@ -123,7 +123,7 @@
 }
 
 // A job that nobody answers about counts as forgotten amid faults too, if others are answered.
-TEST(Backlog, TheCheckOfForgottenJobsCanFail) {
+TEST(FinalStateBacklog, TheCheckOfForgottenJobsCanFail) {
   SimulationPlan plan = deployed(3, 6);
   plan.planted_fault = "one_unanswered";
   Day day(plan);
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -22,7 +22,7 @@
   return j;
 }
 
-TEST(Progress, ABigJobsRecordsStayBelowTheValueLimitAndReadBackTheSame) {
+TEST(CompletionCodec, ABigJobsRecordsStayBelowTheValueLimitAndReadBackTheSame) {
   const jobs::CompletionCodec codec(8);
   jobs::Job job = big_job(wire::kMaxTasks);
   for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
@@ -39,7 +39,7 @@
     EXPECT_EQ(back[i], job.tasks[i].state == jobs::TaskState::done);
 }
 
-TEST(Progress, RecordsThatMakeNoSenseAreRefused) {
+TEST(CompletionCodec, RecordsThatMakeNoSenseAreRefused) {
   const jobs::CompletionCodec codec(8);
   const auto none = [](std::uint32_t) {
     FAIL();
@@ -49,7 +49,7 @@
   EXPECT_FALSE(codec.decode({{"bits", "0"}}, 6, none));
 }
 
-TEST(Budget, ALeasePassesWhenEverybodyElseWaits) {
+TEST(TokenBucket, ALeasePassesWhenEverybodyElseWaits) {
   ports::Outbox out;
   settings::Settings s;
   s.state_requests_per_s = 10;
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -122,9 +122,9 @@
     ADD_FAILURE() << b;
 }
 
-class Floods : public testing::TestWithParam<int> {};
+class Overloads : public testing::TestWithParam<int> {};
 
-TEST_P(Floods, LeaveTheOthersAlone) {
+TEST_P(Overloads, LeaveTheOthersAlone) {
   const auto trouble = static_cast<Trouble>(GetParam());
   Tally tally;
   for (const std::size_t nodes : {3U, 5U}) {
@@ -140,14 +140,14 @@
   EXPECT_GE(tally.calm_in_time / tally.calm, trouble == Trouble::older ? 0.3 : served ? 0.95 : 0.7);
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
-INSTANTIATE_TEST_SUITE_P(Each, Floods, testing::Range(0, static_cast<int>(Trouble::count)),
+INSTANTIATE_TEST_SUITE_P(Each, Overloads, testing::Range(0, static_cast<int>(Trouble::count)),
                          [](const auto& i) {
                            std::string name = kTroubles[i.param];
                            std::replace(name.begin(), name.end(), ' ', '_');
                            return name;
                          });
 
-TEST(Flood, OfEverybodyAtOnce) {
+TEST(Overload, OfEverybodyAtOnce) {
   Tally tally;
   for (const std::uint64_t seed : {1U, 2U})
     play(seed, {3, 40, Trouble::none, true}, tally);
@@ -155,7 +155,7 @@
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
 
-TEST(Flood, OfOneUserWhoCancelsAndSubmitsAgain) {
+TEST(Overload, OfOneUserWhoCancelsAndSubmitsAgain) {
   Tally tally;
   for (const std::uint64_t seed : {2U, 3U, 4U}) {
     play(seed, {3, 10, Trouble::none, false, true}, tally);
@@ -167,7 +167,7 @@
 
 // Sheets are written, jobs on them live through leaders that end, and with admission switched off on all
 // nodes the records move back to keys of their own, so that a version without sheets would find them.
-TEST(Flood, TheWayBackLeavesNoSheet) {
+TEST(Overload, TheWayBackLeavesNoSheet) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     hush();
     SimulationPlan plan = scripted(seed, 40);  // so many that nothing has to give way
@@ -208,7 +208,7 @@
 }
 
 // A leader elected after jobs of a sheet were over starts none of them again.
-TEST(Flood, WhatIsOverStaysOverUnderEveryLeader) {
+TEST(Overload, WhatIsOverStaysOverUnderEveryLeader) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     hush();
     SimulationPlan plan = scripted(seed, 16);
@@ -238,7 +238,7 @@
 
 // A job that needs a cancelled one, and an outage right after it came, in which no leader can record that:
 // nobody calls it queued when it is over (seed 100005 of the random days).
-TEST(Flood, AnOrphanIsNotCalledQueuedAfterALongOutage) {
+TEST(Overload, AnOrphanIsNotCalledQueuedAfterALongOutage) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
     hush();
     SimulationPlan plan = scripted(seed, 6);
@@ -267,7 +267,7 @@
 // Ends are recorded while the state service is slow: the leader hears of it late, and others, which cannot
 // reach it, have read and told the end by then. What the leader calls live meanwhile would be an older answer
 // (loss day of cub-meterlink-fleet: cancelled, then queued).
-TEST(Flood, AnEndOnItsWayIsNotCalledLive) {
+TEST(Overload, AnEndOnItsWayIsNotCalledLive) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     hush();
     SimulationPlan plan = scripted(seed, 16);
--- a/tests/process_limits_test.cpp
+++ b/tests/process_limits_test.cpp
@@ -160,7 +160,7 @@
   return callers;
 }
 
-TEST(Bounds, AllWorkersAndUsersAtOneNode) {
+TEST(ProcessLimits, AllWorkersAndUsersAtOneNode) {
   rlimit files{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &files), 0);
   files.rlim_cur = files.rlim_max;
--- a/tests/record_pages_test.cpp
+++ b/tests/record_pages_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // A state service that keeps what it is given, and a state_writer that leads.
-class RecordsTest : public ::testing::Test {
+class RecordPagesTest : public ::testing::Test {
  protected:
   std::map<std::string, wire::Value> stored;
   std::size_t largest = 0, most_changes = 0;
@@ -225,7 +225,7 @@
 
 // A chunk of the former layout is several of ours; each part must stay recorded when its page is rewritten,
 // and a crash in the middle must lose nothing.
-TEST_F(RecordsTest, LargeArraysOfTheFormerLayoutSurviveTheSmallerLimits) {
+TEST_F(RecordPagesTest, LargeArraysOfTheFormerLayoutSurviveTheSmallerLimits) {
   constexpr std::uint32_t kTasks = 100'000, kChunk = 4096 * 6;
   std::set<std::uint32_t> done;
   for (std::uint32_t i = 0; i < kTasks; ++i) {
@@ -274,7 +274,7 @@
 }
 
 // And back: the reader of the former layout finds all that was written under the smaller limits.
-TEST_F(RecordsTest, WhatIsWrittenUnderSmallerLimitsReadsUnderLargerOnes) {
+TEST_F(RecordPagesTest, WhatIsWrittenUnderSmallerLimitsReadsUnderLargerOnes) {
   Leader small(2, 4);
   Job& job = small.job("req-1", 100'000);
   for (std::uint32_t i = 0; i < 100'000; i += 3) {
@@ -295,7 +295,7 @@
   EXPECT_GE(former_reads("req-1").size(), job.done_tasks);
 }
 
-TEST_F(RecordsTest, ARosterOfTheFormerLayoutIsDividedAndNoMachineIsLost) {
+TEST_F(RecordPagesTest, ARosterOfTheFormerLayoutIsDividedAndNoMachineIsLost) {
   std::map<std::string, wire::Value> former;
   std::set<std::string> all;
   for (int page = 0; page < 6; ++page) {
@@ -333,7 +333,7 @@
 }
 
 // A limit that the settings do not tell of: the page that is refused is made smaller, the others go on.
-TEST_F(RecordsTest, WhatTheStateServiceRefusesIsDividedFurther) {
+TEST_F(RecordPagesTest, WhatTheStateServiceRefusesIsDividedFurther) {
   refuse_above = 700;
   Leader leader(8, 12);
   for (int i = 0; i < 60; ++i)
@@ -348,7 +348,7 @@
 // A transaction without an answer that is carried out after newer ones of the same leader (LATER.md of the
 // hunt): it took the machines that had joined since out of the roster, so the next leader did not know to ask
 // them, and completed tasks that had been reaped since out of the progress.
-TEST_F(RecordsTest, AnOlderPageNeverStandsForANewerOne) {
+TEST_F(RecordPagesTest, AnOlderPageNeverStandsForANewerOne) {
   for (const bool at_once : {false, true}) {
     SCOPED_TRACE(at_once ? "carried out at once, only its answer lost" : "carried out late");
     stored.clear(), versions.clear(), late.clear();
@@ -398,7 +398,7 @@
 }
 
 // The same of progress alone: with a page of the roster in the same transaction, that one's version would do.
-TEST_F(RecordsTest, OlderProgressNeverStandsForNewer) {
+TEST_F(RecordPagesTest, OlderProgressNeverStandsForNewer) {
   Leader leader(8, 12);
   Job& job = leader.job("req-1", 40);
   const auto complete = [&](std::uint32_t task) {
@@ -419,7 +419,7 @@
   EXPECT_EQ(former_reads("req-1"), (std::set<std::uint32_t>{3, 4, 5}));
 }
 
-TEST_F(RecordsTest, EndsTellTheTimeAndFormerOnesAreRead) {
+TEST_F(RecordPagesTest, EndsTellTheTimeAndFormerOnesAreRead) {
   const auto ended = wire::parse_final_state({{"phase", "done"}, {"tasks", 3}});
   ASSERT_TRUE(ended);
   EXPECT_FALSE(ended->ended_at);
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -152,7 +152,7 @@
     EXPECT_TRUE(world.is_done("req-2"));
     EXPECT_TRUE(world.run_report().broken_rules.empty());
     const auto stats = world.leader_stats();
-    return stats ? stats->reclaimed : 999;
+    return stats ? stats->tasks_reclaimed : 999;
   };
   EXPECT_EQ(reclaimed(600), 0U);
   EXPECT_GT(reclaimed(20), 0U);
@@ -248,7 +248,7 @@
     const auto per = [](std::uint64_t a, std::uint64_t b) {
       return static_cast<double>(a) / std::max(1.0, static_cast<double>(b));
     };
-    const std::uint64_t ended = s->completed + s->cancelled - before->completed - before->cancelled;
+    const std::uint64_t ended = s->jobs_done + s->jobs_cancelled - before->jobs_done - before->jobs_cancelled;
     return Cost{per(s->machines_examined, s->tasks_started), per(s->jobs_examined, s->tasks_started),
                 per(s->state_writes - before->state_writes, ended)};
   };
@@ -283,7 +283,7 @@
 // A fleet full of arrays with more waiting; then services whose images others of their kind use already. All
 // machines with those images once were full of services, so every new one fetched (busy day of
 // roamkvitto-core-fleet).
-TEST(Spread, ServicesStartWithoutAFetchOnAFullFleet) {
+TEST(LoadBalancing, ServicesStartWithoutAFetchOnAFullFleet) {
   spdlog::set_level(spdlog::level::off);
   const auto late = [](std::uint64_t seed, bool on) {
     SimulatedCluster world(spread_out(seed, 60, on));
@@ -316,7 +316,7 @@
 
 // Machines at a quarter of their speed beside sound ones: what has long to run there moves, whatever fails
 // meanwhile, and nothing is ever in two places (the world checks every start).
-TEST(Spread, WorkLeavesSlowMachinesUnderCrashesCutsAndCancellations) {
+TEST(LoadBalancing, WorkLeavesSlowMachinesUnderCrashesCutsAndCancellations) {
   spdlog::set_level(spdlog::level::off);
   std::uint64_t moved = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -338,7 +338,7 @@
     world.slow_machines(8, 4);
     wave(200);
     const auto stats = world.leader_stats();
-    moved += stats ? stats->moves_done : 0;
+    moved += stats ? stats->migrations_done : 0;
     // Amid the moves: the leader crashes, a zone is cut off, machines die, the state service is down.
     if (seed % 4 == 0)
       world.crash(world.leader().value_or(0));
@@ -359,7 +359,7 @@
 
 // One team sends eight times its usual load while machines die and all controllers crash in the middle of it:
 // the other team's share served never falls below a half.
-TEST(Spread, ASwarmingTeamStarvesNobody) {
+TEST(LoadBalancing, ASwarmingTeamStarvesNobody) {
   spdlog::set_level(spdlog::level::off);
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     SimulatedCluster world(spread_out(seed, 100));
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -60,7 +60,7 @@
   Answers submissions_, questions_;
 };
 
-TEST(StateBudget, QuestionsAreAskedBesideSubmissionsThatNeverEnd) {
+TEST(StateClientBudget, QuestionsAreAskedBesideSubmissionsThatNeverEnd) {
   for (const bool shared : {true, false}) {
     SCOPED_TRACE(shared ? "the budget is shared" : "each node has a fixed part");
     BusyClient client(shared);
@@ -73,7 +73,7 @@
 }
 
 // What is kept for questions is nobody's loss while none come.
-TEST(StateBudget, SubmissionsHaveAllOfItWhileNobodyAsks) {
+TEST(StateClientBudget, SubmissionsHaveAllOfItWhileNobodyAsks) {
   for (const bool shared : {true, false}) {
     BusyClient client(shared);
     client.play(200, 0);
@@ -83,7 +83,7 @@
 }
 
 // Nor do they take more than that from submissions.
-TEST(StateBudget, QuestionsLeaveSubmissionsTheirPart) {
+TEST(StateClientBudget, QuestionsLeaveSubmissionsTheirPart) {
   for (const bool shared : {true, false}) {
     BusyClient client(shared);
     client.play(200, 200);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -100,7 +100,7 @@
   EXPECT_GT(parsed, 100);
 }
 
-TEST(Report, ReadsEveryStateAndRefusesMalformedTasks) {
+TEST(HeartbeatParsing, ReadsEveryStateAndRefusesMalformedTasks) {
   Value v{{"host", "i-1"},
           {"addr", "10.0.0.1:9"},
           {"flavour", "g8"},
--- a/tests/zone_tracker_test.cpp
+++ b/tests/zone_tracker_test.cpp
@@ -22,7 +22,7 @@
   return z;
 }
 
-TEST(Zones, GoesThroughAllStates) {
+TEST(ZoneTrackerTest, GoesThroughAllStates) {
   ZoneTracker z = zone_contacted_at(100, 200);
   EXPECT_EQ(z.state(0, 100.2), ZoneState::healthy);
   EXPECT_EQ(z.state(0, 100.5), ZoneState::unresponsive);
@@ -42,7 +42,7 @@
   EXPECT_FALSE(z.any_unstable(171.1));
 }
 
-TEST(Zones, WithoutLossTrackingAZoneWhoseLeasesExpiredIsHealthy) {
+TEST(ZoneTrackerTest, WithoutLossTrackingAZoneWhoseLeasesExpiredIsHealthy) {
   ZoneTracker z = zone_contacted_at(100, 200, false);
   z.on_lease_expired(0, 128);
   EXPECT_EQ(z.state(0, 128), ZoneState::unreachable);
@@ -51,13 +51,13 @@
   EXPECT_FALSE(z.any_unstable(130));
 }
 
-TEST(Zones, ExpiredLeaseInAReachableZoneDoesNotLoseTheZone) {
+TEST(ZoneTrackerTest, ExpiredLeaseInAReachableZoneDoesNotLoseTheZone) {
   ZoneTracker z = zone_contacted_at(100, 200);
   z.on_lease_expired(0, 100.1);
   EXPECT_EQ(z.state(0, 100.2), ZoneState::healthy);
 }
 
-TEST(Zones, LostZoneWithoutMachinesNeedsAProbeMachine) {
+TEST(ZoneTrackerTest, LostZoneWithoutMachinesNeedsAProbeMachine) {
   ZoneTracker z = zone_contacted_at(100, 2);
   z.on_lease_expired(0, 300);
   EXPECT_TRUE(z.is_lost(0));
@@ -71,7 +71,7 @@
 }
 
 // Each recovery without a stable time before it takes twice as long, up to a lease.
-TEST(Zones, FlappingZoneRecoversForLongerEachTime) {
+TEST(ZoneTrackerTest, FlappingZoneRecoversForLongerEachTime) {
   ZoneTracker z = zone_contacted_at(0, 200);
   double t = 10, last = 0;
   for (int flap = 1; flap <= 6; ++flap) {
@@ -95,7 +95,7 @@
 }
 
 // The states as they follow from the history of contacts alone.
-TEST(Zones, AgreesWithAPlainModel) {
+TEST(ZoneTrackerTest, AgreesWithAPlainModel) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     pcg32 rng(seed);
     const auto between = [&rng](double a, double b) {
@@ -142,7 +142,7 @@
   }
 }
 
-TEST(Zones, ServicesWithoutReplicasRankFirst) {
+TEST(ZoneTrackerTest, ServicesWithoutReplicasRankFirst) {
   EXPECT_EQ(replica_loss_rank(4, 0), 0);
   EXPECT_EQ(replica_loss_rank(4, 1), 1);
   EXPECT_EQ(replica_loss_rank(4, 2), 2);
