--- a/model/check.sh
+++ b/model/check.sh
@@ -2,7 +2,7 @@
 # Checks the model whole, and without each of its guards, which must fail. Usage: model/check.sh [WORK_DIR]
 # LAST sets where time ends; the default takes a minute or two on eight cores and some 2 GB.
 set -euo pipefail
-model=$(cd "$(dirname "$0")" && pwd)/custody.pml
+model=$(cd "$(dirname "$0")" && pwd)/lease_delegation.pml
 work=${1:-$(mktemp -d)}
 guards=(NO_VOID NO_WORD NO_FENCE NO_SETTLING FORGET_DOUBT GRANT_FROM_ARRIVAL NO_RESTARTS_SEEN NO_HELD TELL_AT_ONCE
   AUTHORITY_OUTLASTS)
