--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -309,7 +309,7 @@
   void on_offer(const std::shared_ptr<CellReply>& reply, std::size_t i, const std::string& from);
   bool accepts_offer(const wire::JobSpec& spec, const std::string& from);
   void create_offered_job(const std::shared_ptr<CellReply>& reply, std::size_t i, const wire::JobSpec& spec,
-                          wire::Value record, const std::string& from);
+                          const wire::Value& record, const std::string& from);
   void on_recall(const std::shared_ptr<CellReply>& reply, std::size_t i, const std::string& from);
   void put_tombstone(const std::string& ref);
   void write_tombstone(const std::string& ref);
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -191,7 +191,7 @@
   kept[jobs::kOriginCellField] = from;
   if (kept.dump().size() > settings_.value_bytes())
     return reply->say(i, JobVerb::never);
-  create_offered_job(reply, i, *spec, std::move(kept), from);
+  create_offered_job(reply, i, *spec, kept, from);
 }
 
 bool Controller::accepts_offer(const wire::JobSpec& spec, const std::string& from) {
@@ -210,7 +210,8 @@
 }
 
 void Controller::create_offered_job(const std::shared_ptr<CellReply>& reply, std::size_t i,
-                                    const wire::JobSpec& spec, wire::Value record, const std::string& from) {
+                                    const wire::JobSpec& spec, const wire::Value& record,
+                                    const std::string& from) {
   guest_capacity_.guests_waiting += spec.tasks * spec.task_resources.cpus;  // until they are counted again
   reply->say(i, JobVerb::none);
   wire::JobSpec queued_as = spec;
