--- a/src/jobs/inventory_pages.cpp
+++ b/src/jobs/inventory_pages.cpp
@@ -161,7 +161,7 @@
 int InventoryPages::due_count(Seconds now) const {
   const auto& due = pages_.due_pages();
   return static_cast<int>(std::count_if(due.begin(), due.end(), [this, now](std::size_t page) {
-    return pages_.is_writable(page) && due_at(page) <= now;
+    return pages_[page].urgency >= PageUrgency::soon && pages_.is_writable(page) && due_at(page) <= now;
   }));
 }
 
--- a/src/jobs/inventory_pages.hpp
+++ b/src/jobs/inventory_pages.hpp
@@ -57,7 +57,7 @@
   /// False if the machine is in no page.
   bool remove(MachineIndex machine, Seconds now);
 
-  /// How many pages may be written now.
+  /// How many pages have a share of the changes now. Opportunistic ones have none: they take what is left.
   int due_count(Seconds now) const;
   /// When the next page may be written; kNever: none waits.
   Seconds next_due_at() const;
--- a/tests/final_state_queue_test.cpp
+++ b/tests/final_state_queue_test.cpp
@@ -93,6 +93,39 @@
   EXPECT_FALSE(next.load("r/x", pages.encode(0), 5, 0, {}));
 }
 
+TEST(InventoryPagesTest, APageThatOnlyALaterLeaderNeedsHasNoShareOfTheChanges) {
+  InventoryPages pages(kLimits);
+  pages.set_record_source(record_of);
+  pages.add(MachineIndex(7), 0);
+  wire::Transaction transaction;
+  TransactionSpace space{4, 0};
+  const auto first = pages.add_due(transaction, space, PageUrgency::soon, 0);
+  ASSERT_EQ(first.size(), 1U);
+  pages.on_written(first[0], 5);
+
+  ASSERT_TRUE(pages.refresh(MachineIndex(7), 0));
+  const Seconds due_at = pages.next_due_at();
+  ASSERT_EQ(due_at, InventoryPages::kRefreshDelay);
+  EXPECT_EQ(pages.due_count(due_at), 0);
+  EXPECT_TRUE(pages.add_due(transaction, space, PageUrgency::soon, due_at).empty());
+  EXPECT_EQ(pages.add_due(transaction, space, PageUrgency::opportunistic, due_at).size(), 1U);
+}
+
+TEST(InventoryPagesTest, APageWithoutAMachineThatIsGoneHasAShareOfTheChanges) {
+  InventoryPages pages(kLimits);
+  pages.set_record_source(record_of);
+  pages.add(MachineIndex(7), 0);
+  wire::Transaction transaction;
+  TransactionSpace space{4, 0};
+  const auto first = pages.add_due(transaction, space, PageUrgency::soon, 0);
+  ASSERT_EQ(first.size(), 1U);
+  pages.on_written(first[0], 5);
+
+  ASSERT_TRUE(pages.remove(MachineIndex(7), 0));
+  EXPECT_EQ(pages.due_count(0), 0);
+  EXPECT_EQ(pages.due_count(InventoryPages::kRemovalDelay), 1);
+}
+
 TEST(CompletionPagesTest, WhatALostWriteCoveredIsCoveredByTheNextOne) {
   const settings::Settings settings = settings_with_one_team();
   JobRegistry registry(settings);
--- a/tests/state_writer_backlog_test.cpp
+++ b/tests/state_writer_backlog_test.cpp
@@ -215,6 +215,22 @@
   EXPECT_LE(writer.most_changes(), static_cast<std::size_t>(transaction_changes));
 }
 
+// How many ends of completed jobs the transactions of a stream hold, beside a machine in the inventory.
+std::size_t final_states_beside_a_machine(bool machine_changes, int transaction_changes) {
+  const jobs::MachineIndex machine(5);
+  BusyStateWriter writer(transaction_changes);
+  writer.state_writer().add_machine(machine);
+  play_stream(writer, kCompleted, transaction_changes, kWarmup);
+  EXPECT_TRUE(writer.recorded_machine(machine));
+  if (machine_changes)
+    writer.state_writer().refresh_machine(machine);
+  // Each transaction takes 0.02 s at the least, so the page of the changed machine comes due meanwhile.
+  constexpr int kUntilTheRefreshIsDue = static_cast<int>(InventoryPages::kRefreshDelay / 0.02);
+  play_stream(writer, kCompleted, transaction_changes, kUntilTheRefreshIsDue + kWarmup);
+  EXPECT_GT(writer.waiting(), static_cast<std::size_t>(kWarmup)) << "there is no backlog";
+  return writer.recorded_final_states();
+}
+
 // Users who cancel hear in the order in which they asked, however many come after them.
 void expect_oldest_first(const Produce& produce, int transaction_changes) {
   BusyStateWriter writer(transaction_changes);
@@ -251,5 +267,15 @@
   }
 }
 
+// The page of a machine whose record has changed saves a later leader some fetches, and no more than that;
+// users wait for final states.
+TEST(StateWriterBacklog, APageThatOnlyALaterLeaderNeedsTakesNoChangeFromFinalStates) {
+  for (const int transaction_changes : {12, 4, 3}) {
+    SCOPED_TRACE(::testing::Message() << transaction_changes << " changes a transaction");
+    EXPECT_EQ(final_states_beside_a_machine(true, transaction_changes),
+              final_states_beside_a_machine(false, transaction_changes));
+  }
+}
+
 }  // namespace
 }  // namespace wingtrail::jobs
