--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -8,10 +8,12 @@
 
 namespace wingtrail::controller {
 namespace {
-// A process that the state service does not answer need not wait for an election. If all processes restart
-// every second amid an outage, each has less than a second to answer the workers that come to it.
-constexpr Seconds kNoElectionExpected = 0.3;
-constexpr double kLeasesOfOldVersions = 2;  // how long a delegation of versions that do not say so lasts
+// How long after its start a process leaves heartbeats to a leader while the state service does not reply,
+// when no election is possible. If all processes restart every second during an outage, each has less than a
+// second to renew the leases of the workers that reach it.
+constexpr Seconds kStartWaitWithoutStateService = 0.3;
+// Duration of a delegation, in worker leases, for protocol levels whose frames do not state it.
+constexpr double kUnstatedDelegationLeases = 2;
 constexpr Seconds kElectionMargin = 0.5;
 }  // namespace
 
@@ -53,8 +55,6 @@
   frame.strict_cancellation_token = strict_cancellation_token_;
 }
 
-// ---------------------------------------------------------------- peers
-
 void DelegatedRenewal::on_frame(const peer::Frame& frame) {
   delegate_.observe_leadership(std::max(election_.leader_fencing_token(), frame.newest_fencing_token));
   strict_cancellation_token_ = std::max(strict_cancellation_token_, frame.strict_cancellation_token);
@@ -76,7 +76,7 @@
   }
 }
 
-// The leader grants before it has read its jobs, too: it answers no worker itself until then.
+// The leader also grants while it is still loading its records, because it answers no heartbeats until then.
 DelegatedRenewal::Permission DelegatedRenewal::permission(const peer::Frame& greeting) const {
   Permission permission;
   permission.grant = election_.may_act() && support_.all_cancellations_strict() && support_.enabled();
@@ -84,7 +84,8 @@
   return permission;
 }
 
-// What is agreed to by a leader past its lease must be reckoned with if a renewal gets through after all.
+// A leader whose lease has expired records its agreement like a grant, because a later renewal of the lease
+// may still succeed.
 void DelegatedRenewal::on_permitted(std::size_t peer, Permission permission) {
   if (permission.grant || (permission.agreement && election_.holds_leadership()))
     ledger_.on_granted(peer, out_.now());
@@ -98,38 +99,37 @@
     reply.agreement_token = static_cast<std::int64_t>(delegate_.newest_token());
 }
 
-// How long the sender of the frame lets its grant, or its agreement, last.
+// Returns how long the grant or the agreement in the frame lasts.
 Seconds DelegatedRenewal::duration_granted_by(const peer::Frame& frame) const {
   return frame.level >= peer::kLevelPeerAgreement
              ? frame.delegation_s
-             : std::min(support_.duration_s(), kLeasesOfOldVersions * settings_.worker_lease_s);
+             : std::min(support_.duration_s(), kUnstatedDelegationLeases * settings_.worker_lease_s);
 }
 
-// How long a grant or an agreement of this controller lasts: no longer than any controller, being elected,
-// would reckon with.
+// Returns how long a grant or an agreement of this controller lasts: the shortest maximum of all controllers,
+// because whichever of them is elected next waits only for its own maximum.
 Seconds DelegatedRenewal::permitted_duration_s() const {
-  Seconds least = support_.duration_s();
+  Seconds shortest = support_.duration_s();
   for (const PeerState& peer : peers_.all()) {
     const bool states_duration = peer.level.value_or(peer::kLevelPeerAgreement) >= peer::kLevelPeerAgreement;
-    least = std::min(least, states_duration ? peer.max_delegation_s.value_or(least)
-                                            : kLeasesOfOldVersions * settings_.worker_lease_s);
+    shortest = std::min(shortest, states_duration ? peer.max_delegation_s.value_or(shortest)
+                                                  : kUnstatedDelegationLeases * settings_.worker_lease_s);
   }
-  return least;
+  return shortest;
 }
 
-// Whether this controller may agree that nobody sends commands now. A leader past its lease agrees for as
-// long as it stays so, and records that.
+// Whether this controller may agree to delegated renewal because it must not send commands now. A leader
+// whose lease has expired may agree as well; on_permitted() records that.
 bool DelegatedRenewal::may_agree() const {
   return settings_.tunables.peer_agreement && support_.enabled() && !election_.may_act() &&
          support_.all_support();
 }
 
-// ---------------------------------------------------------------- workers
-
 std::optional<wire::Value> DelegatedRenewal::answer_heartbeat(const std::string& bytes) {
   observe_leadership();
   wire::Result<wire::Heartbeat> heartbeat = wire::malformed("");
-  // Where the state service cannot be read, what any worker shows is kept, whether it can be answered or not.
+  // Without the state service only the attempt numbers in heartbeats show whether cancellations were
+  // confirmed strictly. They are recorded even if this heartbeat is not answered.
   if (settings_.tunables.peer_agreement && !store_.healthy()) {
     heartbeat = wire::parse_heartbeat(bytes);
     if (!heartbeat)
@@ -146,7 +146,7 @@
     return std::nullopt;
   }
   if (out_.now() >= delegate_.delegated_until())
-    return std::nullopt;  // without parsing the heartbeat in vain
+    return std::nullopt;  // checked first to save the parsing
   if (!heartbeat)
     heartbeat = wire::parse_heartbeat(bytes);
   if (!heartbeat)
@@ -157,8 +157,9 @@
 }
 
 std::optional<wire::Value> DelegatedRenewal::renew(const wire::Heartbeat& heartbeat) {
-  // A leader that confirmed cancellations early may have confirmed one whose task is on this very worker.
-  // That none has since this worker heard of a leader is known from before, or from what workers show.
+  // A leader without strict cancellation may have confirmed a cancellation while the task still runs on this
+  // worker. The support record, or the attempt numbers of workers, can prove that no leader since the
+  // worker's newest token did so.
   const bool strict =
       support_.all_cancellations_strict() ||
       (strict_cancellation_token_ > 0 && heartbeat.fencing_token <= strict_cancellation_token_);
@@ -173,20 +174,23 @@
       delegate_.on_renewal(out_.now());
     return reply;
   }
-  // A worker without tasks has nothing to lose, and finds the leader sooner if it goes on looking.
+  // A worker without tasks loses nothing if its lease expires, and finds the leader sooner if its heartbeats
+  // are redirected.
   if (heartbeat.tasks.empty())
     return std::nullopt;
   delegate_.on_renewal(out_.now());
   return wire::heartbeat_reply(*token, {});
 }
 
-// Whether workers should find the leader instead, or a leader may yet be elected.
+// Whether heartbeats should be redirected rather than answered here, because a leader answers them or may be
+// elected soon after the start of this process.
 bool DelegatedRenewal::waits_for_leader() const {
   return leader_answers_heartbeats() ||
-         out_.now() - started_at_ < (store_.healthy() ? leaderless_after_s() : kNoElectionExpected);
+         out_.now() - started_at_ < (store_.healthy() ? leaderless_after_s() : kStartWaitWithoutStateService);
 }
 
-// After a crash of the leader another one is elected within the leader's lease.
+// Returns the time without a leader after which none is expected: after a crash of the leader another one is
+// elected within one leader lease.
 Seconds DelegatedRenewal::leaderless_after_s() const {
   return settings_.tunables.leader_lease_s + kElectionMargin;
 }
--- a/src/controller/delegated_renewal.hpp
+++ b/src/controller/delegated_renewal.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// This controller's part in delegated lease renewal: what it grants and agrees to, and the heartbeats that
-/// it answers without being the acting leader.
+/// Delegated lease renewal in this controller: the grants and agreements that it gives to peers, and the
+/// heartbeats that it answers without being the acting leader.
 #pragma once
 
 #include <cstdint>
@@ -15,61 +15,60 @@
 
 namespace wingtrail::controller {
 
-/// Applies the rules of delegation::LeaseDelegate and delegation::DelegationLedger to what is heard of peers
-/// and workers. docs/safety.md argues why each rule holds.
+/// Applies the rules of delegation::LeaseDelegate and delegation::DelegationLedger to the frames of peers and
+/// the heartbeats of workers. docs/safety.md gives the proof of each rule.
 class DelegatedRenewal {
  public:
-  /// What is asked of the rest of the controller.
   struct Callbacks {
-    std::function<bool()> loaded;  ///< the leader has read its jobs and machines
-    /// Takes in a heartbeat as the leader, and returns the reply without commands.
+    std::function<bool()> loaded;  ///< whether this controller, as the leader, has read its jobs and machines
+    /// Handles a heartbeat as the leader and returns the reply, without commands.
     std::function<std::optional<wire::Value>(const wire::Heartbeat&)> handle_heartbeat;
   };
-  /// What a reply to a peer's greeting permits the peer.
+  /// The permission to renew leases that the reply to a peer's status frame gives.
   struct Permission {
-    bool grant = false;      ///< as the acting leader
-    bool agreement = false;  ///< as a controller that must not send commands
+    bool grant = false;      ///< this controller grants it as the acting leader
+    bool agreement = false;  ///< this controller agrees, since it must not send commands
   };
   struct Counts {
     std::uint64_t renewals = 0;  ///< heartbeats answered without being the acting leader
     std::uint64_t grants = 0;
   };
 
-  /// The references must outlive this object.
+  /// The referenced objects must outlive this object.
   DelegatedRenewal(const ports::Outbox& out, const store::StateClient& store,
                    const leadership::LeaderElection& election, const PeerDirectory& peers,
                    const DelegationSupport& support, const settings::Settings& settings, Callbacks callbacks);
 
-  /// To be called once, when the process begins.
+  /// Must be called once, when the process starts.
   void start();
-  /// A leadership of this controller begins.
+  /// Resets the ledger at the beginning of a leadership of this controller.
   void begin_leadership();
   /// See delegation::DelegationLedger::assume_earlier_delegations.
   void assume_earlier_delegations(Seconds duration_s);
-  /// Takes note of the newest leadership that the election knows of.
+  /// Records the newest leadership that the election knows of.
   void observe_leadership();
 
-  /// Fills in what a frame to a peer says of delegated renewal.
+  /// Sets the fields of a frame to a peer that concern delegated renewal.
   void describe(peer::Frame& frame) const;
-  /// Until when this controller may renew leases without being the acting leader.
+  /// Returns the time until which this controller may renew leases without being the acting leader.
   Seconds delegated_until() const {
     return delegate_.delegated_until();
   }
 
-  /// A frame of a peer has come; the peer directory and the election have it already.
+  /// Handles a frame of a peer, after the peer directory and the election have handled it.
   void on_frame(const peer::Frame& frame);
-  /// The peer has replied to a greeting that was sent at `sent`.
+  /// Handles the peer's reply to a status frame that was sent at `sent`.
   void on_greeting_reply(std::size_t peer, const peer::Frame& reply, Seconds sent);
-  /// What the reply to a peer's greeting may permit it.
+  /// Returns the permission that the reply to a peer's status frame may give.
   Permission permission(const peer::Frame& greeting) const;
-  /// Records what the reply to the peer's greeting permits.
+  /// Records the permission that the reply to the peer's status frame gives.
   void on_permitted(std::size_t peer, Permission permission);
-  /// Puts it into the reply.
+  /// Sets the fields of the reply that give the permission.
   void permit(peer::Frame& reply, Permission permission) const;
 
-  /// Answers a heartbeat that this controller may decide nothing about. If the leader cannot be reached
-  /// either, a reply without commands keeps alive what runs on the worker.
-  /// @return nothing if this controller may not do that, or if the heartbeat is malformed
+  /// Answers a heartbeat while this controller is not the acting leader. If the worker cannot reach the
+  /// leader either, a reply without commands renews its lease and keeps its tasks running.
+  /// @return nullopt if this controller must not renew the lease, or if the heartbeat is malformed
   std::optional<wire::Value> answer_heartbeat(const std::string& bytes);
 
   /// See delegation::DelegationLedger::worker_lease_expiry.
@@ -100,7 +99,7 @@
   delegation::DelegationLedger ledger_;
   Seconds started_at_ = 0;
   Seconds leader_answered_heartbeats_at_ = -1e9;
-  // The newest leadership that workers show to have confirmed cancellations strictly; 0: none.
+  // The highest fencing token for which attempt numbers prove strict cancellation; 0: none.
   std::uint64_t strict_cancellation_token_ = 0;
   Counts counts_;
 };
--- a/src/controller/delegation_support.cpp
+++ b/src/controller/delegation_support.cpp
@@ -9,14 +9,14 @@
 
 namespace wingtrail::controller {
 namespace {
-// {"span_s":135.0}: every controller has supported delegated renewal for the time that a cancellation may
-// take, and no delegation was given for longer than that.
+// The support record, such as {"span_s":135.0}: every controller has supported delegated renewal for at least
+// the time limit of a cancellation, and no delegation was given for more than span_s seconds.
 constexpr const char* kRecordKey = "custody";
 constexpr const char* kDurationField = "span_s";
 constexpr Seconds kReadRetryDelay = 0.3;
 constexpr Seconds kWriteInterval = 1;
 
-// Of a peer that has been heard of.
+// The peer's level must be known.
 bool supports_delegation(const PeerState& peer) {
   return *peer.level >= peer::kLevelDelegation && peer.max_delegation_s.value_or(1) > 0;
 }
@@ -81,7 +81,7 @@
     record_version_ = item->version;
     recorded_duration_s_ = wire::amount(item->value, kDurationField).value_or(0);
     on_recorded_duration_(recorded_duration_s_);
-    // What was seen of peers since it was asked for counts for more.
+    // If a peer without support was seen while the record was being read, the record is out of date.
     if (removals_before == removals_)
       recorded_ = enabled();
     update();
@@ -133,7 +133,7 @@
           spdlog::info("delegation: support record {} duration_s={}", recorded_ ? "written" : "deleted",
                        duration_s);
         }
-        // Somebody else has changed it, or it is not known whether this controller has.
+        // Another controller has changed the record, or the outcome of the write is unknown.
         if (!revision && reply.status != 429) {
           return read_record([this] { out_.after(kWriteInterval, [this] { write_in_progress_ = false; }); });
         }
--- a/src/controller/delegation_support.hpp
+++ b/src/controller/delegation_support.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether all controllers of the deployment support delegated lease renewal, and have for long enough.
+/// Tracks whether all controllers of the cell support delegated lease renewal, and for how long they have.
 #pragma once
 
 #include <cstdint>
@@ -12,42 +12,46 @@
 
 namespace wingtrail::controller {
 
-/// Knows whether every controller has a version, and settings, with delegated lease renewal, and since when.
-/// Such controllers confirm a cancellation only when all tasks of the job are gone ("strict cancellation").
+/// Tracks whether the version and the settings of every controller include delegated lease renewal, and since
+/// when. Such controllers confirm a cancellation only when all tasks of the job are gone ("strict
+/// cancellation").
 ///
-/// A record in the state service says that this has been so for as long as a cancellation may take, for
-/// processes that have just started. The leader writes it; any controller that sees one without support
-/// deletes it.
+/// The support record in the state service states that this has held for at least the time limit of a
+/// cancellation. Processes that have just started rely on it. The leader writes the record; a controller that
+/// sees one without support deletes it.
 class DelegationSupport {
  public:
-  /// The references must outlive this object.
-  /// @param on_recorded_duration told the longest delegation that the record names, whenever it is read
+  /// The referenced objects must outlive this object.
+  /// @param on_recorded_duration called whenever the record is read, with the longest delegation that it
+  /// names,
+  ///        in seconds
   DelegationSupport(ports::Outbox& out, store::StateClient& store, const leadership::LeaderElection& election,
                     const PeerDirectory& peers, const settings::Settings& settings,
                     std::function<void(Seconds)> on_recorded_duration);
 
-  /// How long this controller lets a delegation last; 0 if delegated renewal is switched off.
+  /// Returns the longest delegation that this controller permits; 0 if delegated renewal is switched off.
   Seconds duration_s() const {
     return duration_s_;
   }
   bool enabled() const {
     return duration_s_ > 0;
   }
-  /// Whether every controller supports delegated renewal now. Of a peer that has not been heard of, the
-  /// record says so.
+  /// Whether every controller supports delegated renewal now. For a peer that has sent no frame yet, the
+  /// record decides.
   bool all_support() const;
-  /// For how long that has been so; negative if it is not.
+  /// Returns for how many seconds all_support() has held; negative if it does not hold.
   double all_support_for_s() const;
-  /// Whether no controller without support can have led within the time that a cancellation may take, so that
+  /// Whether no controller without support can have led within the time limit of a cancellation, so that
   /// every cancellation was confirmed strictly.
   bool all_cancellations_strict() const;
-  /// To be called when something was heard of a peer.
+  /// Must be called after each change of the peer directory.
   void update();
 
-  /// Reads the record, again and again until the state service answers, and then calls `then`, which may be
-  /// empty.
+  /// Reads the record and then calls `then`, which may be empty. Repeats the request until the state service
+  /// replies.
   void read_record(const std::function<void()>& then);
-  /// Writes or deletes the record if that is this controller's to do. To be called periodically.
+  /// Writes the record as the active leader if it is due, or deletes it if a controller lacks support. Must
+  /// be called periodically.
   void maintain_record(bool is_active_leader);
 
  private:
@@ -64,12 +68,13 @@
   std::function<void(Seconds)> on_recorded_duration_;
   Seconds all_support_since_ = ports::kNever;
 
-  // The record.
+  // The support record as last read or written.
   bool recorded_ = false;
   bool write_in_progress_ = false;
-  std::uint64_t record_version_ = 0;  // 0: there is none
+  std::uint64_t record_version_ = 0;  // 0: no record exists
   Seconds recorded_duration_s_ = 0;
-  std::uint64_t removals_ = 0;  // a reading begun before one does not count
+  // Incremented while a controller without support is known. A read of the record that began before is stale.
+  std::uint64_t removals_ = 0;
 };
 
 }  // namespace wingtrail::controller
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// A leadership of this controller: what is read at its beginning, what comes in during it, and its end.
+/// The course of a leadership of this controller: loading the records from the state service after the
+/// election, following new jobs, and giving up the state when the leadership ends.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -63,7 +64,8 @@
           load(prefix, after, term);
       });
     }
-    // Changes after the first page's revision are seen by the watch; seeing one twice does no harm.
+    // The watch continues from the revision of the first page, so it also reports changes that later pages
+    // already show. Handling a change twice is harmless.
     if (prefix == jobs::kLiveJobPrefix && after.empty())
       jobs_revision_ = range->revision;
     for (const wire::Item& item : range->items)
@@ -78,7 +80,8 @@
     }
     if (prefix == jobs::kCompletionPrefix)
       return load(jobs::kInventoryPrefix, "", term);
-    // How long earlier leaders may have granted is read before the first lease is taken for over.
+    // The record names the longest delegation of earlier leaders. It must be known before any worker lease is
+    // considered expired.
     delegation_support_.read_record([this, term] {
       if (term == term_)
         loaded();
@@ -88,9 +91,9 @@
 
 void Controller::load_item(const char* prefix, const wire::Item& item) {
   if (prefix == jobs::kLiveJobPrefix && item.key.ends_with(jobs::kCancellationSuffix)) {
-    markers_read_.push_back(item.key);  // acted on when all is loaded
+    markers_read_.push_back(item.key);  // handled by on_load_finished(), as its job may be read later
   } else if (prefix == jobs::kLiveJobPrefix && cells::is_remote_placement_key(item.key)) {
-    remote_placement_pages_.push_back(item);  // the same
+    remote_placement_pages_.push_back(item);  // handled by on_load_finished() as well
   } else if (prefix == jobs::kLiveJobPrefix && jobs::is_batch_key(item.key)) {
     jobs::for_each_record(item.value, [&](const std::string& ref, const wire::Value& record) {
       jobs::Job* known = registry_.find(ref);
@@ -99,7 +102,7 @@
         return;
       if (!known)
         job->has_own_key = false;
-      // It may be in two batches, and have a key of its own too: the oldest record counts.
+      // A job may be in two batches and also have its own key: the oldest record is its creation.
       job->created_revision = std::min(job->created_revision, item.version);
       state_writer_.batches().add_live_job(item.key, job->index);
     });
@@ -113,13 +116,13 @@
     }
   } else if (prefix == jobs::kCompletionPrefix) {
     if (!state_writer_.load_completion_page(item.key, item.value, item.version))
-      spdlog::error("load: unreadable completion page key={}", item.key);
+      spdlog::error("load: malformed completion page key={}", item.key);
   } else {
-    const bool good = state_writer_.load_inventory_page(
+    const bool parsed = state_writer_.load_inventory_page(
         item.key, item.value, item.version,
         [this](const wire::Value& record) { return workers_.add_from_inventory(record).index; });
-    if (!good)
-      spdlog::error("load: unreadable inventory page key={}", item.key);
+    if (!parsed)
+      spdlog::error("load: malformed inventory page key={}", item.key);
   }
 }
 
@@ -166,7 +169,7 @@
       return follow_jobs(std::max(after, changes->revision), term);
     }
     if (r.status == 410) {
-      // Too far behind: everything is read again. What is known already stays as it is.
+      // The watch is too far behind (410), so all records are read again. Known jobs keep their state.
       return out_.after(0.2, [this, term] { reread_jobs(term); });
     }
     out_.after(0.3, [this, after, term] {
@@ -176,10 +179,11 @@
   });
 }
 
-// Too many changes were missed, so all records are read again, page by page as of the first one's revision;
-// the watch goes on from there.
+// A new reading of all records, page by page, after the watch missed changes. The watch continues from the
+// revision of the first page.
 struct Controller::Rereading {
-  std::uint64_t term = 0, revision = 0;
+  std::uint64_t term = 0;
+  std::uint64_t revision = 0;
   std::vector<wire::Item> items;
 };
 
@@ -199,7 +203,7 @@
     if (all->items.empty())
       all->revision = range->revision;
     all->items.insert(all->items.end(), range->items.begin(), range->items.end());
-    // A deployment may have more live keys than one answer holds; those behind it would stay unknown.
+    // There may be more live keys than one reply holds; jobs on the later pages would stay unknown.
     if (range->more && !range->items.empty())
       return reread_next_page(all);
     apply_reread_jobs(all);
@@ -207,34 +211,34 @@
 }
 
 void Controller::apply_reread_jobs(const std::shared_ptr<Rereading>& all) {
-  // In batches that are new here there may be jobs that were over long ago.
+  // A batch that has not been read before may hold jobs that already have a final state.
   std::vector<std::string> unknown;
-  for (const wire::Item& i : all->items) {
-    if (!jobs::is_batch_key(i.key) || state_writer_.batches().fully_read(i.key))
+  for (const wire::Item& item : all->items) {
+    if (!jobs::is_batch_key(item.key) || state_writer_.batches().fully_read(item.key))
       continue;
-    jobs::for_each_record(i.value, [&](const std::string& ref, const wire::Value&) {
+    jobs::for_each_record(item.value, [&](const std::string& ref, const wire::Value&) {
       if (!registry_.find(ref))
         unknown.push_back(ref);
     });
   }
-  final_state_query_.ask(std::move(unknown), [this, all](const std::set<std::string>& over) {
+  final_state_query_.ask(std::move(unknown), [this, all](const std::set<std::string>& with_final_state) {
     if (all->term != term_)
       return;
-    const auto is_mark = [](const wire::Item& i) {
-      return i.key.ends_with(jobs::kCancellationSuffix);
+    const auto is_marker = [](const wire::Item& item) {
+      return item.key.ends_with(jobs::kCancellationSuffix);
     };
-    for (const wire::Item& i : all->items) {
-      if (is_mark(i))
-        continue;  // its job may be in a batch, and those come later
-      if (!jobs::is_batch_key(i.key)) {
-        on_live_key_read(i.key, i.value, i.version);
-      } else if (!state_writer_.batches().fully_read(i.key)) {
-        on_batch_read(i.key, i.value, i.version, over);
+    for (const wire::Item& item : all->items) {
+      if (is_marker(item))
+        continue;  // handled below, as its job may be in a batch that comes later in the list
+      if (!jobs::is_batch_key(item.key)) {
+        on_live_key_read(item.key, item.value, item.version);
+      } else if (!state_writer_.batches().fully_read(item.key)) {
+        on_batch_read(item.key, item.value, item.version, with_final_state);
       }
     }
-    for (const wire::Item& i : all->items) {
-      if (is_mark(i))
-        cancellation_.on_marker(i.key);
+    for (const wire::Item& item : all->items) {
+      if (is_marker(item))
+        cancellation_.on_marker(item.key);
     }
     follow_jobs(all->revision, all->term);
   });
@@ -244,14 +248,14 @@
   if (key.ends_with(jobs::kCancellationSuffix))
     return cancellation_.on_marker(key);
   if (cells::is_remote_placement_key(key))
-    return;  // this leader's own
+    return;  // written by this leader itself
   jobs::is_batch_key(key) ? on_batch_read(key, value, version) : on_job_read(value, version);
 }
 
 void Controller::on_batch_read(const std::string& key, const wire::Value& value, std::uint64_t version,
-                               const std::set<std::string>& over) {
+                               const std::set<std::string>& with_final_state) {
   jobs::for_each_record(value, [&](const std::string& ref, const wire::Value& record) {
-    if (!over.contains(ref))
+    if (!with_final_state.contains(ref))
       on_job_read(record, version, key);
   });
   state_writer_.batches().on_read(key);
@@ -294,17 +298,17 @@
 jobs::Job* Controller::add_job(const wire::Value& value, std::uint64_t version) {
   auto spec = wire::parse_job(value);
   if (!spec) {
-    spdlog::error("load: unreadable job record error=\"{}\"", spec.error().text());
+    spdlog::error("load: malformed job record error=\"{}\"", spec.error().text());
     return nullptr;
   }
-  // Versions before job dependencies kept no time: then it counts from when this leader learns of the job.
-  const auto at = wire::submitted_at(value);
-  const auto guest = wire::text(value, jobs::kOriginCellField);
-  if (guest)
-    spec->priority = wire::Priority::low;  // it gives way to all of this cell's own work
-  jobs::Job& job = registry_.add(*spec, version, at ? to_steady_time(*at) : out_.now());
-  if (guest)
-    job.origin_cell = *guest;
+  // Versions without job dependencies record no submission time; the job then counts as submitted now.
+  const auto submitted_at = wire::submitted_at(value);
+  const auto origin_cell = wire::text(value, jobs::kOriginCellField);
+  if (origin_cell)
+    spec->priority = wire::Priority::low;  // a foreign job yields to all jobs of this cell
+  jobs::Job& job = registry_.add(*spec, version, submitted_at ? to_steady_time(*submitted_at) : out_.now());
+  if (origin_cell)
+    job.origin_cell = *origin_cell;
   return &job;
 }
 
--- a/src/delegation/clock_drift.hpp
+++ b/src/delegation/clock_drift.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// The bound on clock drift that delegated lease renewal relies on.
+/// The bound on clock drift that delegated lease renewal assumes.
 #pragma once
 
 namespace wingtrail::delegation {
 
-/// The largest relative difference between durations measured by two machines. Steady clocks drift by up to
-/// 0.05 % each (PROTOCOL), and both ends of a duration may be off.
+/// The largest relative difference between a duration measured by two machines. Each steady clock drifts by
+/// up to 0.05 % (PROTOCOL), in opposite directions at worst.
 inline constexpr double kMaxClockDrift = 0.001;
 
 }  // namespace wingtrail::delegation
--- a/src/delegation/delegation_ledger.cpp
+++ b/src/delegation/delegation_ledger.cpp
@@ -6,8 +6,7 @@
 
 namespace wingtrail::delegation {
 namespace {
-// Workers act on the expiry of a lease within the resolution of their timers.
-constexpr Seconds kWorkerTimerMargin = 0.5;
+constexpr Seconds kWorkerTimerMargin = 0.5;  // a worker's timer for the end of its lease may fire this late
 }  // namespace
 
 void DelegationLedger::begin_leadership(Seconds now) {
@@ -31,7 +30,8 @@
 void DelegationLedger::on_peer_statement(std::size_t index, Seconds sent, Seconds now,
                                          const PeerStatement& statement) {
   PeerDelegation& peer = peers_[index];
-  // Earlier processes of the peer may have renewed leases until they died; this one did so last when it says.
+  // Earlier processes of the peer may have renewed leases until the present one began, which reports only its
+  // own last renewal.
   const Seconds process_began_at =
       now - (statement.supports_delegation ? statement.process_age_s * (1 - kMaxClockDrift) : 0);
   if (process_began_at > peer.stated_at)
@@ -41,7 +41,7 @@
         std::max(peer.last_renewal_at, now - statement.since_last_renewal_s * (1 - kMaxClockDrift));
   }
   peer.stated_at = std::max(peer.stated_at, sent);
-  // The peer knows of this leadership now, which voids what any earlier one granted.
+  // The peer now knows of this leadership, so grants of earlier leaders are void.
   peer.delegated_until = peer.granted_here_until;
 }
 
@@ -51,8 +51,8 @@
     known_expiry = std::max(known_expiry, lease_expiry_after_renewal(peer.last_renewal_at));
   Seconds latest_expiry = known_expiry;
   for (const PeerDelegation& peer : peers_) {
-    // What a peer did after its last statement is not known, but it can have renewed only a lease that had
-    // not expired by then.
+    // After its last statement the peer may have renewed leases until its delegation ended. It cannot have
+    // renewed one that had expired before that statement.
     if (peer.stated_at < known_expiry)
       latest_expiry = std::max(latest_expiry, lease_expiry_after_renewal(peer.delegated_until));
   }
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -8,9 +8,12 @@
 
 namespace wingtrail::leadership {
 namespace {
-constexpr double kClockDrift = 0.0005;  // PROTOCOL: steady clocks drift by up to 0.05 %
-constexpr Seconds kTimerMargin = 0.05;  // timers and the clock move in steps of some milliseconds
+constexpr double kMaxClockDrift = 0.0005;  // PROTOCOL: steady clocks drift by up to 0.05 %
+constexpr Seconds kTimerMargin = 0.05;     // timers and the clock have a resolution of a few milliseconds
 constexpr Seconds kRetryDelay = 0.3;
+constexpr double kRenewalsPerLease = 4;
+constexpr double kRetriesPerLease = 12;  // after a renewal without reply
+constexpr Seconds kMinRenewalDelay = 0.05;
 }  // namespace
 
 LeaderElection::LeaderElection(ports::Outbox& out, store::StateClient& store,
@@ -22,7 +25,8 @@
 }
 
 Seconds LeaderElection::lease_expiry(Seconds sent) const {
-  return sent + settings_.tunables.leader_lease_s * (1 - 2 * kClockDrift) - kTimerMargin;
+  // This controller's clock and the state service's may both drift.
+  return sent + settings_.tunables.leader_lease_s * (1 - 2 * kMaxClockDrift) - kTimerMargin;
 }
 
 void LeaderElection::observe_leader(const std::string& leader, std::uint64_t token) {
@@ -66,7 +70,8 @@
       on_vacant(next);
     if (last && !last->deleted)
       on_occupied({last->key, last->value, last->version});
-    // A watch without changes is a chance to notice that nobody leads still, such as after a lost campaign.
+    // The watch timed out without a change and no leader is known, for example after a campaign that failed:
+    // read the key again, which campaigns if the key is still absent.
     if (!last && leader_.empty() && !holds_leadership_)
       return read_leader_key();
     watch_leader_key(next);
@@ -93,9 +98,9 @@
   if (holds_leadership_ && item.version != fencing_token_)
     step_down("another controller leads");
   if (holder == settings_.node && !holds_leadership_ && !campaigning_ && lease != 0 && lease != lease_) {
-    // The holder is an earlier process of this very controller. It is dead, so its lease need not be waited
-    // for.
-    spdlog::info("election: revoking the lease of an earlier process lease={}", lease);
+    // The key was written by an earlier process of this controller. That process has ended, so its lease can
+    // be revoked instead of waiting until it expires.
+    spdlog::info("election: lease of an earlier process revoked lease={}", lease);
     store_.revoke_lease(lease);
   }
 }
@@ -105,7 +110,7 @@
     return;
   if (out_.now() < campaign_after_) {
     out_.after(campaign_after_ - out_.now(), [this] { read_leader_key(); });
-    campaign_after_ = 0;  // one wake-up is enough
+    campaign_after_ = 0;  // the timer that was just set campaigns, so later calls need not set another
     return;
   }
   campaigning_ = true;
@@ -129,8 +134,7 @@
                           const auto revision = wire::revision(reply.body);
                           if (reply.status == 200 && revision)
                             return on_won(*lease, *revision, sent);
-                          // Revoking the lease makes a copy of this campaign's write that is still under way
-                          // fail.
+                          // If a copy of the write is still in flight, it fails once the lease is revoked.
                           store_.revoke_lease(*lease);
                           if (reply.status != 409)
                             out_.after(kRetryDelay, [this] {
@@ -152,7 +156,7 @@
   leader_ = settings_.node;
   spdlog::info("election: won token={}", token);
   store_.set_leading(true);
-  schedule_renewal(settings_.tunables.leader_lease_s / 4);
+  schedule_renewal(settings_.tunables.leader_lease_s / kRenewalsPerLease);
   events_.on_elected();
 }
 
@@ -170,14 +174,15 @@
       return;
     if (reply.status == 200) {
       if (out_.now() >= lease_expires_at_)
-        spdlog::info("election: lease renewed late, commands resume token={}", fencing_token_);
+        spdlog::info("election: lease renewed late, commands allowed again token={}", fencing_token_);
       lease_expires_at_ = std::max(lease_expires_at_, lease_expiry(sent));
       renewed_at_ = std::max(renewed_at_, sent);
-      return schedule_renewal(std::max(0.05, sent + settings_.tunables.leader_lease_s / 4 - out_.now()));
+      return schedule_renewal(std::max(
+          kMinRenewalDelay, sent + settings_.tunables.leader_lease_s / kRenewalsPerLease - out_.now()));
     }
     if (reply.status == 404)
       return step_down("lease expired");
-    schedule_renewal(settings_.tunables.leader_lease_s / 12);
+    schedule_renewal(settings_.tunables.leader_lease_s / kRetriesPerLease);
   });
 }
 
--- a/src/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Election of the leading controller.
+/// Leader election among the controllers of a cell, by a key in the state service that is held under a lease.
 #pragma once
 
 #include <cstdint>
@@ -16,63 +16,70 @@
 /// The key in the state service that the leader holds.
 inline constexpr const char* kLeaderKey = "lead";
 
-/// Campaigns for leadership, renews the leader lease, and knows who leads.
+/// Campaigns for leadership, renews the leader lease, and tracks which controller leads.
 ///
-/// The leader holds kLeaderKey under a short lease of the state service. The revision of the write that
-/// created the key is the leader's fencing token. Renewals never touch the key, so the token is also the
-/// key's version, and a write conditioned on that version can succeed only while this leadership lasts.
+/// The leader holds kLeaderKey under a lease of the state service that lasts leader_lease_s. The revision of
+/// the write that created the key is the leader's fencing token. Renewals do not write the key, so the token
+/// is also the key's version, and a write conditioned on that version can succeed only while this leadership
+/// lasts.
 ///
-/// Times are of this controller's clock, in seconds.
+/// All times are in seconds of this controller's steady clock.
 class LeaderElection {
  public:
   struct Events {
-    std::function<void()> on_elected;  ///< fencing_token() is this controller's from now on
-    std::function<void()> on_lost;     ///< another controller may lead
+    std::function<void()> on_elected;  ///< this controller leads; fencing_token() is its new token
+    std::function<void()> on_lost;     ///< this controller no longer leads, and another may be elected
   };
-  /// The references must outlive the election.
+  /// The referenced objects must outlive this object.
   LeaderElection(ports::Outbox& out, store::StateClient& store, const settings::Settings& settings,
                  Events events);
 
-  /// Begins to follow the leader key, and campaigns whenever it is free. To be called once.
+  /// Starts to watch the leader key and to campaign whenever the key is absent. Must be called once.
   void start();
 
-  /// Whether no other controller can have been elected since this one was, as far as it knows. The lease may
-  /// have run out, see may_act().
+  /// Whether this controller was elected and has not learnt of a later leader. Its lease may have expired;
+  /// see may_act().
   bool holds_leadership() const {
     return holds_leadership_;
   }
-  /// The last moment at which a command may leave this controller; -1 if it does not lead. Past it the
-  /// controller sends no commands, but remains leader if a renewal succeeds later: the lease then never
-  /// ended, so nobody else can have led.
+  /// Returns the time until which this controller may send commands; -1 if it does not lead. After that time
+  /// it sends none, but it remains the leader if a later renewal succeeds: the state service then never ended
+  /// the lease, so no other controller can have led.
   Seconds lease_expires_at() const {
     return holds_leadership_ ? lease_expires_at_ : -1;
   }
-  /// Whether this controller leads and its lease has not run out.
+  /// Whether this controller leads and its lease has not expired.
   bool may_act() const {
     return holds_leadership_ && out_.now() < lease_expires_at_;
   }
-  /// When the last renewal that succeeded was sent; meaningful while this controller leads.
+  /// Returns when the last successful renewal was sent. Valid only while this controller leads.
   Seconds renewed_at() const {
     return renewed_at_;
   }
-  /// Of this controller's current or last leadership.
+  /// Returns the fencing token of this controller's current or last leadership; 0 if it has never led.
   std::uint64_t fencing_token() const {
     return fencing_token_;
   }
 
-  /// The holder of the newest leadership known, from the state service or from peers; empty if there is none.
+  /// Returns the name of the latest leader that the state service or a peer has reported; empty if no
+  /// controller is known to lead.
   const std::string& leader() const {
     return leader_;
   }
-  /// The fencing token of the newest leadership known.
+  /// Returns the highest fencing token that the state service or a peer has reported.
   std::uint64_t leader_fencing_token() const {
     return leader_fencing_token_;
   }
-  /// A peer knows of that leadership.
+  /// Records a leader that a peer has reported. Ignored unless its token is higher than the highest one
+  /// known.
   void observe_leader(const std::string& leader, std::uint64_t token);
-  /// Gives leadership up and stays out of elections for `pause`.
+  /// Gives up leadership, revokes the lease and does not campaign for `pause` seconds. Does nothing if this
+  /// controller does not lead.
+  /// @param reason for the log
   void resign(Seconds pause, const char* reason);
-  /// A write conditioned on the leader key failed, or a worker knows a higher token: leadership is lost.
+  /// Steps down because another controller was elected: a write conditioned on the leader key failed, or a
+  /// worker has reported a higher token.
+  /// @param reason for the log
   void on_superseded(const char* reason);
 
  private:
@@ -91,14 +98,19 @@
   store::StateClient& store_;
   const settings::Settings& settings_;
   Events events_;
+
+  // This controller's leadership.
   bool holds_leadership_ = false;
   bool campaigning_ = false;
-  std::uint64_t lease_ = 0;
+  std::uint64_t lease_ = 0;  // of the state service, under which the leader key is held
   std::uint64_t fencing_token_ = 0;
-  std::uint64_t term_ = 0;  // changes whenever this controller is elected or steps down
+  std::uint64_t term_ = 0;  // incremented when this controller is elected or steps down; replies of an
+                            // earlier term are ignored
   Seconds lease_expires_at_ = -1;
   Seconds renewed_at_ = -1;
   Seconds campaign_after_ = 0;
+
+  // The latest leader known, which may be this controller.
   std::string leader_;
   std::uint64_t leader_fencing_token_ = 0;
 };
