--- a/src/controller/cell_timing.hpp
+++ b/src/controller/cell_timing.hpp
@@ -1,16 +1,16 @@
 /// @file
-/// Time limits of what the controllers of neighbouring cells say to each other.
+/// Time limits of the messages between controllers of neighbouring cells.
 #pragma once
 
 #include "ports/outbox.hpp"
 
 namespace wingtrail::controller {
 
-/// Of a query to a neighbouring cell, which is repeated anyway.
+/// Timeout of a message to a neighbouring cell. It can be short, because messages are repeated.
 inline constexpr ports::Seconds kCellCallTimeout = 1.5;
-/// A neighbour heard of within this time counts as reachable.
+/// A neighbour counts as reachable for this long after its last digest.
 inline constexpr ports::Seconds kReachableWithin = 3.5;
-/// From an offer until the neighbour's digest takes it into account.
+/// The time after which the neighbour's digest accounts for an offer.
 inline constexpr ports::Seconds kOfferInTransit = 2.0;
 
 }  // namespace wingtrail::controller
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,12 +10,12 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kGreeting = 1.0;        // how often peers hear of each other
-constexpr Seconds kFirstGreetings = 0.1;  // and doubling until then, while a node is new
+constexpr Seconds kGreeting = 1.0;        // interval of the status frames to peers
+constexpr Seconds kFirstGreetings = 0.1;  // interval after the process start; it doubles up to kGreeting
 constexpr Seconds kPeriod = 0.25;
 constexpr Seconds kStatsInterval = 10;
-constexpr Seconds kReadsWithin =
-    12;  // of a new leader, one answer at least: twice what it waits for one, and more
+// A new leader that reads nothing for this long resigns: more than twice the timeout of a read.
+constexpr Seconds kReadsWithin = 12;
 
 std::vector<std::string> neighbour_names(const settings::Cells& cells) {
   std::vector<std::string> names;
@@ -24,7 +24,7 @@
   return names;
 }
 
-// What no other process writes its job batches under.
+// Returns the part of the keys of job batches that is unique to this process.
 std::string life_name(std::uint64_t seed) {
   std::ostringstream out;
   out << std::hex << seed;
@@ -199,16 +199,14 @@
   return out_.drain();
 }
 
-// ---------------------------------------------------------------- requests
-
-void Controller::request(Seconds now, const IncomingRequest& in) {
+void Controller::request(Seconds now, const IncomingRequest& request) {
   out_.set_now(now);
-  route({in.id, false}, in.method, in.path, in.body);
+  route({request.id, false}, request.method, request.path, request.body);
 }
 
 void Controller::route(const RequestOrigin& origin, const std::string& method, const std::string& path,
                        const std::string& body) {
-  const auto wrong_method = [&](const char* allowed) {
+  const auto reject_other_methods = [&](const char* allowed) {
     if (method == allowed)
       return false;
     responder_.respond(origin, 405);
@@ -216,7 +214,7 @@
   };
   const std::string jobs_path = wire::kJobsPath;
   if (path == jobs_path) {
-    if (wrong_method("POST"))
+    if (reject_other_methods("POST"))
       return;
     return submission_.submit(origin, body);
   }
@@ -226,58 +224,57 @@
     const bool cancels = ref.ends_with(suffix);
     if (cancels)
       ref.resize(ref.size() - suffix.size());
-    if (wrong_method(cancels ? "POST" : "GET"))
+    if (reject_other_methods(cancels ? "POST" : "GET"))
       return;
     if (!wire::valid_ref(ref))
       return responder_.respond(origin, 404);
     return cancels ? cancellation_.request(origin, ref) : queries_.status(origin, ref);
   }
   if (path == wire::kHeartbeatPath && !origin.by_peer) {
-    if (wrong_method("POST"))
+    if (reject_other_methods("POST"))
       return;
     return heartbeats_.handle(origin, body);
   }
   if (path == wire::kReadyPath && !origin.by_peer) {
-    if (wrong_method("GET"))
+    if (reject_other_methods("GET"))
       return;
     return is_ready() ? responder_.respond(origin, 200, wire::Value::object()) : responder_.try_later(origin);
   }
   responder_.respond(origin, 404);
 }
 
-// While no controller is served by the state service, being taken out of service would only add the load
-// balancer's pause to the outage; until it is over, users are told at once to come back.
+// Whether the load balancer should send users here. If the state service replies to no controller, they all
+// stay ready: users are then answered at once with Retry-After, and the time that the load balancer takes to
+// put a controller back into service does not prolong the outage.
 bool Controller::is_ready() const {
   return !catalog_.types().empty() &&
          (store_.healthy() || peer_calls_.served_peer() || is_active_leader() || peers_.none_served());
 }
 
-// ---------------------------------------------------------------- peers
-
 peer::Frame Controller::frame() const {
-  peer::Frame f;
-  f.node = settings_.node;
-  f.leader_fencing_token = election_.leader_fencing_token();
-  f.leader = election_.leader();
-  f.state_service_healthy = store_.healthy();
-  f.rejected_heartbeats = static_cast<std::uint32_t>(heartbeats_.recent_rejections());
-  f.level = peer::kProtocolLevel;
-  f.process_age_s = out_.now() - started_at_;
-  delegated_renewal_.describe(f);
-  f.supports_batches = settings_.tunables.fair_admission > 0;
-  // Twice what was asked for lately: a loan lasts for seconds, in which a surge may double.
-  const auto asked = store_.recent_demand();
-  f.requested_write_share =
-      2 * (asked.writes + creation_queue_.backlog_changes() / std::max(1.0, settings_.state_writes_per_s)) -
+  peer::Frame frame;
+  frame.node = settings_.node;
+  frame.leader_fencing_token = election_.leader_fencing_token();
+  frame.leader = election_.leader();
+  frame.state_service_healthy = store_.healthy();
+  frame.rejected_heartbeats = static_cast<std::uint32_t>(heartbeats_.recent_rejections());
+  frame.level = peer::kProtocolLevel;
+  frame.process_age_s = out_.now() - started_at_;
+  delegated_renewal_.describe(frame);
+  frame.supports_batches = settings_.tunables.fair_admission > 0;
+  // Twice the recent demand, because a surge may double within the seconds that a budget share is lent for.
+  const auto demand = store_.recent_demand();
+  frame.requested_write_share =
+      2 * (demand.writes + creation_queue_.backlog_changes() / std::max(1.0, settings_.state_writes_per_s)) -
       write_shares_.floor();
-  f.requested_request_share = 2 * asked.requests - request_shares_.floor();
-  if (f.supports_batches)
-    f.deferred_attempts = creation_queue_.first_attempts().encode_recent(out_.time_of_day());
+  frame.requested_request_share = 2 * demand.requests - request_shares_.floor();
+  if (frame.supports_batches)
+    frame.deferred_attempts = creation_queue_.first_attempts().encode_recent(out_.time_of_day());
   if (election_.holds_leadership() && loaded_)
-    f.final_state_lag_s = out_.now() - final_states_recorded_until_;
-  f.answers_heartbeats = is_active_leader() || (election_.holds_leadership() && loaded_ &&
-                                                out_.now() < delegated_renewal_.delegated_until());
-  return f;
+    frame.final_state_lag_s = out_.now() - final_states_recorded_until_;
+  frame.answers_heartbeats = is_active_leader() || (election_.holds_leadership() && loaded_ &&
+                                                    out_.now() < delegated_renewal_.delegated_until());
+  return frame;
 }
 
 void Controller::greet_peers() {
@@ -293,73 +290,76 @@
     call.path = peer::kPeerPath;
     call.frame = frame();
     call.timeout_s = 0.9;
-    out_.call(std::move(call), [this, i, asked = out_.now()](const ports::Reply& r) {
-      if (!r.frame)
+    out_.call(std::move(call), [this, i, sent = out_.now()](const ports::Reply& reply) {
+      if (!reply.frame)
         return;
-      heard(i, *r.frame);
-      delegated_renewal_.on_greeting_reply(i, *r.frame, asked);
-      if (r.frame->lent_write_share >= 0 &&
-          r.frame->leader_fencing_token >= election_.leader_fencing_token()) {
-        write_shares_.on_loan(r.frame->lent_write_share, asked);
-        request_shares_.on_loan(r.frame->lent_request_share, asked);
+      heard(i, *reply.frame);
+      delegated_renewal_.on_greeting_reply(i, *reply.frame, sent);
+      if (reply.frame->lent_write_share >= 0 &&
+          reply.frame->leader_fencing_token >= election_.leader_fencing_token()) {
+        write_shares_.on_loan(reply.frame->lent_write_share, sent);
+        request_shares_.on_loan(reply.frame->lent_request_share, sent);
       }
     });
   }
-  // Of nodes that begin together the first to ask finds nobody, and agreement must not wait for a second.
+  // If all controllers start together, the first frames reach no peer. Repeating them soon keeps peer
+  // agreement from being delayed by a whole interval.
   const Seconds first = settings_.tunables.peer_agreement ? kFirstGreetings : kGreeting;
   out_.after(std::min(kGreeting, std::max(first, out_.now() - started_at_)), [this] { greet_peers(); });
 }
 
-void Controller::heard(std::size_t i, const peer::Frame& f) {
-  peers_.on_frame(i, f);
-  if (!f.deferred_attempts.empty())
-    creation_queue_.first_attempts().merge(f.deferred_attempts, out_.time_of_day());
+void Controller::heard(std::size_t peer, const peer::Frame& received) {
+  peers_.on_frame(peer, received);
+  if (!received.deferred_attempts.empty())
+    creation_queue_.first_attempts().merge(received.deferred_attempts, out_.time_of_day());
   delegation_support_.update();
-  if (!f.leader.empty())
-    election_.observe_leader(f.leader, f.leader_fencing_token);
-  delegated_renewal_.on_frame(f);
-  // A version that does not say how far it has come is taken to have recorded all if it can write.
-  if (f.answers_heartbeats && f.node == election_.leader() && f.state_service_healthy)
+  if (!received.leader.empty())
+    election_.observe_leader(received.leader, received.leader_fencing_token);
+  delegated_renewal_.on_frame(received);
+  // A leader whose version does not report the lag (-1) is assumed to have recorded all if it can write.
+  if (received.answers_heartbeats && received.node == election_.leader() && received.state_service_healthy)
     final_states_recorded_until_ =
-        std::max(final_states_recorded_until_, out_.now() - std::max(0.0, f.final_state_lag_s));
+        std::max(final_states_recorded_until_, out_.now() - std::max(0.0, received.final_state_lag_s));
 }
 
-void Controller::peer(Seconds now, std::uint64_t id, const peer::Frame& f) {
+void Controller::peer(Seconds now, std::uint64_t id, const peer::Frame& received) {
   out_.set_now(now);
-  // Names of nodes say nothing between cells.
-  if (!f.cell.empty() && !f.relayed)
-    return on_cell_message(id, f);
+  // Controllers of another cell may have the same names as peers, so their frames are handled first.
+  if (!received.cell.empty() && !received.relayed)
+    return on_cell_message(id, received);
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
-    if (settings_.peers[i].name != f.node)
+    if (settings_.peers[i].name != received.node)
       continue;
-    heard(i, f);
-    const DelegatedRenewal::Permission permission = delegated_renewal_.permission(f);
-    const bool lends = election_.may_act() && f.supports_batches && settings_.tunables.fair_admission > 0;
-    if (f.path.empty() && f.cell.empty() && (permission.grant || permission.agreement || lends)) {
+    heard(i, received);
+    const DelegatedRenewal::Permission permission = delegated_renewal_.permission(received);
+    const bool lends =
+        election_.may_act() && received.supports_batches && settings_.tunables.fair_admission > 0;
+    if (received.path.empty() && received.cell.empty() &&
+        (permission.grant || permission.agreement || lends)) {
       delegated_renewal_.on_permitted(i, permission);
-      ports::Answer a;
-      a.request = id;
-      a.frame = frame();
-      a.frame->status = 200;
-      delegated_renewal_.permit(*a.frame, permission);
+      ports::Answer answer;
+      answer.request = id;
+      answer.frame = frame();
+      answer.frame->status = 200;
+      delegated_renewal_.permit(*answer.frame, permission);
       if (lends) {
-        a.frame->lent_write_share = write_shares_.lend(i, f.requested_write_share, out_.now());
-        a.frame->lent_request_share = request_shares_.lend(i, f.requested_request_share, out_.now());
+        answer.frame->lent_write_share = write_shares_.lend(i, received.requested_write_share, out_.now());
+        answer.frame->lent_request_share =
+            request_shares_.lend(i, received.requested_request_share, out_.now());
       }
-      return out_.answer(std::move(a));
+      return out_.answer(std::move(answer));
     }
   }
-  if (!f.cell.empty())
-    return on_cell_message(id, f);
+  if (!received.cell.empty())
+    return on_cell_message(id, received);
   const RequestOrigin origin{id, true};
-  if (f.path.empty())
+  if (received.path.empty())
     return responder_.respond(origin, 200);
-  route(origin, f.method, f.path, f.body);
+  route(origin, received.method, received.path, received.body);
 }
 
-// ---------------------------------------------------------------- duties
-
-// A follower asks the state service little; this tells it, and through it its peers, whether it is served.
+// Followers send few requests to the state service, so this regular read shows whether it replies to them.
+// The result is reported to peers in status frames.
 void Controller::probe_store() {
   if (!election_.holds_leadership())
     store_.get(leadership::kLeaderKey, store::RequestPriority::lease, [](const store::Reply&) {});
@@ -367,8 +367,8 @@
 }
 
 void Controller::periodic() {
-  // The state service went away while a new leader was reading: it knows no machine, so it may not answer for
-  // any, and stands in the way of those that could.
+  // If the state service fails while a new leader is loading, that leader knows no machines and cannot renew
+  // their leases, yet its leadership keeps other controllers from renewing them. So it resigns.
   if (election_.holds_leadership() && !loaded_ &&
       (out_.now() > election_.lease_expires_at() + settings_.tunables.leader_lease_s ||
        out_.now() > read_at_ + kReadsWithin))
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The decisions of one controller. Requests, replies and the time come in; actions go out.
+/// One controller without its I/O: it is passed requests, replies and the time, and returns actions.
 #pragma once
 
 #include <array>
@@ -49,17 +49,17 @@
 
 using ports::Seconds;
 
-/// A request of a user or a worker.
+/// An HTTP request of a user or a worker.
 struct IncomingRequest {
-  std::uint64_t id = 0;  ///< to be named in the answer
+  std::uint64_t id = 0;  ///< repeated in the ports::Answer
   std::string method;
   std::string path;
-  std::string body;  ///< as it came
+  std::string body;  ///< encoded, as received
 };
 
-/// Counters and gauges, as of one moment. The daemon publishes them as metrics.
+/// A snapshot of the controller's counters and gauges. The daemon publishes them as metrics.
 struct Stats {
-  struct ClassLoad {  ///< of one class of one team; see balancing/load_snapshot.hpp
+  struct ClassLoad {  ///< the load of one job class of one team; see balancing/load_snapshot.hpp
     std::string team;
     std::string job_class;
     double cores_in_use = 0;
@@ -70,12 +70,12 @@
     double served_share = 1;
     double largest_zone_share = 0;
   };
-  struct CellLoad {  ///< what is between this cell and a neighbour
+  struct CellLoad {  ///< the state of offloading to one neighbouring cell
     std::string name;
-    double remote_jobs = 0;
-    double digest_age_s = 0;
-    double accepts_cores = 0;
-    double wait_s = 0;
+    double remote_jobs = 0;    ///< jobs of this cell that the neighbour holds
+    double digest_age_s = 0;   ///< since the neighbour's last capacity digest
+    double accepts_cores = 0;  ///< by that digest
+    double wait_s = 0;         ///< by that digest
   };
 
   // Requests.
@@ -91,15 +91,15 @@
 
   // Leadership and the state service.
   bool leading = false;
-  std::uint64_t leader_fencing_token = 0;  ///< of the newest leadership known of
-  double reconciled_after_s = 0;           ///< from the failover; 0: not yet
+  std::uint64_t leader_fencing_token = 0;  ///< the highest known
+  double reconciled_after_s = 0;           ///< duration of the reconciliation; 0: not finished
   std::uint64_t delegated_renewals = 0;
   std::uint64_t delegations_granted = 0;
   std::uint64_t state_requests = 0;
   std::uint64_t state_throttled = 0;
-  double state_share = 0;   ///< of the budget: what this controller may use
-  double state_demand = 0;  ///< of the budget: what it has asked for lately
-  double loan_age_s = 0;    ///< since the leader last said what this controller may use
+  double state_share = 0;   ///< part of the write budget that this controller may use
+  double state_demand = 0;  ///< part of the write budget that it has recently requested
+  double loan_age_s = 0;    ///< since the leader last set this controller's budget share
 
   // Records.
   std::uint64_t commits = 0;
@@ -115,16 +115,16 @@
 
   // Jobs.
   std::size_t live_jobs = 0;
-  std::size_t held_jobs = 0;
+  std::size_t held_jobs = 0;           ///< jobs that wait for their dependencies
   std::uint64_t dependencies_met = 0;  ///< jobs whose dependencies are all done
-  std::uint64_t orphaned = 0;
+  std::uint64_t orphaned = 0;          ///< jobs cancelled because a dependency was cancelled
   std::uint64_t batches_created = 0;
   std::uint64_t batched_jobs = 0;
   std::size_t live_batches = 0;
   std::uint64_t creations_deferred = 0;
   std::size_t admissions_waiting = 0;
-  std::vector<std::pair<std::pair<std::string, std::string>, std::uint64_t>>
-      deferred_by_class;  ///< team, class
+  /// Deferred submissions by team and class.
+  std::vector<std::pair<std::pair<std::string, std::string>, std::uint64_t>> deferred_by_class;
 
   // Machines and tasks.
   std::size_t machines = 0;
@@ -147,14 +147,14 @@
 
   // Load.
   std::vector<ClassLoad> loads;
-  std::vector<std::pair<std::string, std::string>> zone_states;  ///< zone, state
+  std::vector<std::pair<std::string, std::string>> zone_states;  ///< zone and state
   std::uint64_t zones_lost = 0;
   std::uint64_t zones_returned = 0;
-  std::vector<std::pair<std::string, double>> cores_by_zone;            ///< in use
-  std::vector<std::pair<std::string, double>> waiting_cores_by_reason;  ///< filter, cores
+  std::vector<std::pair<std::string, double>> cores_by_zone;            ///< zone and cores in use
+  std::vector<std::pair<std::string, double>> waiting_cores_by_reason;  ///< filter and cores waiting for it
 
   // Other cells.
-  std::vector<CellLoad> cells;  ///< by neighbour
+  std::vector<CellLoad> cells;  ///< one for each neighbour
   std::uint64_t jobs_offloaded = 0;
   std::uint64_t jobs_returned_home = 0;
   std::uint64_t remote_jobs_done = 0;
@@ -164,39 +164,40 @@
   std::uint64_t tombstones = 0;
 };
 
-/// The largest size, in bytes, of a page that records jobs held by other cells.
+/// Returns the largest allowed size, in bytes, of a remote placement page.
 std::size_t page_bytes(const settings::Settings& settings);
 
-/// One controller: wires its parts together, routes requests to them, and carries a leadership from its
-/// beginning to its end. It touches neither sockets nor clocks: whoever drives it passes in the time, calls
-/// drain() after every other call and carries the actions out. Times are of a steady clock, in seconds.
+/// One controller: connects its components, routes requests to them, and runs leaderships from the election
+/// to the loss. It uses no sockets and no clocks: the caller passes in the time, calls drain() after every
+/// other call, and carries out the returned actions. All times are in seconds of a steady clock.
 class Controller {
  public:
-  /// @param seed of the random numbers; also names this process, so it must differ between processes
+  /// @param seed for random numbers; it also names this process, so it must differ between processes
   Controller(settings::Settings settings, std::uint64_t seed);
 
-  /// The process begins. To be called once, before anything else.
+  /// Must be called once, before anything else.
   void start(Seconds now);
-  /// A user or a worker has sent a request.
-  void request(Seconds now, const IncomingRequest& in);
-  /// A peer, or a controller of another cell, has sent a frame.
-  /// @param id to be named in the answer
+  /// Handles a request of a user or a worker.
+  void request(Seconds now, const IncomingRequest& request);
+  /// Handles a frame of a peer or of a controller of another cell.
+  /// @param id repeated in the ports::Answer
   void peer(Seconds now, std::uint64_t id, const peer::Frame& frame);
-  /// The call with that id has been replied to, or has failed.
+  /// Handles the reply to the call with that id, or its failure.
   void reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
-  /// Runs the timers that are due; to be called when next_wake() has come.
+  /// Runs the timers that are due. Must be called at next_wake().
   void tick(Seconds now);
-  /// Sets the time of day less the steady time.
+  /// Sets the difference between the time of day (seconds since 1970) and the steady clock.
   void set_day_offset(double offset) {
     out_.set_day_offset(offset);
   }
+  /// Returns the time of the next timer; kNever if there is none.
   Seconds next_wake() const {
     return out_.next_wake();
   }
-  /// Returns the actions to be carried out, in order.
+  /// Returns the actions to carry out, in order.
   std::vector<ports::Action> drain();
 
-  /// Whether this controller leads, its lease has not run out, and it has read its jobs and machines.
+  /// Whether this controller leads, its lease has not expired, and it has read its jobs and machines.
   bool is_active_leader() const {
     return election_.may_act() && loaded_;
   }
@@ -204,7 +205,8 @@
     return election_.lease_expires_at();
   }
   Stats stats() const;
-  // For tests.
+
+  // Access to components, for tests.
   const leadership::LeaderElection& leader_election() const {
     return election_;
   }
@@ -223,13 +225,13 @@
              const std::string& body);
   bool is_ready() const;
   void on_live_job_read(const LiveRecord& live);
-  // Job batches, and this controller's share of the budget.
+  // Job batches and the budget share (batches.cpp).
   bool may_create_batches() const;
   bool shares_are_fixed() const;
   store::StateClient::BudgetShare budget_share() const;
   void drop_jobs_with_final_state(std::function<void()> then);
   void on_batch_read(const std::string& key, const wire::Value& value, std::uint64_t version,
-                     const std::set<std::string>& over = {});
+                     const std::set<std::string>& with_final_state = {});
   void reread_jobs(std::uint64_t term);
   struct Rereading;
   void reread_next_page(const std::shared_ptr<Rereading>& all);
@@ -243,6 +245,7 @@
   void periodic();
   void log_stats();
 
+  // A leadership (leadership.cpp).
   void elected();
   void lost();
   void load(const char* prefix, const std::string& after, std::uint64_t term);
@@ -252,8 +255,10 @@
   void on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version);
   void on_job_read(const wire::Value& value, std::uint64_t version, const std::string& batch_key = {});
   jobs::Job* add_job(const wire::Value& value, std::uint64_t version);
-  Seconds to_steady_time(double time_of_day) const;  // no later than now
-  // What follows from jobs that were learnt of or that have ended.
+  // Returns the steady-clock time of a time of day, at most now.
+  Seconds to_steady_time(double time_of_day) const;
+
+  // Dependencies and final states (dependency_lookup.cpp, final_states.cpp).
   void process_dependencies();
   void look_up_unknown_dependencies();
   void look_up_dependency(const std::string& ref);
@@ -261,26 +266,27 @@
   void on_job_final(jobs::Job& job);
   void complete_if_done(jobs::Job& job);
 
-  // ---- other cells (offloading.cpp, remote_jobs.cpp)
-  struct NeighbourState {           // a neighbouring cell as this leader sees it
-    std::size_t controller = 0;     // which of its controllers is queried
-    bool query_in_flight = false;   // a query is in flight
-    Seconds digest_sent_at = -1e9;  // when it last was sent this cell's digest
-    Seconds last_digest_at = -1e9;
+  // Offloading between cells (offloading.cpp, offload_planning.cpp, remote_jobs.cpp).
+
+  // What this leader knows of a neighbouring cell.
+  struct NeighbourState {
+    std::size_t controller = 0;  // index of the neighbour's controller that is queried
+    bool query_in_flight = false;
+    Seconds digest_sent_at = -1e9;  // when this cell's digest was last sent to the neighbour
+    Seconds last_digest_at = -1e9;  // when the neighbour's digest was last received
     std::optional<peer::CapacityDigest> digest;
-    std::deque<std::pair<Seconds, double>> offered;  // when, and how many cores
-    double promised = 0;  // cores in the last digest sent to it, less what it has offered since
+    std::deque<std::pair<Seconds, double>> offered;  // time and cores of the latest offers to the neighbour
+    double promised = 0;  // cores in the last digest sent to the neighbour, minus its offers since then
     Seconds promised_at = -1e9;
     bool reachable = false;  // as last logged
   };
-  void on_digest(NeighbourState& v, const peer::CapacityDigest& digest);
-  // What is said between cells, by this one or on a neighbour's behalf.
+  void on_digest(NeighbourState& neighbour, const peer::CapacityDigest& digest);
   peer::Frame make_cell_frame(const std::string& cell, std::string cell_message) const;
   bool peers_support_cells() const;
   void update_cells();
   void query_cell(std::size_t cell);
   void on_cell_reply(std::size_t cell, const peer::Frame& frame);
-  void on_job_message(std::size_t cell, const peer::JobMessage& said);
+  void on_job_message(std::size_t cell, const peer::JobMessage& message);
   void log_reachability(std::size_t cell);
   struct WaitingWork;
   void plan_offloading();
@@ -340,27 +346,32 @@
   FinalStateCache final_states_;
   std::uint64_t term_ = 0;
   bool loaded_ = false;
-  Seconds read_at_ = 0;                              // while not loaded: when something was last read
-  std::vector<std::string> markers_read_;            // read while loading
-  std::deque<std::string> dependencies_to_look_up_;  // needed jobs that nothing is known of
+  Seconds read_at_ = 0;                    // when the last records were read, while not loaded
+  std::vector<std::string> markers_read_;  // keys of the cancellation markers that were read while loading
+  std::deque<std::string> dependencies_to_look_up_;  // dependencies that are not known to this controller
   int dependency_lookups_in_flight_ = 0;
   Seconds started_at_ = 0;
-  // Every job that needs one cancelled before then is recorded as cancelled, as far as this node knows.
+  // If a job was cancelled before this time, the final states of the jobs that depend on it are recorded too,
+  // as far as this controller knows.
   Seconds final_states_recorded_until_ = -1e9;
   Seconds loaded_at_ = 0;
-  std::deque<std::pair<Seconds, std::string>> unknown_dependencies_;  // since when, the oldest first
-  std::uint64_t jobs_revision_ = 0;
+  std::deque<std::pair<Seconds, std::string>> unknown_dependencies_;  // since when, oldest first
+  std::uint64_t jobs_revision_ = 0;  // of the state service, from which the jobs are watched
   cells::RemotePlacements remote_placements_;
   std::vector<NeighbourState> neighbours_;
   std::vector<wire::Item> remote_placement_pages_;  // read while loading
-  std::set<std::string> tombstones_in_progress_;    // jobs of other cells whose tombstones are being written
-  cells::GuestCapacity guest_capacity_;             // as of the last second
-  std::vector<jobs::JobIndex>
-      selected_for_offload_;                // jobs not started, since they are selected for offloading
-  bool offloading_expected_ = false;        // new jobs would start sooner elsewhere, as of the last plan
-  bool guest_capacity_known_ = false;       // in this leadership
-  std::set<std::string> pages_being_read_;  // pages being read
-  Seconds guest_wait_s_ = 0, offloading_planned_at_ = -1e9, unknown_cells_logged_at_ = -1e9;
+  std::set<std::string> tombstones_in_progress_;    // foreign jobs whose tombstones are being written
+  // Capacity for foreign jobs, computed once a second.
+  cells::GuestCapacity guest_capacity_;
+  bool guest_capacity_known_ = false;  // whether it was computed in this leadership
+  Seconds guest_wait_s_ = 0;           // expected wait of a foreign job, in seconds
+  // Jobs that must not start here because they are selected for offloading.
+  std::vector<jobs::JobIndex> selected_for_offload_;
+  bool offloading_expected_ = false;  // by the last plan, new jobs would start sooner in another cell
+  Seconds offloading_planned_at_ = -1e9;
+  std::set<std::string> pages_being_read_;  // keys of remote placement pages with an unknown write outcome
+  Seconds unknown_cells_logged_at_ = -1e9;
+
   Responder responder_;
   PeerCalls peer_calls_;
   JobQueries queries_;
--- a/src/controller/delegation_support.hpp
+++ b/src/controller/delegation_support.hpp
@@ -22,9 +22,7 @@
 class DelegationSupport {
  public:
   /// The referenced objects must outlive this object.
-  /// @param on_recorded_duration called whenever the record is read, with the longest delegation that it
-  /// names,
-  ///        in seconds
+  /// @param on_recorded_duration called whenever the record is read, with the longest delegation in seconds
   DelegationSupport(ports::Outbox& out, store::StateClient& store, const leadership::LeaderElection& election,
                     const PeerDirectory& peers, const settings::Settings& settings,
                     std::function<void(Seconds)> on_recorded_duration);
@@ -47,8 +45,7 @@
   /// Must be called after each change of the peer directory.
   void update();
 
-  /// Reads the record and then calls `then`, which may be empty. Repeats the request until the state service
-  /// replies.
+  /// Reads the record, repeatedly until the state service replies, and calls `then`, which may be empty.
   void read_record(const std::function<void()>& then);
   /// Writes the record as the active leader if it is due, or deletes it if a controller lacks support. Must
   /// be called periodically.
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -11,7 +11,8 @@
 namespace {
 constexpr Seconds kRejectionMemory = 4;
 constexpr std::size_t kMaxRejections = 10'000;
-constexpr Seconds kRedirectedWithin = 2;  // a worker that was redirected here has sent a heartbeat by then
+constexpr Seconds kRedirectDelay = 2;     // a redirected worker has sent its heartbeat here within this time
+constexpr double kPauseInHeartbeats = 5;  // after resigning, in heartbeat intervals
 }  // namespace
 
 HeartbeatHandler::HeartbeatHandler(Collaborators collaborators, std::function<bool()> is_active_leader)
@@ -40,7 +41,7 @@
   rejected_at_.push_back(with_.out.now());
   while (rejected_at_.size() > kMaxRejections)
     rejected_at_.pop_front();
-  // Only a leader that somebody else is: naming this controller would send the worker around in a circle.
+  // This controller never names itself: the worker would be redirected to where it comes from.
   const std::string& leader = with_.election.leader();
   const bool is_other = !leader.empty() && leader != with_.settings.node;
   with_.responder.respond(origin, 421, wire::leader_redirect(is_other ? leader : ""));
@@ -58,14 +59,14 @@
     unreachable_since_ = 0;
     return;
   }
-  // The first heartbeat of a new machine may go to a peer when no other machine is up; it comes here a moment
-  // later.
+  // If no other machine is up, a peer may get the first heartbeat of a new machine and redirect it here.
   if (unreachable_since_ == 0)
     unreachable_since_ = now;
-  if (now - unreachable_since_ < kRedirectedWithin)
+  if (now - unreachable_since_ < kRedirectDelay)
     return;
   unreachable_since_ = 0;
-  with_.election.resign(5 * with_.settings.heartbeat_interval_s, "workers reach only other controllers");
+  with_.election.resign(kPauseInHeartbeats * with_.settings.heartbeat_interval_s,
+                        "workers reach only other controllers");
 }
 
 void HeartbeatHandler::forget_old_rejections() {
--- a/src/controller/heartbeat_handler.hpp
+++ b/src/controller/heartbeat_handler.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Heartbeats of workers as they arrive at this controller, and whether workers can reach it.
+/// Handling of the heartbeats that workers send to this controller, and detection that they cannot reach it.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 namespace wingtrail::controller {
 
-/// Passes heartbeats on to the worker manager while this controller leads. Otherwise it renews the worker's
-/// lease on the leader's behalf if it may, or redirects the worker to the leader.
+/// Passes heartbeats to the worker manager while this controller is the active leader. Otherwise renews the
+/// worker's lease by delegation if this controller may, or redirects the worker to the leader.
 class HeartbeatHandler {
  public:
-  /// The references must outlive the handler.
+  /// The referenced objects must outlive the handler.
   struct Collaborators {
     const ports::Outbox& out;
     const settings::Settings& settings;
@@ -29,21 +29,22 @@
   };
   HeartbeatHandler(Collaborators collaborators, std::function<bool()> is_active_leader);
 
-  /// @param bytes the heartbeat as it came
+  /// Answers a heartbeat.
+  /// @param bytes the encoded heartbeat
   void handle(const RequestOrigin& origin, const std::string& bytes);
-  /// The leader has read its jobs and machines: from now on workers are expected to reach it.
+  /// Must be called when the leader has read its jobs and machines: workers are expected to reach it then.
   void on_loaded();
-  /// Resigns if peers turn heartbeats away and none come here: a leader that workers cannot reach lets their
-  /// leases run out, so one of the peers should lead. To be called periodically while this controller leads.
+  /// Resigns if peers reject heartbeats and none arrive here: worker leases expire under a leader that
+  /// workers cannot reach, so one of the peers should lead. Must be called periodically by the active leader.
   void check_reachability();
 
-  /// Forgets heartbeats that were rejected longer ago than peers need to know.
+  /// Drops rejections that are too old for recent_rejections().
   void forget_old_rejections();
-  /// Heartbeats turned away lately.
+  /// Returns the number of heartbeats rejected (redirected) in the last seconds.
   std::size_t recent_rejections() const {
     return rejected_at_.size();
   }
-  /// Heartbeats that came in so far.
+  /// Returns the number of heartbeats received so far.
   std::uint64_t count() const {
     return count_;
   }
@@ -54,9 +55,9 @@
   Collaborators with_;
   std::function<bool()> is_active_leader_;
   std::deque<Seconds> rejected_at_;
-  Seconds last_heartbeat_at_ = 0;  // as the leader
-  Seconds expected_since_ = 0;
-  Seconds unreachable_since_ = 0;  // 0: reachable, as far as is known
+  Seconds last_heartbeat_at_ = 0;  // while this controller is the active leader
+  Seconds expected_since_ = 0;     // when the current leadership began to expect heartbeats
+  Seconds unreachable_since_ = 0;  // 0: not known to be unreachable
   std::uint64_t count_ = 0;
 };
 
--- a/src/controller/machine_catalog.cpp
+++ b/src/controller/machine_catalog.cpp
@@ -56,7 +56,7 @@
 void MachineCatalog::use(const wire::Value& catalog) {
   auto types = wire::parse_catalog(catalog);
   if (!types)
-    return spdlog::error("catalog: unreadable error={}", types.error().text());
+    return spdlog::error("catalog: malformed error=\"{}\"", types.error().text());
   types_ = std::move(*types);
   catalog_ = catalog;
   callbacks_.on_change(types_);
--- a/src/controller/machine_catalog.hpp
+++ b/src/controller/machine_catalog.hpp
@@ -13,27 +13,27 @@
 
 using ports::Seconds;
 
-/// Fetches the catalog from the cloud again and again. The leader stores it in the state service, so that a
-/// controller that restarts while the cloud is slow or down can decide at once.
+/// Fetches the catalog from the cloud provider periodically. The leader stores it in the state service, so a
+/// controller that restarts while the cloud provider is slow or down need not wait to validate and place jobs.
 class MachineCatalog {
  public:
   using Types = std::vector<wire::MachineType>;
   struct Callbacks {
     std::function<bool()> is_active_leader;
-    std::function<void(const Types&)> on_change;  ///< the catalog was read or fetched
+    std::function<void(const Types&)> on_change;  ///< called whenever the catalog was read or fetched
   };
-  /// The references must outlive the catalog.
+  /// The referenced objects must outlive this object.
   MachineCatalog(ports::Outbox& out, store::StateClient& store, const leadership::LeaderElection& election,
                  const settings::Settings& settings, Callbacks callbacks);
 
-  /// Reads the catalog that a leader has stored; what the cloud says goes before it.
+  /// Reads the catalog that a leader has stored. It is ignored once one was fetched from the cloud provider.
   void read_stored();
-  /// Begins to fetch the catalog from the cloud. To be called once.
+  /// Starts to fetch the catalog periodically. Must be called once.
   void start_fetching();
-  /// Stores the catalog, if there is one, as the leader.
+  /// Stores the catalog as the leader; does nothing if none is known or it exceeds the maximum value size.
   void save();
 
-  /// Empty until the catalog is known.
+  /// Returns the machine types; empty until the catalog is known.
   const Types& types() const {
     return types_;
   }
@@ -47,7 +47,7 @@
   const settings::Settings& settings_;
   Callbacks callbacks_;
   Types types_;
-  wire::Value catalog_;  // as it came
+  wire::Value catalog_;  // as received, for save()
 };
 
 }  // namespace wingtrail::controller
--- a/src/controller/overload_monitor.cpp
+++ b/src/controller/overload_monitor.cpp
@@ -6,7 +6,7 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kRecoveryTime = 5;  // without a deferral, after which overload is over
+constexpr Seconds kRecoveryTime = 5;  // overload ends after this long without a deferral
 }  // namespace
 
 void OverloadMonitor::update(Seconds now, const admission::CreationQueue& queue, double write_share) {
--- a/src/controller/overload_monitor.hpp
+++ b/src/controller/overload_monitor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Notices when submissions are deferred for lack of budget.
+/// Detects overload: submissions are deferred because the write budget is used up.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 using ports::Seconds;
 
-/// Whether this controller defers submissions. Writes one log line when that begins, and one when it is over.
+/// Tracks whether this controller defers submissions. Logs the beginning and the end of each overload.
 class OverloadMonitor {
  public:
-  /// To be called periodically.
+  /// Must be called periodically.
   /// @param write_share this controller's share of the state service's write budget, 0 to 1
   void update(Seconds now, const admission::CreationQueue& queue, double write_share);
   bool is_overloaded() const {
--- a/src/controller/peer_calls.cpp
+++ b/src/controller/peer_calls.cpp
@@ -54,12 +54,12 @@
 }
 
 void PeerCalls::forward(const RequestOrigin& origin, std::optional<std::size_t> peer,
-                        ForwardedRequest request, const std::function<void(PeerOutcome)>& otherwise) {
+                        ForwardedRequest request, const std::function<void(PeerOutcome)>& on_failure) {
   if (!peer)
-    return otherwise(PeerOutcome::no_reply);
-  ask(*peer, std::move(request), [this, origin, otherwise](const PeerReply& reply) {
+    return on_failure(PeerOutcome::no_reply);
+  ask(*peer, std::move(request), [this, origin, on_failure](const PeerReply& reply) {
     if (reply.outcome != PeerOutcome::answered)
-      return otherwise(reply.outcome);
+      return on_failure(reply.outcome);
     responder_.respond(origin, reply.status, reply.body);
   });
 }
--- a/src/controller/peer_calls.hpp
+++ b/src/controller/peer_calls.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests of users that are forwarded to peers.
+/// Forwarding of users' requests to peers.
 #pragma once
 
 #include <cstdint>
@@ -13,50 +13,51 @@
 
 namespace wingtrail::controller {
 
-/// What became of a request forwarded to a peer.
+/// The outcome of a request that was forwarded to a peer.
 enum class PeerOutcome : std::uint8_t {
-  answered,     ///< the peer decided; its reply is the user's
-  unavailable,  ///< the peer deferred it (503)
-  throttled,    ///< the peer deferred it, for lack of budget (429)
-  no_reply,     ///< no reply, or there is no such peer
+  answered,     ///< the peer's reply is the final answer to the user
+  unavailable,  ///< the peer deferred the request (503)
+  throttled,    ///< the peer deferred the request because its budget is used up (429)
+  no_reply,     ///< the peer did not reply, or there is no peer to ask
 };
 
+/// A peer's reply to a forwarded request.
 struct PeerReply {
   PeerOutcome outcome = PeerOutcome::no_reply;
-  int status = 0;  ///< of HTTP, if answered
+  int status = 0;  ///< HTTP status, if answered
   wire::Value body = nullptr;
 };
 
-/// A user's request as it is forwarded.
+/// A user's request in the form in which it is forwarded.
 struct ForwardedRequest {
   std::string method, path;
   std::string body;  ///< CBOR; may be empty
   Seconds timeout_s = 1;
 };
 
-/// Forwards requests to peers. The references must outlive this object.
+/// Forwards requests to peers. The referenced objects must outlive this object.
 class PeerCalls {
  public:
   struct Events {
-    std::function<peer::Frame()> make_frame;  ///< makes the frame that carries a request
-    std::function<void(std::size_t peer, const peer::Frame&)> on_frame;  ///< a peer has replied
+    std::function<peer::Frame()> make_frame;  ///< returns a frame with this controller's status
+    std::function<void(std::size_t peer, const peer::Frame&)> on_frame;  ///< called with each reply of a peer
   };
   PeerCalls(ports::Outbox& out, const leadership::LeaderElection& election, PeerDirectory& peers,
             Responder& responder, Events events);
 
-  /// The leader, if it is a peer that can be reached.
+  /// Returns the leader if it is a reachable peer.
   std::optional<std::size_t> reachable_leader() const;
-  /// A reachable peer that the state service answers, with at least that protocol level.
+  /// Returns a reachable peer with at least that protocol level to which the state service replies.
   std::optional<std::size_t> served_peer(std::uint32_t level = 0) const;
 
   /// Sends the request to the peer and calls `then` with the reply.
   void ask(std::size_t peer, ForwardedRequest request, std::function<void(const PeerReply&)> then);
-  /// Sends the request to the peer and passes an answer on to the user. Otherwise, and if there is no peer,
-  /// calls `otherwise` with the reason.
+  /// Sends the request to the peer and passes its answer to the user. Calls `on_failure` with the outcome if
+  /// the peer does not answer or `peer` is nullopt.
   void forward(const RequestOrigin& origin, std::optional<std::size_t> peer, ForwardedRequest request,
-               const std::function<void(PeerOutcome)>& otherwise);
+               const std::function<void(PeerOutcome)>& on_failure);
 
-  /// Requests sent to peers so far.
+  /// Returns the number of requests sent to peers so far.
   std::uint64_t count() const {
     return count_;
   }
--- a/src/controller/peer_directory.cpp
+++ b/src/controller/peer_directory.cpp
@@ -4,7 +4,7 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kReachableWindow = 2.5;  // a peer heard of within this time is taken to be reachable
+constexpr Seconds kReachableWindow = 2.5;  // a peer counts as reachable for this long after its last frame
 }  // namespace
 
 PeerDirectory::PeerDirectory(const ports::Outbox& out, const settings::Settings& settings)
@@ -25,9 +25,9 @@
   peer.supports_batches = frame.supports_batches;
 }
 
-// A peer heard of meanwhile only takes long over this call, a cancellation say that waits for its tasks. If
-// it counted as unreachable, every query would cost a fresh read of the state service and soon its whole
-// budget.
+// A peer that has sent a frame since `sent` is reachable and merely slow with this call, such as a
+// cancellation that waits for the job's tasks. If it counted as unreachable, each query would read the state
+// service instead of asking the leader, which would soon use up the budget.
 void PeerDirectory::on_no_reply(std::size_t peer, Seconds sent) {
   if (peers_[peer].last_heard_at <= sent)
     peers_[peer].last_heard_at = -1e9;
--- a/src/controller/recording_delay_reporter.cpp
+++ b/src/controller/recording_delay_reporter.cpp
@@ -12,7 +12,7 @@
 void RecordingDelayReporter::update(Seconds now, const jobs::StateWriter::Backlogs& backlogs,
                                     double writes_per_s) {
   using jobs::RecordKind;
-  const auto of = [&backlogs](RecordKind kind) -> const jobs::StateWriter::Backlog& {
+  const auto backlog_of = [&backlogs](RecordKind kind) -> const jobs::StateWriter::Backlog& {
     return backlogs[jobs::index(kind)];
   };
   Seconds oldest = 0;
@@ -30,9 +30,9 @@
     return spdlog::info(
         "state_writer: final states are late completed={} cancelled={} orphaned={} oldest_completed_s={:.0f} "
         "oldest_cancelled_s={:.0f} oldest_orphaned_s={:.0f} writes_per_s={:.0f}",
-        of(RecordKind::completed).waiting, of(RecordKind::cancelled).waiting,
-        of(RecordKind::orphaned).waiting, of(RecordKind::completed).oldest_s,
-        of(RecordKind::cancelled).oldest_s, of(RecordKind::orphaned).oldest_s, writes_per_s);
+        backlog_of(RecordKind::completed).waiting, backlog_of(RecordKind::cancelled).waiting,
+        backlog_of(RecordKind::orphaned).waiting, backlog_of(RecordKind::completed).oldest_s,
+        backlog_of(RecordKind::cancelled).oldest_s, backlog_of(RecordKind::orphaned).oldest_s, writes_per_s);
   }
   if (!late_since_)
     return;
--- a/src/controller/recording_delay_reporter.hpp
+++ b/src/controller/recording_delay_reporter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Log lines on final states that are recorded late.
+/// Logs when final states are recorded late.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 using ports::Seconds;
 
-/// Writes one log line when final states begin to be recorded late, and one when that is over.
+/// Writes one log line when final states start to be recorded late, and one when they are in time again.
 class RecordingDelayReporter {
  public:
-  /// To be called periodically while this controller leads.
-  /// @param writes_per_s changes a second that this controller may make in the state service
+  /// Must be called periodically while this controller leads.
+  /// @param writes_per_s the changes per second that this controller may make in the state service
   void update(Seconds now, const jobs::StateWriter::Backlogs& backlogs, double writes_per_s);
-  /// A leadership begins: what was seen before is forgotten.
+  /// Forgets an earlier delay, at the beginning of a leadership.
   void reset() {
     *this = {};
   }
--- a/src/controller/responder.cpp
+++ b/src/controller/responder.cpp
@@ -33,7 +33,7 @@
 }
 
 void Responder::try_later(const RequestOrigin& origin, int status, Seconds delay) {
-  // The protocol knows whole seconds, and nobody comes back later than after 30.
+  // Retry-After is given in whole seconds, and senders wait 30 s at most.
   respond(origin, status, nullptr, static_cast<int>(std::clamp(std::ceil(delay), 1.0, 30.0)));
 }
 
--- a/src/controller/responder.hpp
+++ b/src/controller/responder.hpp
@@ -12,22 +12,24 @@
 
 using ports::Seconds;
 
-/// Where a reply goes: to a request of this controller's own, or to one that a peer forwarded.
+/// The request that a reply belongs to.
 struct RequestOrigin {
   std::uint64_t id = 0;
-  bool by_peer = false;
+  bool by_peer = false;  ///< a peer forwarded it, so the reply is sent in a frame
 };
 
-/// Emits replies. The outbox must outlive the responder.
+/// Sends replies. The outbox must outlive the responder.
 class Responder {
  public:
-  /// @param make_frame makes the frame that carries a reply to a peer
+  /// @param make_frame returns a frame with this controller's status, in which a reply is sent to a peer
   Responder(ports::Outbox& out, std::function<peer::Frame()> make_frame);
 
-  /// @param retry_after_s when the sender should come back, in whole seconds
+  /// Sends a reply.
+  /// @param status the HTTP status
+  /// @param retry_after_s the value of Retry-After, in seconds
   void respond(const RequestOrigin& origin, int status, wire::Value body = nullptr,
                std::optional<int> retry_after_s = {});
-  /// Asks the sender to come back after that many seconds, rounded up, 1 to 30.
+  /// Sends a reply with a Retry-After of `delay` seconds, rounded up and limited to 1 to 30.
   void try_later(const RequestOrigin& origin, int status = 503, Seconds delay = 1);
 
  private:
--- a/src/controller/stats.cpp
+++ b/src/controller/stats.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The counters and gauges of a controller, collected from its parts.
+/// Collects the counters and gauges of a controller from its components, and logs them periodically.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -9,27 +9,28 @@
 namespace wingtrail::controller {
 namespace {
 constexpr Seconds kStatsInterval = 10;
+constexpr Seconds kMaxReportedAge = 1e6;  // stands for "never"
 
-void add_load(Stats& s, const balancing::LoadSnapshot& snapshot, const jobs::JobRegistry& registry,
+void add_load(Stats& stats, const balancing::LoadSnapshot& snapshot, const jobs::JobRegistry& registry,
               Seconds now) {
   for (const auto& [key, load] : snapshot.loads()) {
-    s.loads.push_back({registry.teams[key.first], registry.classes[key.second], load.cores_in_use,
-                       load.cores_waiting, load.oldest_wait, load.recent_arrivals.per_s(now), load.surge(now),
-                       load.served_share(), load.largest_zone_share()});
+    stats.loads.push_back({registry.teams[key.first], registry.classes[key.second], load.cores_in_use,
+                           load.cores_waiting, load.oldest_wait, load.recent_arrivals.per_s(now),
+                           load.surge(now), load.served_share(), load.largest_zone_share()});
   }
   for (jobs::ZoneIndex zone{0}; zone < snapshot.cores_by_zone().size(); ++zone)
-    s.cores_by_zone.emplace_back(registry.zones[zone], snapshot.cores_by_zone()[zone]);
-  for (const auto& [why, cores] : snapshot.waiting_cores_by_reason())
-    s.waiting_cores_by_reason.emplace_back(std::string(why), cores);
+    stats.cores_by_zone.emplace_back(registry.zones[zone], snapshot.cores_by_zone()[zone]);
+  for (const auto& [reason, cores] : snapshot.waiting_cores_by_reason())
+    stats.waiting_cores_by_reason.emplace_back(std::string(reason), cores);
 }
 
-void add_migrations(Stats& s, const scheduling::Scheduler& scheduler) {
+void add_migrations(Stats& stats, const scheduling::Scheduler& scheduler) {
   for (const auto cause : {balancing::MigrationCause::slow_machine, balancing::MigrationCause::draining}) {
-    const auto& c = scheduler.migrations().counts(cause);
-    s.migrations_begun += c.begun;
-    s.migrations_done += c.done;
-    s.migrations_failed += c.failed;
-    s.migrations_lost_work_s += c.lost_work_s;
+    const auto& counts = scheduler.migrations().counts(cause);
+    stats.migrations_begun += counts.begun;
+    stats.migrations_done += counts.done;
+    stats.migrations_failed += counts.failed;
+    stats.migrations_lost_work_s += counts.lost_work_s;
   }
 }
 }  // namespace
@@ -89,15 +90,16 @@
   if (settings_.tunables.fair_admission > 0)
     s.state_share = budget_share().writes;
   s.state_demand = store_.recent_demand().writes;
-  s.loan_age_s = election_.may_act() ? 0 : std::min(1e6, write_shares_.loan_age(out_.now()));
+  s.loan_age_s = election_.may_act() ? 0 : std::min(kMaxReportedAge, write_shares_.loan_age(out_.now()));
   s.deferred_by_class.assign(creation_queue_.deferred_by_class().begin(),
                              creation_queue_.deferred_by_class().end());
   for (std::size_t c = 0; c < neighbours_.size(); ++c) {
-    const NeighbourState& v = neighbours_[c];
+    const NeighbourState& neighbour = neighbours_[c];
+    const auto& digest = neighbour.digest;
     s.cells.push_back({settings_.cells.neighbours[c].name,
                        static_cast<double>(remote_placements_.count_at(c)),
-                       std::min(1e6, out_.now() - v.last_digest_at), v.digest ? v.digest->accepts_cores : 0,
-                       v.digest ? v.digest->wait_s : 0});
+                       std::min(kMaxReportedAge, out_.now() - neighbour.last_digest_at),
+                       digest ? digest->accepts_cores : 0, digest ? digest->wait_s : 0});
   }
   return s;
 }
@@ -105,25 +107,23 @@
 void Controller::log_stats() {
   const Stats s = stats();
   spdlog::debug(
-      "so far: {} reports, {} direct calls, {} orders, {} deadlines, {} tasks started, {} preempted, {} "
-      "reclaimed, {} machines and {} jobs "
-      "examined, {} state calls ({} held back), {} writes ({} ends, {} roster, {} progress), {} handed on; "
-      "now {} "
-      "jobs ({} wait for others), {} machines, {} pages",
+      "stats: totals heartbeats={} direct_calls={} commands={} deadline_checks={} tasks_started={} "
+      "tasks_preempted={} tasks_reclaimed={} machines_examined={} jobs_examined={} state_requests={} "
+      "state_throttled={} state_writes={} final_states={} inventory={} completions={} forwarded={} "
+      "live_jobs={} held_jobs={} machines={} pages={}",
       s.heartbeats, s.direct_calls, s.commands_sent, s.deadline_checks, s.tasks_started, s.tasks_preempted,
       s.tasks_reclaimed, s.machines_examined, s.jobs_examined, s.state_requests, s.state_throttled,
       s.state_writes, s.final_states_written, s.inventory_written, s.completions_written,
       s.forwarded_requests, s.live_jobs, s.held_jobs, s.machines, s.record_pages);
-  for (const Stats::ClassLoad& l : s.loads) {
+  for (const Stats::ClassLoad& load : s.loads) {
     spdlog::debug(
-        "{} of {}: {:.0f} cores in use, {:.0f} wait, the longest for {:.0f} s; offered {:.0f}, {:.1f} times "
-        "the usual; "
-        "{:.3f} served",
-        l.job_class, l.team, l.cores_in_use, l.cores_waiting, l.oldest_wait_s, l.arriving_cores, l.surge,
-        l.served_share);
+        "stats: load class={} team={} cores_in_use={:.0f} cores_waiting={:.0f} oldest_wait_s={:.0f} "
+        "arriving_cores={:.0f} surge={:.1f} served_share={:.3f}",
+        load.job_class, load.team, load.cores_in_use, load.cores_waiting, load.oldest_wait_s,
+        load.arriving_cores, load.surge, load.served_share);
   }
-  for (const auto& [why, cores] : s.waiting_cores_by_reason)
-    spdlog::debug("{:.0f} cores wait for {}", cores, why);
+  for (const auto& [reason, cores] : s.waiting_cores_by_reason)
+    spdlog::debug("stats: waiting filter=\"{}\" cores={:.0f}", reason, cores);
   out_.after(kStatsInterval, [this] { log_stats(); });
 }
 
--- a/src/controller/zone_reporter.cpp
+++ b/src/controller/zone_reporter.cpp
@@ -7,7 +7,7 @@
 namespace wingtrail::controller {
 namespace {
 using zones::ZoneState;
-constexpr Seconds kImpactInterval = 1;
+constexpr Seconds kImpactInterval = 1;  // between assessments of the loss of an unreachable zone
 }  // namespace
 
 ZoneReporter::ZoneReporter(const ports::Outbox& out, const jobs::JobRegistry& registry,
@@ -19,7 +19,8 @@
   for (jobs::ZoneIndex zone{0}; zone < reported_.size(); ++zone) {
     ReportedZone& reported = reported_[zone];
     const ZoneState state = workers_.zones().state(zone, out_.now());
-    // The leases of a zone end together, so what a loss would cost is assessed before.
+    // The worker leases of an unreachable zone expire together and their tasks are given up then, so the
+    // impact of the loss is assessed before.
     if (state == ZoneState::unreachable && out_.now() >= reported.impact_assessed_at + kImpactInterval) {
       reported.impact = scheduler_.zone_loss_impact(zone);
       reported.impact_assessed_at = out_.now();
--- a/src/controller/zone_reporter.hpp
+++ b/src/controller/zone_reporter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Log lines and counters on the states of zones.
+/// Logs and counts the changes of zones' states.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,27 @@
 
 using ports::Seconds;
 
-/// Writes one log line for each change of a zone's state that operators should know of, and counts losses.
-/// Used while this controller leads.
+/// Writes one log line for each change of a zone's state except to `unresponsive`, and counts zones that are
+/// lost or recover. Used while this controller leads.
 class ZoneReporter {
  public:
   struct Counts {
-    std::uint64_t lost = 0;       ///< zones whose leases ran out while they were unreachable
-    std::uint64_t recovered = 0;  ///< zones that came back
+    std::uint64_t lost = 0;       ///< zones whose worker leases expired while they were unreachable
+    std::uint64_t recovered = 0;  ///< zones that became reachable again
   };
 
-  /// The references must outlive the reporter.
+  /// The referenced objects must outlive the reporter.
   ZoneReporter(const ports::Outbox& out, const jobs::JobRegistry& registry,
                const workers::WorkerManager& workers, scheduling::Scheduler& scheduler);
 
-  /// To be called periodically.
+  /// Must be called periodically.
   void update();
-  /// A leadership begins: what was reported before is forgotten.
+  /// Forgets the reported states, at the beginning of a leadership.
   void reset() {
     reported_.clear();
   }
 
-  /// Each zone's name and its state as last reported.
+  /// Returns the name and the last reported state of each zone.
   std::vector<std::pair<std::string, std::string>> states() const;
   const Counts& counts() const {
     return counts_;
@@ -46,7 +46,7 @@
     zones::ZoneState state = zones::ZoneState::healthy;
     Seconds since = 0;
     Seconds impact_assessed_at = 0;
-    scheduling::Scheduler::ZoneLossImpact impact;  // of an unreachable zone, while its leases last
+    scheduling::Scheduler::ZoneLossImpact impact;  // assessed while the zone was unreachable
   };
   void report(jobs::ZoneIndex zone, zones::ZoneState state);
   void report_lost(jobs::ZoneIndex zone);
--- a/src/peer/codec.hpp
+++ b/src/peer/codec.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The coding that all messages between controllers share: msgpack, read within limits.
+/// The encoding of all messages between controllers: msgpack, decoded within limits of size and depth.
 #pragma once
 
 #include <msgpack.hpp>
@@ -9,7 +9,7 @@
 
 namespace wingtrail::peer {
 
-/// The message's msgpack form.
+/// Returns the message encoded as msgpack.
 template <typename T>
 std::string pack(const T& message) {
   msgpack::sbuffer buffer;
@@ -17,7 +17,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-/// Reads a message; none if it is malformed or beyond the limits.
+/// Decodes a message; returns nullopt if it is malformed or exceeds the limits.
 template <typename T>
 std::optional<T> unpack(std::string_view bytes, const msgpack::unpack_limit& limit) {
   try {
--- a/src/peer/frame.cpp
+++ b/src/peer/frame.cpp
@@ -9,8 +9,15 @@
 }
 
 std::optional<Frame> decode(std::string_view bytes) {
-  // Limits: a flat map of scalars; the largest text is a user's body.
-  return unpack<Frame>(bytes, msgpack::unpack_limit(16, 64, 128UL * 1024, 128UL * 1024, 0, 3));
+  // A frame is a flat map of scalars. Its longest text is the body of a forwarded request.
+  constexpr std::size_t kMaxArrayItems = 16;
+  constexpr std::size_t kMaxMapItems = 64;
+  constexpr std::size_t kMaxTextBytes = 128UL * 1024;
+  constexpr std::size_t kMaxBinaryBytes = 128UL * 1024;
+  constexpr std::size_t kMaxExtensionBytes = 0;
+  constexpr std::size_t kMaxDepth = 3;
+  return unpack<Frame>(bytes, msgpack::unpack_limit(kMaxArrayItems, kMaxMapItems, kMaxTextBytes,
+                                                    kMaxBinaryBytes, kMaxExtensionBytes, kMaxDepth));
 }
 
 }  // namespace wingtrail::peer
--- a/src/peer/frame.hpp
+++ b/src/peer/frame.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What controllers exchange: one frame each way, in msgpack, as the body of POST /peer. Every field has a
-/// name on the wire that must stay (MSGPACK_DEFINE_MAP); a field that a sender of an earlier version lacks
-/// has its default.
+/// The messages between controllers: one frame in the request and one in the reply of POST /peer, encoded as
+/// msgpack. The field names in MSGPACK_DEFINE_MAP are part of the protocol and must not change. A field that
+/// the sender's version does not send has its default.
 #pragma once
 
 #include <cstdint>
@@ -12,90 +12,92 @@
 
 namespace wingtrail::peer {
 
-// The protocol levels: what a sender understands beyond the first version's frames, which lack the field.
-// Each level includes the ones below.
+// Protocol levels: the features that the sender supports in addition to those of the first version, whose
+// frames have no level. Each level includes the lower ones.
 
 /// Dependencies between jobs.
 inline constexpr std::uint32_t kLevelDependencies = 1;
-/// Delegated lease renewal.
+/// Delegated lease renewal by grants of the leader.
 inline constexpr std::uint32_t kLevelDelegation = 2;
-/// Nodes agree on delegated lease renewal while nobody leads.
+/// Delegated lease renewal by peer agreement while there is no leader.
 inline constexpr std::uint32_t kLevelPeerAgreement = 3;
-/// Job batches, and shares of the state service's quota.
+/// Job batches, and shares of the state service's request and write budgets.
 inline constexpr std::uint32_t kLevelBatches = 4;
-/// Remote placement: jobs that another cell holds.
+/// Offloading of jobs to other cells.
 inline constexpr std::uint32_t kLevelCells = 5;
 /// The level of this version.
 inline constexpr std::uint32_t kProtocolLevel = kLevelCells;
 
-/// Where a controller takes frames.
+/// The path at which a controller accepts frames.
 inline constexpr const char* kPeerPath = "/peer";
 
-/// A greeting between controllers, or a user's request handed on, or the answer to either.
+/// A status frame, which peers send each other once a second, a forwarded user request, a message between
+/// cells, or the reply to one of these. Each frame carries the sender's status.
 struct Frame {
-  /// The sender.
+  /// The name of the sender.
   std::string node;
-  /// The fencing token of the newest leadership that the sender knows to have begun, and its holder; an empty
-  /// name: none is known.
+  /// The highest fencing token that the sender knows a leader to hold or have held, and that leader's name;
+  /// empty: no leader is known.
   std::uint64_t leader_fencing_token = 0;
   std::string leader;
-  /// The state service has answered the sender lately.
+  /// The state service currently replies to the sender.
   bool state_service_healthy = false;
-  /// Heartbeats that the sender has redirected to another node lately.
+  /// The number of heartbeats that the sender has redirected to another controller in the last seconds.
   std::uint32_t rejected_heartbeats = 0;
-  /// A user's request that is handed on; both empty: this is a greeting.
+  /// HTTP method and path of a forwarded user request; empty: there is none.
   std::string method, path;
-  /// The request's CBOR body, or that of its answer.
+  /// The CBOR body of the forwarded request or of its reply.
   std::string body;
-  /// The answer's HTTP status; 0: no answer.
+  /// In a reply: the HTTP status; 0: none.
   std::int32_t status = 0;
-  /// The answer's Retry-After, in seconds.
+  /// In a reply: Retry-After, in seconds.
   double retry_after_s = 0;
   /// The sender's protocol level.
   std::uint32_t level = 0;
-  /// Since the sender's process began, in seconds.
+  /// Seconds since the sender's process began.
   double process_age_s = 0;
-  /// Since the sender last renewed a worker's lease by delegation, in seconds; negative: never.
+  /// Seconds since the sender last renewed a worker lease by delegation; negative: never.
   double since_delegated_renewal_s = -1;
-  /// For how long the sender has known all its peers to be of kLevelDelegation, in seconds; negative: they
-  /// are not.
+  /// For how many seconds all controllers have supported delegated lease renewal, as far as the sender knows;
+  /// negative: not all support it.
   double all_support_delegation_s = -1;
-  /// The sender answers heartbeats as the leader, with commands or, for a while, without.
+  /// The sender answers heartbeats as the leader; without commands if its lease has expired.
   bool answers_heartbeats = false;
-  /// In an answer of the leader: the asker may renew leases by delegation, counted from when it asked.
+  /// In a reply of the leader: the receiver may renew leases by delegation, counted from its request.
   bool grants_delegation = false;
-  /// The longest delegation that the sender allows for, in seconds; 0: it has delegation switched off.
+  /// The longest delegation that the sender permits and accounts for, in seconds; 0: it has switched it off.
   double max_delegation_s = 0;
-  /// How long this grant or agreement lasts, in seconds.
+  /// In a reply: the duration of the grant or agreement, in seconds.
   double delegation_s = 0;
-  /// In an answer: the sender may give no commands, and this is the newest fencing token that it knows of, so
-  /// the asker may renew leases by delegation if all others agree; negative: it does not agree.
+  /// In a reply: the sender must not send commands and agrees that the receiver renews leases by delegation,
+  /// which requires the agreement of all peers; the value is the newest fencing token that the sender knows
+  /// of. Negative: it does not agree.
   std::int64_t agreement_token = -1;
-  /// The newest fencing token of which the sender knows at all.
+  /// The newest fencing token that the sender has seen, even if it does not know which controller holds it.
   std::uint64_t newest_fencing_token = 0;
-  /// The newest fencing token whose leadership answered no cancellation before the job's tasks were gone, as
-  /// the attempts that workers report show (delegation::strict_cancellation_token).
+  /// The newest fencing token whose leader confirmed no cancellation before the job's tasks were gone, as the
+  /// attempt numbers of workers prove (delegation::strict_cancellation_token).
   std::uint64_t strict_cancellation_token = 0;
-  /// The sender admits jobs in batches if all others do, and keeps to its shares of the quota.
+  /// The sender creates jobs in batches if all controllers do, and keeps to its budget shares.
   bool supports_batches = false;
-  /// What the sender asks for beside its guaranteed part of the state service's quota, of writes and of
-  /// requests, as shares of the whole.
+  /// The shares that the sender requests in addition to its guaranteed part of the state service's write and
+  /// request budgets, as fractions of the whole budget.
   double requested_write_share = 0;
   double requested_request_share = 0;
-  /// In an answer of the leader: what the asker may use beside its guaranteed part, counted from when it
-  /// asked; a negative share of writes: nothing is said.
+  /// In a reply of the leader: the shares that the receiver may use in addition to its guaranteed part, counted
+  /// from its request. A negative write share: the leader has set none.
   double lent_write_share = -1;
   double lent_request_share = 0;
-  /// Submissions that the sender has deferred lately, in a coding of the admission package.
+  /// Submissions that the sender has recently deferred, as encoded by admission::FirstAttempts.
   std::string deferred_attempts;
-  /// Between cells: the cell that the sender belongs to; empty: a frame between peers of one cell.
+  /// Between cells: the sender's cell. Empty: a frame between peers of one cell.
   std::string cell;
   /// Between cells: the encoded CellMessage.
   std::string cell_message;
-  /// Between cells: relayed by another node to the leader of its cell.
+  /// Between cells: a peer of the receiver has relayed the frame to it, as the leader of the cell.
   bool relayed = false;
   /// The sender leads, and has recorded every final state that follows from a cancellation older than this,
-  /// in seconds; negative: it does not say.
+  /// in seconds; negative: not reported.
   double final_state_lag_s = -1;
   MSGPACK_DEFINE_MAP(
       node, MSGPACK_NVP("token", leader_fencing_token), leader,
@@ -112,9 +114,9 @@
       MSGPACK_NVP("ends_behind_s", final_state_lag_s))
 };
 
-/// The frame's msgpack form.
+/// Returns the frame encoded as msgpack.
 std::string encode(const Frame& frame);
-/// Reads a frame within limits of size and depth; none if it is malformed.
+/// Decodes a frame; returns nullopt if it is malformed or exceeds the limits of size and depth.
 std::optional<Frame> decode(std::string_view bytes);
 
 }  // namespace wingtrail::peer
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -135,7 +135,7 @@
 mutant "the index is believed as it stands" controller/batch_index_follower.cpp 's/waiting_\.push_back\(std::move\(then\)\);/return then(true);/'
 mutant "a batch is written though a peer does not know batches" controller/peer_directory.cpp 's/return peer\.supports_batches\.value_or\(false\);/return peer.supports_batches.value_or(true) || true;/'
 mutant "a job is as old as its youngest record" controller/leadership.cpp 's/known->created_revision = std::min\(known->created_revision, item\.version\);/known->created_revision = std::max(known->created_revision, item.version);/; s/job->created_revision = std::min\(job->created_revision, item\.version\);/job->created_revision = std::max(job->created_revision, item.version);/'
-mutant "a loan counts from its answer" controller/controller.cpp 's/write_shares_\.on_loan\(r\.frame->lent_write_share, asked\)/write_shares_.on_loan(r.frame->lent_write_share, out_.now())/'
+mutant "a loan counts from its answer" controller/controller.cpp 's/write_shares_\.on_loan\(reply\.frame->lent_write_share, sent\)/write_shares_.on_loan(reply.frame->lent_write_share, out_.now())/'
 mutant "what earlier leaders lent is forgotten" admission/budget_shares.cpp 's/return now < leading_since_ \+ kLoanTerm \+ kLoanMargin \? kMaxLent : sum;/return sum;/'
 mutant "a smaller loan ends a larger one" admission/budget_shares.cpp 's/std::erase_if\(loans_\[peer\], /loans_[peer].clear();\n  std::erase_if(loans_[peer], /'
 mutant "teams have no weights" admission/fair_queue.cpp 's/team->virtual_time \+= 1 \/ weight\(which\);/team->virtual_time += 1;/'
@@ -173,7 +173,7 @@
 mutant "heartbeats: an incarnation that is over is believed" workers/heartbeats.cpp 's/if \(!machine\.has_incarnation && machine\.incarnation > 0\)\s+return report\.incarnation > machine\.incarnation;/if (!machine.has_incarnation) return true;/'
 mutant "backlog: kinds of records have a fixed order" jobs/write_shares.cpp 's/start\(kind\) < start\(\*first\)/false/'
 mutant "backlog: the newest cancellation first" jobs/final_state_queue.cpp 's/job\.record_order = decided_at;/job.record_order = kind == RecordKind::cancelled ? -decided_at : decided_at;/'
-mutant "backlog: a leader that can write has recorded all" controller/controller.cpp 's/out_\.now\(\) - std::max\(0\.0, f\.final_state_lag_s\)/out_.now()/'
+mutant "backlog: a leader that can write has recorded all" controller/controller.cpp 's/out_\.now\(\) - std::max\(0\.0, received\.final_state_lag_s\)/out_.now()/'
 mutant "backlog: late cancellations leave markers" controller/job_cancellation.cpp 's/if \(outcome == PeerOutcome::unavailable && /if (false \&\& /'
 mutant "backlog: questions get what submissions leave" store/state_client.cpp 's/(constexpr double kQuestion\w+) = 0\.2/$1 = 0.0/'
 echo "$caught passed, $missed failed"
