--- a/model/check.sh
+++ b/model/check.sh
@@ -1,15 +1,16 @@
 #!/usr/bin/env bash
-# Checks the model whole, and without each of its guards, which must fail. Usage: model/check.sh [WORK_DIR]
-# LAST sets where time ends; the default takes a minute or two on eight cores and some 2 GB.
+# Checks the whole model, which must have no errors, and the model without each of its guards, which must have some.
+# Usage: model/check.sh [WORK_DIR]. The variable LAST sets the number of time steps; the default takes a minute or two
+# on eight cores and about 2 GB.
 set -euo pipefail
 model=$(cd "$(dirname "$0")" && pwd)/lease_delegation.pml
 work=${1:-$(mktemp -d)}
 guards=(NO_VOID NO_WORD NO_FENCE NO_SETTLING FORGET_DOUBT GRANT_FROM_ARRIVAL NO_RESTARTS_SEEN NO_HELD TELL_AT_ONCE
   AUTHORITY_OUTLASTS)
-# Of the agreement while nobody leads, which is checked by itself: grants left out.
-consents=(OLD_CONSENT_COUNTS AGREED_FOR_GOOD CONSENT_NOT_PUT_DOWN CONSENT_FROM_ARRIVAL TELL_AT_ONCE)
+# Guards of the agreement while there is no leader, which is checked separately, without grants.
+agreement_guards=(OLD_CONSENT_COUNTS AGREED_FOR_GOOD CONSENT_NOT_PUT_DOWN CONSENT_FROM_ARRIVAL TELL_AT_ONCE)
 
-# Leaves in NAME/errors how many errors were found; "incomplete" if none was and not every state was visited.
+# Writes the number of errors found to NAME/errors, or "incomplete" if none was found and not every state was visited.
 check() { # NAME [DEFINITION...]
   local name=$1
   shift
@@ -32,7 +33,7 @@
   while (($(jobs -rp | wc -l) >= $(nproc))); do wait -n; done
   check "$guard" -D"$guard" &
 done
-for guard in "${consents[@]}"; do
+for guard in "${agreement_guards[@]}"; do
   while (($(jobs -rp | wc -l) >= $(nproc))); do wait -n; done
   check "agreed-$guard" -DAGREE -DLAST=6 -D"$guard" &
 done
@@ -46,6 +47,6 @@
 echo "states of the whole model: $(sed -n 's/^ *\([0-9.e+]*\) states, stored.*/\1/p' "$work/whole/pan.log")"
 verdict whole "$(cat "$work/whole/errors")" '^0$'
 verdict agreed "$(cat "$work/agreed/errors")" '^0$'
-for guard in "${guards[@]}" "${consents[@]/#/agreed-}"; do verdict "without: $guard" "$(cat "$work/$guard/errors")" '^[1-9]'; done
+for guard in "${guards[@]}" "${agreement_guards[@]/#/agreed-}"; do verdict "without: $guard" "$(cat "$work/$guard/errors")" '^[1-9]'; done
 echo "$passed passed, $failed failed"
 ((failed == 0))
--- a/model/lease_delegation.pml
+++ b/model/lease_delegation.pml
@@ -1,61 +1,65 @@
-/* Leadership, custody and settling: two controllers, a worker, a task that must be gone from it before the leader
- * may start it elsewhere, and in time once its cancellation was told. What the model stands for, and what it leaves out, is in
- * README.md beside it. Each guard can be taken out by a definition (-DNO_...); the check must fail then.
+/* Model of leader election, delegated lease renewal and reconciliation, with two controllers, one worker and one
+ * task. Before the leader may start the task on another machine, it must be gone from the worker; after its
+ * cancellation was confirmed it must be gone in time. README.md in this directory maps the names to the code and
+ * lists the simplifications. Each guard can be removed by a definition, such as -DNO_VOID; the check must then fail.
  *
- * Every exchange may happen at any moment or never, so outages, cuts, crashed and frozen nodes need no events of
- * their own. Starts and grants travel on their own and may arrive at any later time. */
+ * Every message exchange may happen at any moment or never. This covers outages, partitions, crashes and stalls, so
+ * they need no events of their own. Starts and grants may arrive at any later time.
+ *
+ * Words used in names: office = leadership, order = command, custody = delegated lease renewal, consent = peer
+ * agreement, settled = reconciled, told = confirmed to the user, over = expired. Durations are in steps of time. */
 
-#define LEASE  1   /* of a worker */
-#define CANCEL 2   /* a told cancellation's tasks are gone after that; less than SPAN + LEASE */
+#define LEASE  1   /* duration of a worker lease */
+#define CANCEL 2   /* time limit for the tasks to end after a confirmed cancellation; less than SPAN + LEASE */
 #ifdef AGREE
-#define SPAN   2   /* of a consent */
+#define SPAN   2   /* duration of a peer agreement */
 #else
-#define SPAN   3   /* of a grant */
+#define SPAN   3   /* duration of a grant */
 #endif
-#define OFFICE 2   /* the leader's lease of its key */
+#define OFFICE 2   /* duration of the leader lease */
 #ifndef LAST
-#define LAST   6   /* time ends here */
+#define LAST   6   /* the run ends at this time */
 #endif
-#define OFFICES  2  /* leaderships, and restarts, in a run */
-#define RESTARTS 1
-#define OVER(t) (t + LEASE + 1)  /* a lease renewed at t is certainly over */
+#define OFFICES  2  /* number of leaderships in a run */
+#define RESTARTS 1  /* number of controller restarts in a run */
+#define OVER(t) (t + LEASE + 1)  /* when a lease that was renewed at t has certainly expired */
 
 byte now = 1;
 byte restarts = 0;
 bool outage = false;
-byte key_until = 0, key_token = 0;   /* the leader's key in the state service */
+byte key_until = 0, key_token = 0;   /* end of the leader lease in the state service, and fencing token */
 
-/* controllers */
-byte token[2];          /* of the leadership it holds or held; 0: none */
-byte auth[2];           /* orders leave before that */
-byte newest[2];         /* the newest leadership that it knows of */
-byte grant[2];          /* reports may be answered in custody before that */
-byte grant_token[2];
-byte asked[2];          /* a request for a grant is out since; 0: none */
-byte answer_token[2];   /* and has been answered by this leadership; 0: not yet */
-byte agreed[2];         /* the other has agreed that it may answer before that, for nobody leads */
-byte spoke[2];          /* such an answer of the other is on its way, to a question of this time; 0: none */
-byte spoke_of[2];       /* the newest leadership that the other knew of when it gave it */
-byte held[2];           /* when it last answered in custody; 0: never */
-byte born[2];
+/* Controllers. */
+byte token[2];          /* fencing token of its current or last leadership; 0: none */
+byte auth[2];           /* it may send commands before this time */
+byte newest[2];         /* the newest fencing token that it knows of */
+byte grant[2];          /* it may renew worker leases by the leader's grant before this time */
+byte grant_token[2];    /* fencing token of the leader that gave the grant */
+byte asked[2];          /* when its request for a grant, now in flight, was sent; 0: none in flight */
+byte answer_token[2];   /* fencing token of the leader that has replied to that request; 0: no reply yet */
+byte agreed[2];         /* it may renew worker leases by the peer's agreement before this time */
+byte spoke[2];          /* when the request was sent to which an agreement is in flight; 0: none in flight */
+byte spoke_of[2];       /* the newest fencing token that the peer knew of when it gave that agreement */
+byte held[2];           /* when it last renewed a lease by delegation; 0: never */
+byte born[2];           /* when its process began; 0: at the beginning of the run */
 
-/* the present leader's account; a take-over begins it anew */
-byte until;             /* the other controller may answer until then */
-byte mine;              /* of that, by a grant of this leadership */
-byte vouched;           /* all it did before is known */
-byte renewed;           /* of that: when it may have answered last; 0: never */
-byte own;               /* when the worker's lease ends, for all that this leader did */
-bool known;              /* the worker's session is the one that the leader has heard of */
-bool settled;
-bool doubt;          /* the task may be there */
-bool wanted;            /* its user wants it cancelled */
-byte told;              /* when that was confirmed to the user; 0: not yet */
+/* The current leader's delegation ledger, and its state of the worker; reset by an election. */
+byte until;             /* the peer may renew leases until this time */
+byte mine;              /* the peer may renew leases until this time by a grant of this leadership */
+byte vouched;           /* the peer's renewals before this time are known */
+byte renewed;           /* the latest time before `vouched` at which the peer may have renewed; 0: never */
+byte own;               /* when the worker lease expires, considering only this leader's renewals */
+bool known;              /* the leader has had contact with the worker's current incarnation */
+bool settled;           /* the worker is reconciled */
+bool doubt;          /* the task may be on the worker */
+bool wanted;            /* the user has requested the cancellation */
+byte told;              /* when the cancellation was confirmed to the user; 0: not yet */
 
-/* the worker */
-byte lease;          /* alive up to then */
-byte mandate;
-bool has;
-byte start;          /* a start with this token is under way to the worker; 0: none */
+/* The worker. */
+byte lease;          /* end of its lease */
+byte mandate;        /* the newest fencing token that it knows of */
+bool has;            /* the task is running on it */
+byte start;          /* fencing token of a start in flight to the worker; 0: none */
 
 #define OTHER(n) (1 - n)
 #ifdef NO_VOID
@@ -66,6 +70,7 @@
 #define LEADS(n) (token[n] != 0 && token[n] == key_token)
 #define ENTITLED(n) (token[n] != 0 && now < auth[n])
 
+/* Controller n learns of fencing token t. */
 inline hear(n, t) {
   if
   :: t > newest[n] ->
@@ -80,7 +85,7 @@
   fi
 }
 
-/* When the worker's lease is certainly over, as the leader reckons it. */
+/* Sets `end` to the time at which the leader considers the worker lease expired. */
 inline lease_end(end) {
   end = own;
   if :: renewed != 0 && OVER(renewed) > end -> end = OVER(renewed) :: else fi;
@@ -89,6 +94,7 @@
 #endif
 }
 
+/* Controller n is elected. */
 inline take_office(n) {
   key_token = key_token + 1;
   token[n] = key_token;
@@ -115,19 +121,20 @@
   settled = false; doubt = true;
 #endif
   asked[n] = 0; answer_token[n] = 0;
-  wanted = false  /* the user asks again */
+  wanted = false  /* the user repeats the request */
 }
 
-/* The worker answers its leader, or reports to it: what is on it is known, orders of earlier leaders are void. */
+/* The worker sends leader n a heartbeat or replies to its call: the leader learns what runs on it, and commands of
+ * earlier leaders become void. */
 inline contact(n) {
   mandate = token[n];
-  /* A session that is news began before now, and nobody has answered a report of it after now. */
+  /* An incarnation that is new to the leader began before now, and its lease cannot have been renewed after now. */
   if :: LEADS(n) && !known && own < OVER(now) -> own = OVER(now) :: else fi;
   known = true;
   settled = true;
   if
   :: has -> doubt = true
-  :: !has && start == token[n] ->  /* a start of this leadership that may still arrive */
+  :: !has && start == token[n] ->  /* a start command of this leadership may still arrive */
 #ifdef FORGET_DOUBT
      doubt = false
 #else
@@ -140,10 +147,10 @@
 inline tick() {
   now = now + 1;
   if
-  :: now > lease -> has = false; start = 0; known = false; lease = now + LEASE  /* the next session */
+  :: now > lease -> has = false; start = 0; known = false; lease = now + LEASE  /* the next incarnation */
   :: else
   fi;
-  /* What is past and matters no more is forgotten, so that states that differ in it alone are one. */
+  /* Values in the past that have no effect any more are reset, to merge states that differ only in them. */
   for (w : 0 .. 1) {
     if :: auth[w] <= now -> auth[w] = 0 :: else fi;
     if :: grant[w] <= now -> grant[w] = 0; grant_token[w] = 0 :: else fi;
@@ -165,7 +172,7 @@
   do
   :: atomic { now < LAST -> tick(); n = 0; w = 0; end = 0 }
 
-  /* offices */
+  /* Election, and renewal of the leader lease. */
   :: atomic { now >= key_until && key_token < OFFICES -> select(n : 0 .. 1);
        take_office(n); n = 0; end = 0 }
   :: atomic { key_token != 0 && now < key_until -> if :: LEADS(0) -> n = 0 :: else -> n = 1 fi;
@@ -183,12 +190,12 @@
        :: else
        fi; n = 0; end = 0 }
 
-  /* a restart: nothing is remembered */
+  /* A controller restarts and loses all its state. */
   :: atomic { restarts < RESTARTS -> restarts = restarts + 1; select(n : 0 .. 1); token[n] = 0; auth[n] = 0; newest[n] = 0; grant[n] = 0; grant_token[n] = 0;
        asked[n] = 0; answer_token[n] = 0; agreed[n] = 0; spoke[n] = 0; spoke_of[n] = 0; held[n] = 0; born[n] = now; n = 0 }
 
 #ifndef AGREE
-  /* grants: asked for and answered at once, arrived at any later time */
+  /* Grants: the leader replies to the request at once, and the reply arrives at any later time. */
   :: atomic { select(n : 0 .. 1);
        if
        :: ENTITLED(OTHER(n)) && LEADS(OTHER(n)) && asked[n] != now ->
@@ -217,12 +224,13 @@
 #endif
 
 #ifdef AGREE
-  /* An outage: leases of the state service have their full time again after it, authority does not. */
+  /* An outage of the state service: afterwards its leases last for their full duration again, but `auth`, the time
+   * until which the leader may send commands, is not extended. */
   :: atomic { !outage && key_token != 0 && now < key_until -> outage = true; key_until = key_until + OFFICE }
 
-  /* consent: the other may give no orders now. One that leads, but past its authority, puts it down. Given at once, it
-   * arrives at any later time; it counts from the asking.
-   * Only the second asks; either of the two may lead, agree, or have led. */
+  /* Peer agreement: the peer must not send commands now. A leader whose lease has expired records its agreement.
+   * The peer replies at once, and the reply arrives at any later time; the agreement counts from the request.
+   * Only the second controller sends requests; either of the two may lead, agree or have led. */
   :: atomic { n = 1;
        if
        :: spoke[n] != now &&
@@ -263,13 +271,13 @@
        fi; n = 0 }
 #endif
 
-  /* the other controller's word */
+  /* The peer's statement to the leader about its process and its last renewal. */
   :: atomic { (ENTITLED(0) && LEADS(0)) || (ENTITLED(1) && LEADS(1)) ->
        if :: ENTITLED(0) && LEADS(0) -> n = 0 :: else -> n = 1 fi;
        hear(OTHER(n), token[n]);
 #ifndef NO_RESTARTS_SEEN
        if
-       :: born[OTHER(n)] != 0 && born[OTHER(n)] >= vouched ->  /* in steps of time: not before that word */
+       :: born[OTHER(n)] != 0 && born[OTHER(n)] >= vouched ->  /* not before the last statement; times are whole steps */
           if
           :: born[OTHER(n)] < until && born[OTHER(n)] > renewed -> renewed = born[OTHER(n)]
           :: born[OTHER(n)] >= until && until > renewed -> renewed = until
@@ -285,7 +293,8 @@
        until = mine;
        n = 0 }
 
-  /* a report to the leader, or its call to the worker */
+  /* A heartbeat to the leader, or the leader's call to the worker. Its reply is lost, arrives and renews the lease,
+   * or stops the task. */
   :: atomic { true; if :: ENTITLED(0) -> n = 0 :: else -> n = 1 fi;
        if
        :: ENTITLED(n) && mandate <= token[n] ->
@@ -299,7 +308,7 @@
        fi; n = 0 }
 
 #ifndef AGREE
-  /* custody */
+  /* A controller renews the worker lease by the leader's grant. */
   :: atomic { select(n : 0 .. 1);
        if
        :: !ENTITLED(n) && now < grant[n] && GRANT_HOLDS(n) && mandate <= grant_token[n] ->
@@ -310,7 +319,7 @@
 
 #endif
 
-  /* the leader takes a lease for over */
+  /* The leader considers the worker lease expired. */
   :: atomic { true; if :: LEADS(0) -> n = 0 :: else -> n = 1 fi;
        if
        :: LEADS(n) && ENTITLED(n) ->
@@ -319,7 +328,7 @@
        :: else
        fi; n = 0; end = 0 }
 
-  /* the task is started here; elsewhere it could be as well */
+  /* The leader starts the task on this worker; it could as well start it on another machine. */
   :: atomic { true; if :: LEADS(0) -> n = 0 :: else -> n = 1 fi;
        if
        :: ENTITLED(n) && LEADS(n) && told == 0 && !wanted && settled && !doubt &&
@@ -333,7 +342,7 @@
        :: else
        fi }
 
-  /* a cancellation */
+  /* A cancellation is requested, and confirmed to the user. */
   :: atomic { told == 0 && key_token != 0 -> wanted = true }
   :: atomic { told == 0 && wanted -> if :: LEADS(0) -> n = 0 :: else -> n = 1 fi;
        if
@@ -351,12 +360,12 @@
   od
 }
 
-/* The leader may start the task elsewhere, while it is here or may still come here. */
+/* The leader may start the task on another machine while it is on the worker or a start of it may still arrive. */
 #define two_places (((ENTITLED(0) && LEADS(0)) || (ENTITLED(1) && LEADS(1))) && settled && !doubt && \
                     (has || (start != 0 && start >= mandate)))
 #define two_givers (ENTITLED(0) && ENTITLED(1))
 #define too_long   (told != 0 && now > told + CANCEL && has)
-/* From the confirmation on nothing is there, and nothing that is under way can come to be there. */
+/* After the confirmation the task is on the worker, or a start of it may still arrive. */
 #define told_and_there (told != 0 && (has || (start != 0 && start >= mandate)))
 
 active proctype watch() {
