--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,12 +10,12 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kGreeting = 1.0;        // interval of the status frames to peers
-constexpr Seconds kFirstGreetings = 0.1;  // interval after the process start; it doubles up to kGreeting
-constexpr Seconds kPeriod = 0.25;
+constexpr Seconds kStatusInterval = 1.0;       // between status frames to peers
+constexpr Seconds kFirstStatusInterval = 0.1;  // after the process start; it doubles up to kStatusInterval
+constexpr Seconds kTickInterval = 0.25;
 constexpr Seconds kStatsInterval = 10;
 // A new leader that reads nothing for this long resigns: more than twice the timeout of a read.
-constexpr Seconds kReadsWithin = 12;
+constexpr Seconds kMaxLoadStall = 12;
 
 std::vector<std::string> neighbour_names(const settings::Cells& cells) {
   std::vector<std::string> names;
@@ -25,7 +25,7 @@
 }
 
 // Returns the part of the keys of job batches that is unique to this process.
-std::string life_name(std::uint64_t seed) {
+std::string process_name(std::uint64_t seed) {
   std::ostringstream out;
   out << std::hex << seed;
   return out.str();
@@ -37,9 +37,9 @@
       store_(out_, settings_),
       registry_(settings_),
       election_(out_, store_, settings_,
-                {[this] { elected(); },
+                {[this] { on_elected(); },
                  [this] {
-                   lost();
+                   on_leadership_lost();
                  }}),
       peers_(out_, settings_),
       delegation_support_(
@@ -53,7 +53,7 @@
                           }}),
       write_shares_(settings_.peers.size() + 1),
       request_shares_(settings_.peers.size() + 1),
-      creation_queue_(out_, store_, settings_, life_name(seed)),
+      creation_queue_(out_, store_, settings_, process_name(seed)),
       batches_(out_, store_, peers_, settings_.tunables.fair_admission > 0),
       lookup_(out_, store_, batches_,
               {[this] { return term_; },
@@ -63,7 +63,7 @@
       final_state_query_(out_, store_, settings_,
                          {[this] { return term_; },
                           [this] {
-                            read_at_ = out_.now();
+                            last_load_reply_at_ = out_.now();
                           }}),
       dependencies_(registry_, {[this](const std::string& ref) -> std::optional<jobs::DependencyGraph::End> {
                                   const wire::FinalState* state = final_states_.find(ref);
@@ -117,11 +117,11 @@
       zone_reporter_(out_, registry_, workers_, scheduler_),
       remote_placements_(neighbour_names(settings_.cells), page_bytes(settings_)),
       neighbours_(settings_.cells.neighbours.size()),
-      responder_(out_, [this] { return frame(); }),
+      responder_(out_, [this] { return make_frame(); }),
       peer_calls_(out_, election_, peers_, responder_,
-                  {[this] { return frame(); },
+                  {[this] { return make_frame(); },
                    [this](std::size_t peer, const peer::Frame& received) {
-                     heard(peer, received);
+                     on_peer_frame(peer, received);
                    }}),
       queries_(
           {out_, store_, settings_, final_states_, registry_, dependencies_, remote_placements_, lookup_,
@@ -175,13 +175,13 @@
   delegation_support_.read_record({});
   catalog_.start_fetching();
   batches_.start();
-  probe_store();
-  greet_peers();
-  periodic();
+  probe_state_service();
+  send_status_to_peers();
+  run_periodic_tasks();
   out_.after(kStatsInterval, [this] { log_stats(); });
 }
 
-void Controller::reply(Seconds now, std::uint64_t call, const ports::Reply& reply) {
+void Controller::on_reply(Seconds now, std::uint64_t call, const ports::Reply& reply) {
   out_.set_now(now);
   out_.complete(call, reply);
 }
@@ -199,7 +199,7 @@
   return out_.drain();
 }
 
-void Controller::request(Seconds now, const IncomingRequest& request) {
+void Controller::on_request(Seconds now, const IncomingRequest& request) {
   out_.set_now(now);
   route({request.id, false}, request.method, request.path, request.body);
 }
@@ -247,11 +247,11 @@
 // stay ready: users are then answered at once with Retry-After, and the time that the load balancer takes to
 // put a controller back into service does not prolong the outage.
 bool Controller::is_ready() const {
-  return !catalog_.types().empty() &&
-         (store_.healthy() || peer_calls_.served_peer() || is_active_leader() || peers_.none_served());
+  return !catalog_.types().empty() && (store_.healthy() || peer_calls_.peer_with_state_service() ||
+                                       is_active_leader() || peers_.none_has_state_service());
 }
 
-peer::Frame Controller::frame() const {
+peer::Frame Controller::make_frame() const {
   peer::Frame frame;
   frame.node = settings_.node;
   frame.leader_fencing_token = election_.leader_fencing_token();
@@ -260,7 +260,7 @@
   frame.rejected_heartbeats = static_cast<std::uint32_t>(heartbeats_.recent_rejections());
   frame.level = peer::kProtocolLevel;
   frame.process_age_s = out_.now() - started_at_;
-  delegated_renewal_.describe(frame);
+  delegated_renewal_.add_status(frame);
   frame.supports_batches = settings_.tunables.fair_admission > 0;
   // Twice the recent demand, because a surge may double within the seconds that a budget share is lent for.
   const auto demand = store_.recent_demand();
@@ -277,7 +277,7 @@
   return frame;
 }
 
-void Controller::greet_peers() {
+void Controller::send_status_to_peers() {
   delegated_renewal_.observe_leadership();
   delegation_support_.update();
   delegation_support_.maintain_record(is_active_leader());
@@ -288,13 +288,13 @@
     call.peer = static_cast<std::uint32_t>(i);
     call.method = "POST";
     call.path = peer::kPeerPath;
-    call.frame = frame();
+    call.frame = make_frame();
     call.timeout_s = 0.9;
     out_.call(std::move(call), [this, i, sent = out_.now()](const ports::Reply& reply) {
       if (!reply.frame)
         return;
-      heard(i, *reply.frame);
-      delegated_renewal_.on_greeting_reply(i, *reply.frame, sent);
+      on_peer_frame(i, *reply.frame);
+      delegated_renewal_.on_status_reply(i, *reply.frame, sent);
       if (reply.frame->lent_write_share >= 0 &&
           reply.frame->leader_fencing_token >= election_.leader_fencing_token()) {
         write_shares_.on_loan(reply.frame->lent_write_share, sent);
@@ -304,11 +304,12 @@
   }
   // If all controllers start together, the first frames reach no peer. Repeating them soon keeps peer
   // agreement from being delayed by a whole interval.
-  const Seconds first = settings_.tunables.peer_agreement ? kFirstGreetings : kGreeting;
-  out_.after(std::min(kGreeting, std::max(first, out_.now() - started_at_)), [this] { greet_peers(); });
+  const Seconds first = settings_.tunables.peer_agreement ? kFirstStatusInterval : kStatusInterval;
+  out_.after(std::min(kStatusInterval, std::max(first, out_.now() - started_at_)),
+             [this] { send_status_to_peers(); });
 }
 
-void Controller::heard(std::size_t peer, const peer::Frame& received) {
+void Controller::on_peer_frame(std::size_t peer, const peer::Frame& received) {
   peers_.on_frame(peer, received);
   if (!received.deferred_attempts.empty())
     creation_queue_.first_attempts().merge(received.deferred_attempts, out_.time_of_day());
@@ -322,7 +323,7 @@
         std::max(final_states_recorded_until_, out_.now() - std::max(0.0, received.final_state_lag_s));
 }
 
-void Controller::peer(Seconds now, std::uint64_t id, const peer::Frame& received) {
+void Controller::on_frame(Seconds now, std::uint64_t id, const peer::Frame& received) {
   out_.set_now(now);
   // Controllers of another cell may have the same names as peers, so their frames are handled first.
   if (!received.cell.empty() && !received.relayed)
@@ -330,18 +331,18 @@
   for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
     if (settings_.peers[i].name != received.node)
       continue;
-    heard(i, received);
-    const DelegatedRenewal::Permission permission = delegated_renewal_.permission(received);
+    on_peer_frame(i, received);
+    const DelegatedRenewal::Permission permission = delegated_renewal_.permission_for(received);
     const bool lends =
         election_.may_act() && received.supports_batches && settings_.tunables.fair_admission > 0;
     if (received.path.empty() && received.cell.empty() &&
         (permission.grant || permission.agreement || lends)) {
-      delegated_renewal_.on_permitted(i, permission);
+      delegated_renewal_.record_permission(i, permission);
       ports::Answer answer;
       answer.request = id;
-      answer.frame = frame();
+      answer.frame = make_frame();
       answer.frame->status = 200;
-      delegated_renewal_.permit(*answer.frame, permission);
+      delegated_renewal_.add_permission(*answer.frame, permission);
       if (lends) {
         answer.frame->lent_write_share = write_shares_.lend(i, received.requested_write_share, out_.now());
         answer.frame->lent_request_share =
@@ -360,18 +361,18 @@
 
 // Followers send few requests to the state service, so this regular read shows whether it replies to them.
 // The result is reported to peers in status frames.
-void Controller::probe_store() {
+void Controller::probe_state_service() {
   if (!election_.holds_leadership())
     store_.get(leadership::kLeaderKey, store::RequestPriority::lease, [](const store::Reply&) {});
-  out_.after(kGreeting, [this] { probe_store(); });
+  out_.after(kStatusInterval, [this] { probe_state_service(); });
 }
 
-void Controller::periodic() {
+void Controller::run_periodic_tasks() {
   // If the state service fails while a new leader is loading, that leader knows no machines and cannot renew
   // their leases, yet its leadership keeps other controllers from renewing them. So it resigns.
   if (election_.holds_leadership() && !loaded_ &&
       (out_.now() > election_.lease_expires_at() + settings_.tunables.leader_lease_s ||
-       out_.now() > read_at_ + kReadsWithin))
+       out_.now() > last_load_reply_at_ + kMaxLoadStall))
     election_.resign(0, "nothing could be read");
   if (election_.holds_leadership() && loaded_) {
     workers_.tick();
@@ -388,7 +389,7 @@
     }
   }
   overload_.update(out_.now(), creation_queue_, budget_share().writes);
-  out_.after(kPeriod, [this] { periodic(); });
+  out_.after(kTickInterval, [this] { run_periodic_tasks(); });
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -156,7 +156,7 @@
   // Other cells.
   std::vector<CellLoad> cells;  ///< one for each neighbour
   std::uint64_t jobs_offloaded = 0;
-  std::uint64_t jobs_returned_home = 0;
+  std::uint64_t remote_jobs_returned = 0;
   std::uint64_t remote_jobs_done = 0;
   std::uint64_t offers_accepted = 0;
   std::uint64_t offers_refused = 0;
@@ -178,12 +178,12 @@
   /// Must be called once, before anything else.
   void start(Seconds now);
   /// Handles a request of a user or a worker.
-  void request(Seconds now, const IncomingRequest& request);
+  void on_request(Seconds now, const IncomingRequest& request);
   /// Handles a frame of a peer or of a controller of another cell.
   /// @param id repeated in the ports::Answer
-  void peer(Seconds now, std::uint64_t id, const peer::Frame& frame);
+  void on_frame(Seconds now, std::uint64_t id, const peer::Frame& frame);
   /// Handles the reply to the call with that id, or its failure.
-  void reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
+  void on_reply(Seconds now, std::uint64_t call, const ports::Reply& reply);
   /// Runs the timers that are due. Must be called at next_wake().
   void tick(Seconds now);
   /// Sets the difference between the time of day (seconds since 1970) and the steady clock.
@@ -238,20 +238,20 @@
   void apply_reread_jobs(const std::shared_ptr<Rereading>& all);
   void on_final_state(const std::string& ref, const wire::FinalState& ended);
 
-  void greet_peers();
-  void heard(std::size_t peer, const peer::Frame& frame);
-  peer::Frame frame() const;
-  void probe_store();
-  void periodic();
+  void send_status_to_peers();
+  void on_peer_frame(std::size_t peer, const peer::Frame& frame);
+  peer::Frame make_frame() const;
+  void probe_state_service();
+  void run_periodic_tasks();
   void log_stats();
 
   // A leadership (leadership.cpp).
-  void elected();
-  void lost();
-  void load(const char* prefix, const std::string& after, std::uint64_t term);
+  void on_elected();
+  void on_leadership_lost();
+  void load_records(const char* prefix, const std::string& after, std::uint64_t term);
   void load_item(const char* prefix, const wire::Item& item);
-  void loaded();
-  void follow_jobs(std::uint64_t after, std::uint64_t term);
+  void on_load_finished();
+  void watch_jobs(std::uint64_t after, std::uint64_t term);
   void on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version);
   void on_job_read(const wire::Value& value, std::uint64_t version, const std::string& batch_key = {});
   jobs::Job* add_job(const wire::Value& value, std::uint64_t version);
@@ -304,7 +304,7 @@
   void read_uncertain_pages();
   void write_remote_placements();
   void on_remote_placements_reply(const store::Reply& reply);
-  void return_home(const std::vector<std::string>& refs);
+  void schedule_locally(const std::vector<std::string>& refs);
   void load_remote_placements();
   peer::CapacityDigest make_digest(std::size_t to);
   void on_cell_message(std::uint64_t id, const peer::Frame& frame);
@@ -346,8 +346,8 @@
   FinalStateCache final_states_;
   std::uint64_t term_ = 0;
   bool loaded_ = false;
-  Seconds read_at_ = 0;                    // when the last records were read, while not loaded
-  std::vector<std::string> markers_read_;  // keys of the cancellation markers that were read while loading
+  Seconds last_load_reply_at_ = 0;                   // when the last records were read, while not loaded
+  std::vector<std::string> cancellation_markers_;    // keys of the markers that were read while loading
   std::deque<std::string> dependencies_to_look_up_;  // dependencies that are not known to this controller
   int dependency_lookups_in_flight_ = 0;
   Seconds started_at_ = 0;
@@ -362,9 +362,9 @@
   std::vector<wire::Item> remote_placement_pages_;  // read while loading
   std::set<std::string> tombstones_in_progress_;    // foreign jobs whose tombstones are being written
   // Capacity for foreign jobs, computed once a second.
-  cells::GuestCapacity guest_capacity_;
-  bool guest_capacity_known_ = false;  // whether it was computed in this leadership
-  Seconds guest_wait_s_ = 0;           // expected wait of a foreign job, in seconds
+  cells::GuestCapacity foreign_job_capacity_;
+  bool foreign_job_capacity_known_ = false;  // whether it was computed in this leadership
+  Seconds foreign_job_wait_s_ = 0;           // expected wait of a foreign job, in seconds
   // Jobs that must not start here because they are selected for offloading.
   std::vector<jobs::JobIndex> selected_for_offload_;
   bool offloading_expected_ = false;  // by the last plan, new jobs would start sooner in another cell
--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -47,7 +47,7 @@
   delegate_.observe_leadership(election_.leader_fencing_token());
 }
 
-void DelegatedRenewal::describe(peer::Frame& frame) const {
+void DelegatedRenewal::add_status(peer::Frame& frame) const {
   frame.since_delegated_renewal_s = delegate_.since_last_renewal_s(out_.now());
   frame.all_support_delegation_s = support_.all_support_for_s();
   frame.max_delegation_s = support_.duration_s();
@@ -62,7 +62,7 @@
     leader_answered_heartbeats_at_ = out_.now();
 }
 
-void DelegatedRenewal::on_greeting_reply(std::size_t peer, const peer::Frame& reply, Seconds sent) {
+void DelegatedRenewal::on_status_reply(std::size_t peer, const peer::Frame& reply, Seconds sent) {
   if (reply.grants_delegation && reply.node == reply.leader)
     delegate_.on_grant(reply.leader_fencing_token, sent, duration_granted_by(reply));
   if (reply.agreement_token >= 0) {
@@ -77,22 +77,22 @@
 }
 
 // The leader also grants while it is still loading its records, because it answers no heartbeats until then.
-DelegatedRenewal::Permission DelegatedRenewal::permission(const peer::Frame& greeting) const {
+DelegatedRenewal::Permission DelegatedRenewal::permission_for(const peer::Frame& request) const {
   Permission permission;
   permission.grant = election_.may_act() && support_.all_cancellations_strict() && support_.enabled();
-  permission.agreement = !permission.grant && greeting.level >= peer::kLevelPeerAgreement && may_agree();
+  permission.agreement = !permission.grant && request.level >= peer::kLevelPeerAgreement && may_agree();
   return permission;
 }
 
 // A leader whose lease has expired records its agreement like a grant, because a later renewal of the lease
 // may still succeed.
-void DelegatedRenewal::on_permitted(std::size_t peer, Permission permission) {
+void DelegatedRenewal::record_permission(std::size_t peer, Permission permission) {
   if (permission.grant || (permission.agreement && election_.holds_leadership()))
     ledger_.on_granted(peer, out_.now());
   counts_.grants += permission.grant;
 }
 
-void DelegatedRenewal::permit(peer::Frame& reply, Permission permission) const {
+void DelegatedRenewal::add_permission(peer::Frame& reply, Permission permission) const {
   reply.grants_delegation = permission.grant;
   reply.delegation_s = permitted_duration_s();
   if (permission.agreement)
@@ -119,7 +119,7 @@
 }
 
 // Whether this controller may agree to delegated renewal because it must not send commands now. A leader
-// whose lease has expired may agree as well; on_permitted() records that.
+// whose lease has expired may agree as well; record_permission() records that.
 bool DelegatedRenewal::may_agree() const {
   return settings_.tunables.peer_agreement && support_.enabled() && !election_.may_act() &&
          support_.all_support();
@@ -198,7 +198,7 @@
 bool DelegatedRenewal::leader_answers_heartbeats() const {
   const auto leader = peers_.find(election_.leader());
   if (leader && peers_[*leader].answers_heartbeats &&
-      out_.now() - peers_[*leader].last_heard_at < leaderless_after_s()) {
+      out_.now() - peers_[*leader].last_frame_at < leaderless_after_s()) {
     return true;
   }
   return out_.now() - leader_answered_heartbeats_at_ < leaderless_after_s();
--- a/src/controller/delegated_renewal.hpp
+++ b/src/controller/delegated_renewal.hpp
@@ -49,7 +49,7 @@
   void observe_leadership();
 
   /// Sets the fields of a frame to a peer that concern delegated renewal.
-  void describe(peer::Frame& frame) const;
+  void add_status(peer::Frame& frame) const;
   /// Returns the time until which this controller may renew leases without being the acting leader.
   Seconds delegated_until() const {
     return delegate_.delegated_until();
@@ -58,13 +58,13 @@
   /// Handles a frame of a peer, after the peer directory and the election have handled it.
   void on_frame(const peer::Frame& frame);
   /// Handles the peer's reply to a status frame that was sent at `sent`.
-  void on_greeting_reply(std::size_t peer, const peer::Frame& reply, Seconds sent);
+  void on_status_reply(std::size_t peer, const peer::Frame& reply, Seconds sent);
   /// Returns the permission that the reply to a peer's status frame may give.
-  Permission permission(const peer::Frame& greeting) const;
+  Permission permission_for(const peer::Frame& request) const;
   /// Records the permission that the reply to the peer's status frame gives.
-  void on_permitted(std::size_t peer, Permission permission);
+  void record_permission(std::size_t peer, Permission permission);
   /// Sets the fields of the reply that give the permission.
-  void permit(peer::Frame& reply, Permission permission) const;
+  void add_permission(peer::Frame& reply, Permission permission) const;
 
   /// Answers a heartbeat while this controller is not the acting leader. If the worker cannot reach the
   /// leader either, a reply without commands renews its lease and keeps its tasks running.
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -16,46 +16,47 @@
 }  // namespace
 
 HeartbeatHandler::HeartbeatHandler(Collaborators collaborators, std::function<bool()> is_active_leader)
-    : with_(collaborators), is_active_leader_(std::move(is_active_leader)) {}
+    : collaborators_(collaborators), is_active_leader_(std::move(is_active_leader)) {}
 
 void HeartbeatHandler::handle(const RequestOrigin& origin, const std::string& bytes) {
   ++count_;
   if (!is_active_leader_()) {
-    if (auto reply = with_.delegated_renewal.answer_heartbeat(bytes))
-      return with_.responder.respond(origin, 200, std::move(*reply));
+    if (auto reply = collaborators_.delegated_renewal.answer_heartbeat(bytes))
+      return collaborators_.responder.respond(origin, 200, std::move(*reply));
     return reject(origin);
   }
   const auto heartbeat = wire::parse_heartbeat(bytes);
   if (!heartbeat) {
     spdlog::warn("heartbeats: malformed error=\"{}\"", heartbeat.error().text());
-    return with_.responder.respond(origin, 400);
+    return collaborators_.responder.respond(origin, 400);
   }
-  last_heartbeat_at_ = with_.out.now();
-  auto reply = with_.workers.handle_heartbeat(*heartbeat);
+  last_heartbeat_at_ = collaborators_.out.now();
+  auto reply = collaborators_.workers.handle_heartbeat(*heartbeat);
   if (!reply)
-    return with_.responder.respond(origin, 503);
-  with_.responder.respond(origin, 200, std::move(*reply));
+    return collaborators_.responder.respond(origin, 503);
+  collaborators_.responder.respond(origin, 200, std::move(*reply));
 }
 
 void HeartbeatHandler::reject(const RequestOrigin& origin) {
-  rejected_at_.push_back(with_.out.now());
+  rejected_at_.push_back(collaborators_.out.now());
   while (rejected_at_.size() > kMaxRejections)
     rejected_at_.pop_front();
   // This controller never names itself: the worker would be redirected to where it comes from.
-  const std::string& leader = with_.election.leader();
-  const bool is_other = !leader.empty() && leader != with_.settings.node;
-  with_.responder.respond(origin, 421, wire::leader_redirect(is_other ? leader : ""));
+  const std::string& leader = collaborators_.election.leader();
+  const bool is_other = !leader.empty() && leader != collaborators_.settings.node;
+  collaborators_.responder.respond(origin, 421, wire::leader_redirect(is_other ? leader : ""));
 }
 
 void HeartbeatHandler::on_loaded() {
   last_heartbeat_at_ = 0;
-  expected_since_ = with_.out.now();
+  expected_since_ = collaborators_.out.now();
 }
 
 void HeartbeatHandler::check_reachability() {
-  const Seconds now = with_.out.now();
+  const Seconds now = collaborators_.out.now();
   const Seconds silent_for = now - std::max(last_heartbeat_at_, expected_since_);
-  if (!with_.peers.any_rejects_heartbeats() || silent_for < 2 * with_.settings.heartbeat_interval_s + 1) {
+  if (!collaborators_.peers.any_rejects_heartbeats() ||
+      silent_for < 2 * collaborators_.settings.heartbeat_interval_s + 1) {
     unreachable_since_ = 0;
     return;
   }
@@ -65,12 +66,12 @@
   if (now - unreachable_since_ < kRedirectDelay)
     return;
   unreachable_since_ = 0;
-  with_.election.resign(kPauseInHeartbeats * with_.settings.heartbeat_interval_s,
-                        "workers reach only other controllers");
+  collaborators_.election.resign(kPauseInHeartbeats * collaborators_.settings.heartbeat_interval_s,
+                                 "workers reach only other controllers");
 }
 
 void HeartbeatHandler::forget_old_rejections() {
-  while (!rejected_at_.empty() && rejected_at_.front() < with_.out.now() - kRejectionMemory)
+  while (!rejected_at_.empty() && rejected_at_.front() < collaborators_.out.now() - kRejectionMemory)
     rejected_at_.pop_front();
 }
 
--- a/src/controller/heartbeat_handler.hpp
+++ b/src/controller/heartbeat_handler.hpp
@@ -52,7 +52,7 @@
  private:
   void reject(const RequestOrigin& origin);
 
-  Collaborators with_;
+  Collaborators collaborators_;
   std::function<bool()> is_active_leader_;
   std::deque<Seconds> rejected_at_;
   Seconds last_heartbeat_at_ = 0;  // while this controller is the active leader
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -35,7 +35,7 @@
   if (with_.catalog.empty()) {
     if (origin.by_peer)
       return with_.responder.try_later(origin);
-    return with_.peer_calls.forward(origin, with_.peer_calls.served_peer(),
+    return with_.peer_calls.forward(origin, with_.peer_calls.peer_with_state_service(),
                                     {"POST", wire::kJobsPath, bytes, kForwardTimeout},
                                     [this, origin](PeerOutcome) { with_.responder.try_later(origin); });
   }
@@ -122,8 +122,9 @@
                                 const std::vector<std::string>& asked, const store::Reply& reply) {
   if (reply.status != 200 && reply.status != 409) {
     // The state service may refuse this controller alone; a peer that it answers can find out just as well.
-    const auto peer =
-        check->origin.by_peer ? std::nullopt : with_.peer_calls.served_peer(peer::kLevelDependencies);
+    const auto peer = check->origin.by_peer
+                          ? std::nullopt
+                          : with_.peer_calls.peer_with_state_service(peer::kLevelDependencies);
     return with_.peer_calls.forward(check->origin, peer,
                                     {"POST", wire::kJobsPath, check->bytes, kCreationTimeout},
                                     [this, check, throttled = reply.status == 429](PeerOutcome) {
@@ -255,14 +256,14 @@
 
 void JobSubmission::create_at_peer(const std::shared_ptr<Creation>& creation) {
   const std::uint32_t level = creation->spec.depends_on.empty() ? 0 : peer::kLevelDependencies;
-  const auto peer = creation->origin.by_peer ? std::nullopt : with_.peer_calls.served_peer(level);
+  const auto peer = creation->origin.by_peer ? std::nullopt : with_.peer_calls.peer_with_state_service(level);
   if (!peer)
     return;
   creation->peer_asked = true;
   creation->open_at_peer = true;
-  with_.peer_calls.ask(*peer,
-                       {"POST", wire::kJobsPath, wire::encode_cbor(creation->record), kCreationTimeout},
-                       [this, creation](const PeerReply& reply) { on_peer_reply(creation, reply); });
+  with_.peer_calls.send_request(
+      *peer, {"POST", wire::kJobsPath, wire::encode_cbor(creation->record), kCreationTimeout},
+      [this, creation](const PeerReply& reply) { on_peer_reply(creation, reply); });
 }
 
 void JobSubmission::on_peer_reply(const std::shared_ptr<Creation>& creation, const PeerReply& reply) {
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -11,11 +11,11 @@
 
 namespace wingtrail::controller {
 
-void Controller::elected() {
+void Controller::on_elected() {
   ++term_;
   loaded_ = false;
-  read_at_ = out_.now();
-  markers_read_.clear();
+  last_load_reply_at_ = out_.now();
+  cancellation_markers_.clear();
   registry_.clear();
   dependencies_.clear();
   dependencies_to_look_up_.clear();
@@ -27,7 +27,7 @@
   tombstones_in_progress_.clear();
   selected_for_offload_.clear();
   offloading_expected_ = false;
-  guest_capacity_known_ = false;
+  foreign_job_capacity_known_ = false;
   scheduler_.clear();
   state_writer_.begin_leadership();
   delegated_renewal_.begin_leadership();
@@ -35,10 +35,10 @@
   request_shares_.begin_leadership(out_.now());
   workers_.begin_leadership();
   workers_.set_catalog(catalog_.types());
-  load(jobs::kLiveJobPrefix, "", term_);
+  load_records(jobs::kLiveJobPrefix, "", term_);
 }
 
-void Controller::lost() {
+void Controller::on_leadership_lost() {
   ++term_;
   loaded_ = false;
   cancellation_.end_leadership();
@@ -52,16 +52,16 @@
   registry_.clear();
 }
 
-void Controller::load(const char* prefix, const std::string& after, std::uint64_t term) {
+void Controller::load_records(const char* prefix, const std::string& after, std::uint64_t term) {
   store_.list(prefix, after, [this, prefix, after, term](const store::Reply& r) {
     if (term != term_)
       return;
     auto range = r.status == 200 ? wire::parse_range(r.body) : wire::malformed("");
-    read_at_ = range ? out_.now() : read_at_;
+    last_load_reply_at_ = range ? out_.now() : last_load_reply_at_;
     if (!range) {
       return out_.after(0.2, [this, prefix, after, term] {
         if (term == term_)
-          load(prefix, after, term);
+          load_records(prefix, after, term);
       });
     }
     // The watch continues from the revision of the first page, so it also reports changes that later pages
@@ -71,27 +71,27 @@
     for (const wire::Item& item : range->items)
       load_item(prefix, item);
     if (range->more && !range->items.empty())
-      return load(prefix, range->items.back().key, term);
+      return load_records(prefix, range->items.back().key, term);
     if (prefix == jobs::kLiveJobPrefix) {
       return drop_jobs_with_final_state([this, term] {
         if (term == term_)
-          load(jobs::kCompletionPrefix, "", term);
+          load_records(jobs::kCompletionPrefix, "", term);
       });
     }
     if (prefix == jobs::kCompletionPrefix)
-      return load(jobs::kInventoryPrefix, "", term);
+      return load_records(jobs::kInventoryPrefix, "", term);
     // The record names the longest delegation of earlier leaders. It must be known before any worker lease is
     // considered expired.
     delegation_support_.read_record([this, term] {
       if (term == term_)
-        loaded();
+        on_load_finished();
     });
   });
 }
 
 void Controller::load_item(const char* prefix, const wire::Item& item) {
   if (prefix == jobs::kLiveJobPrefix && item.key.ends_with(jobs::kCancellationSuffix)) {
-    markers_read_.push_back(item.key);  // handled by on_load_finished(), as its job may be read later
+    cancellation_markers_.push_back(item.key);  // handled by on_load_finished(), as its job may be read later
   } else if (prefix == jobs::kLiveJobPrefix && cells::is_remote_placement_key(item.key)) {
     remote_placement_pages_.push_back(item);  // handled by on_load_finished() as well
   } else if (prefix == jobs::kLiveJobPrefix && jobs::is_batch_key(item.key)) {
@@ -126,7 +126,7 @@
   }
 }
 
-void Controller::loaded() {
+void Controller::on_load_finished() {
   loaded_ = true;
   loaded_at_ = out_.now();
   recording_delays_.reset();
@@ -136,7 +136,7 @@
   autoscaler_.begin_leadership();
   workers_.tick();
   load_remote_placements();
-  for (const std::string& key : std::exchange(markers_read_, {}))
+  for (const std::string& key : std::exchange(cancellation_markers_, {}))
     cancellation_.on_marker(key);
   std::vector<jobs::Job*> all;
   registry_.for_each([&all](jobs::Job& job) { all.push_back(&job); });
@@ -152,11 +152,11 @@
     scheduler_.on_job_ready(*job);
   }
   process_dependencies();
-  follow_jobs(jobs_revision_, term_);
+  watch_jobs(jobs_revision_, term_);
   catalog_.save();
 }
 
-void Controller::follow_jobs(std::uint64_t after, std::uint64_t term) {
+void Controller::watch_jobs(std::uint64_t after, std::uint64_t term) {
   store_.watch(jobs::kLiveJobPrefix, after, [this, after, term](const store::Reply& r) {
     if (term != term_)
       return;
@@ -166,7 +166,7 @@
         if (!c.deleted)
           on_live_key_read(c.key, c.value, c.version);
       }
-      return follow_jobs(std::max(after, changes->revision), term);
+      return watch_jobs(std::max(after, changes->revision), term);
     }
     if (r.status == 410) {
       // The watch is too far behind (410), so all records are read again. Known jobs keep their state.
@@ -174,7 +174,7 @@
     }
     out_.after(0.3, [this, after, term] {
       if (term == term_)
-        follow_jobs(after, term);
+        watch_jobs(after, term);
     });
   });
 }
@@ -240,7 +240,7 @@
       if (is_marker(item))
         cancellation_.on_marker(item.key);
     }
-    follow_jobs(all->revision, all->term);
+    watch_jobs(all->revision, all->term);
   });
 }
 
--- a/src/controller/machine_catalog.cpp
+++ b/src/controller/machine_catalog.cpp
@@ -24,7 +24,7 @@
   store_.get(kCatalogKey, store::RequestPriority::user, [this](const store::Reply& reply) {
     const auto item = reply.status == 200 ? wire::parse_item(reply.body) : wire::malformed("");
     if (item && types_.empty())
-      use(item->value);
+      apply_catalog(item->value);
   });
 }
 
@@ -36,7 +36,7 @@
   call.timeout_s = kFetchTimeout;
   out_.call(std::move(call), [this](const ports::Reply& reply) {
     if (reply.status == 200) {
-      use(reply.body);
+      apply_catalog(reply.body);
       if (callbacks_.is_active_leader())
         save();
     }
@@ -53,7 +53,7 @@
                   [](const store::Reply&) {});
 }
 
-void MachineCatalog::use(const wire::Value& catalog) {
+void MachineCatalog::apply_catalog(const wire::Value& catalog) {
   auto types = wire::parse_catalog(catalog);
   if (!types)
     return spdlog::error("catalog: malformed error=\"{}\"", types.error().text());
--- a/src/controller/machine_catalog.hpp
+++ b/src/controller/machine_catalog.hpp
@@ -14,7 +14,7 @@
 using ports::Seconds;
 
 /// Fetches the catalog from the cloud provider periodically. The leader stores it in the state service, so a
-/// controller that restarts while the cloud provider is slow or down need not wait to validate and place jobs.
+/// controller that restarts while the cloud provider is slow or down can validate and place jobs at once.
 class MachineCatalog {
  public:
   using Types = std::vector<wire::MachineType>;
@@ -39,7 +39,7 @@
   }
 
  private:
-  void use(const wire::Value& catalog);
+  void apply_catalog(const wire::Value& catalog);
 
   ports::Outbox& out_;
   store::StateClient& store_;
--- a/src/controller/offload_planning.cpp
+++ b/src/controller/offload_planning.cpp
@@ -55,7 +55,7 @@
       continue;
     const bool own = job->origin_cell.empty();
     const double cores = static_cast<double>(job->pending_tasks.size()) * job->spec.task_resources.cpus;
-    (own ? guest_capacity_.own_waiting : guest_capacity_.guests_waiting) += cores;
+    (own ? foreign_job_capacity_.own_waiting : foreign_job_capacity_.guests_waiting) += cores;
     (own ? work.own_core_seconds : work.guest_core_seconds) += core_seconds(*job);
     if (own && !job->is_service())
       work.jobs.push_back(job);
@@ -66,17 +66,17 @@
 cells::LocalCapacity Controller::measure_local_capacity() {
   for (const auto& pool : workers_.placement_index().pools()) {
     for (const auto& [free_cores, machine] : pool.all_machines.by_free_cores)
-      guest_capacity_.free += free_cores;
+      foreign_job_capacity_.free += free_cores;
   }
-  guest_capacity_.rentable = autoscaler_.rentable_cores();
+  foreign_job_capacity_.rentable = autoscaler_.rentable_cores();
   // Without delegated renewal a cancellation is recorded before its tasks are gone, and its home may start
   // them at once.
-  guest_capacity_.draining = settings_.cells.drain || !delegation_support_.enabled();
-  guest_capacity_.overloaded = overload_.is_overloaded();
+  foreign_job_capacity_.draining = settings_.cells.drain || !delegation_support_.enabled();
+  foreign_job_capacity_.overloaded = overload_.is_overloaded();
   cells::LocalCapacity here;
   here.draining = settings_.cells.drain;
-  here.boot_s = guest_capacity_.rentable > 0 ? autoscaler_.typical_boot_s() : ports::kNever;
-  here.cores = guest_capacity_.free;
+  here.boot_s = foreign_job_capacity_.rentable > 0 ? autoscaler_.typical_boot_s() : ports::kNever;
+  here.cores = foreign_job_capacity_.free;
   std::vector<double> array_cores(settings_.teams.size());
   for (const auto& [key, load] : scheduler_.load().loads()) {
     if (load.service)
@@ -85,7 +85,7 @@
     if (key.first < array_cores.size())
       array_cores[key.first] += load.cores_in_use;
   }
-  guest_capacity_.cores = here.cores;
+  foreign_job_capacity_.cores = here.cores;
   for (std::size_t t = 0; t < settings_.teams.size(); ++t) {
     const settings::Team& team = settings_.teams[t];
     const double left = team.cpus_max - workers_.team_usage(jobs::TeamIndex(t)).cpus;
@@ -157,23 +157,23 @@
   for (std::size_t c = 0; c < offloaded.size(); ++c) {
     if (offloaded[c] > 0)
       spdlog::info("cells: offloaded jobs={} cell={} cores_waiting={:.0f} cores={:.0f}", offloaded[c],
-                   settings_.cells.neighbours[c].name, guest_capacity_.own_waiting, cores);
+                   settings_.cells.neighbours[c].name, foreign_job_capacity_.own_waiting, cores);
   }
 }
 
 void Controller::plan_offloading() {
   release_selected_jobs();
-  guest_capacity_ = {};
+  foreign_job_capacity_ = {};
   WaitingWork work = collect_waiting_work();
   const cells::LocalCapacity here = measure_local_capacity();
-  guest_capacity_known_ = true;
+  foreign_job_capacity_known_ = true;
   // What is free starts at once; more takes a boot, or until what waits has been worked off.
   const bool starts_at_once =
-      guest_capacity_.free > guest_capacity_.own_waiting + guest_capacity_.guests_waiting;
-  guest_wait_s_ = starts_at_once ? 0
-                  : guest_capacity_.rentable > 0
-                      ? here.boot_s
-                      : (work.own_core_seconds + work.guest_core_seconds) / std::max(1.0, here.cores);
+      foreign_job_capacity_.free > foreign_job_capacity_.own_waiting + foreign_job_capacity_.guests_waiting;
+  foreign_job_wait_s_ = starts_at_once ? 0
+                        : foreign_job_capacity_.rentable > 0
+                            ? here.boot_s
+                            : (work.own_core_seconds + work.guest_core_seconds) / std::max(1.0, here.cores);
 
   const std::size_t remote_jobs = remote_placements_.size();
   std::vector<cells::NeighbourCapacity> neighbours = neighbour_capacities(here, starts_at_once);
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -124,7 +124,7 @@
 }
 
 peer::Frame Controller::make_cell_frame(const std::string& cell, std::string cell_message) const {
-  peer::Frame f = frame();
+  peer::Frame f = make_frame();
   f.cell = cell;
   f.cell_message = std::move(cell_message);
   f.deferred_attempts.clear();  // they are this cell's own
@@ -215,10 +215,10 @@
 
 void Controller::on_remote_placements_reply(const store::Reply& reply) {
   if (reply.status == 200)
-    return return_home(remote_placements_.on_written(wire::revision(reply.body).value_or(0)));
+    return schedule_locally(remote_placements_.on_written(wire::revision(reply.body).value_or(0)));
   if (reply.status == 400) {
     spdlog::error("cells: remote placement page refused as malformed");
-    return return_home(remote_placements_.on_write_refused());
+    return schedule_locally(remote_placements_.on_write_refused());
   }
   const auto failed = reply.status == 409 ? wire::failed_keys(reply.body) : std::vector<std::string>{};
   // Certainly not applied: throttled here, refused, or its conditions failed.
@@ -227,12 +227,12 @@
     election_.on_superseded("a write of remote placements found another leader");
 }
 
-void Controller::return_home(const std::vector<std::string>& refs) {
+void Controller::schedule_locally(const std::vector<std::string>& refs) {
   for (const std::string& ref : refs) {
     jobs::Job* job = registry_.find(ref);
     if (!job || !job->is_open())
       continue;
-    ++stats_.jobs_returned_home;
+    ++stats_.remote_jobs_returned;
     job->placed_remotely = false;
     if (!job->is_held())
       scheduler_.on_job_ready(*job);
--- a/src/controller/peer_calls.cpp
+++ b/src/controller/peer_calls.cpp
@@ -14,11 +14,12 @@
   return peers_.reachable_leader(election_.leader());
 }
 
-std::optional<std::size_t> PeerCalls::served_peer(std::uint32_t level) const {
-  return peers_.served_peer(election_.leader(), level);
+std::optional<std::size_t> PeerCalls::peer_with_state_service(std::uint32_t level) const {
+  return peers_.peer_with_state_service(election_.leader(), level);
 }
 
-void PeerCalls::ask(std::size_t peer, ForwardedRequest request, std::function<void(const PeerReply&)> then) {
+void PeerCalls::send_request(std::size_t peer, ForwardedRequest request,
+                             std::function<void(const PeerReply&)> then) {
   ++count_;
   ports::Call call;
   call.target = ports::Target::peer;
@@ -57,7 +58,7 @@
                         ForwardedRequest request, const std::function<void(PeerOutcome)>& on_failure) {
   if (!peer)
     return on_failure(PeerOutcome::no_reply);
-  ask(*peer, std::move(request), [this, origin, on_failure](const PeerReply& reply) {
+  send_request(*peer, std::move(request), [this, origin, on_failure](const PeerReply& reply) {
     if (reply.outcome != PeerOutcome::answered)
       return on_failure(reply.outcome);
     responder_.respond(origin, reply.status, reply.body);
--- a/src/controller/peer_calls.hpp
+++ b/src/controller/peer_calls.hpp
@@ -48,10 +48,10 @@
   /// Returns the leader if it is a reachable peer.
   std::optional<std::size_t> reachable_leader() const;
   /// Returns a reachable peer with at least that protocol level to which the state service replies.
-  std::optional<std::size_t> served_peer(std::uint32_t level = 0) const;
+  std::optional<std::size_t> peer_with_state_service(std::uint32_t level = 0) const;
 
   /// Sends the request to the peer and calls `then` with the reply.
-  void ask(std::size_t peer, ForwardedRequest request, std::function<void(const PeerReply&)> then);
+  void send_request(std::size_t peer, ForwardedRequest request, std::function<void(const PeerReply&)> then);
   /// Sends the request to the peer and passes its answer to the user. Calls `on_failure` with the outcome if
   /// the peer does not answer or `peer` is nullopt.
   void forward(const RequestOrigin& origin, std::optional<std::size_t> peer, ForwardedRequest request,
--- a/src/controller/peer_directory.cpp
+++ b/src/controller/peer_directory.cpp
@@ -12,7 +12,7 @@
 
 void PeerDirectory::on_frame(std::size_t index, const peer::Frame& frame) {
   PeerState& peer = peers_[index];
-  peer.last_heard_at = out_.now();
+  peer.last_frame_at = out_.now();
   peer.state_service_healthy = frame.state_service_healthy;
   peer.rejected_heartbeats = frame.rejected_heartbeats;
   peer.level = frame.level;
@@ -29,8 +29,8 @@
 // cancellation that waits for the job's tasks. If it counted as unreachable, each query would read the state
 // service instead of asking the leader, which would soon use up the budget.
 void PeerDirectory::on_no_reply(std::size_t peer, Seconds sent) {
-  if (peers_[peer].last_heard_at <= sent)
-    peers_[peer].last_heard_at = -1e9;
+  if (peers_[peer].last_frame_at <= sent)
+    peers_[peer].last_frame_at = -1e9;
 }
 
 std::optional<std::size_t> PeerDirectory::find(const std::string& name) const {
@@ -42,7 +42,7 @@
 }
 
 bool PeerDirectory::is_reachable(std::size_t peer) const {
-  return out_.now() - peers_[peer].last_heard_at < kReachableWindow;
+  return out_.now() - peers_[peer].last_frame_at < kReachableWindow;
 }
 
 std::optional<std::size_t> PeerDirectory::reachable_leader(const std::string& leader) const {
@@ -50,7 +50,8 @@
   return peer && is_reachable(*peer) ? peer : std::nullopt;
 }
 
-std::optional<std::size_t> PeerDirectory::served_peer(const std::string& leader, std::uint32_t level) const {
+std::optional<std::size_t> PeerDirectory::peer_with_state_service(const std::string& leader,
+                                                                  std::uint32_t level) const {
   const auto is_served = [this, level](std::size_t i) {
     return is_reachable(i) && peers_[i].state_service_healthy && peers_[i].level.value_or(0) >= level;
   };
@@ -63,7 +64,7 @@
   return std::nullopt;
 }
 
-bool PeerDirectory::none_served() const {
+bool PeerDirectory::none_has_state_service() const {
   bool any_reachable = false;
   for (std::size_t i = 0; i < peers_.size(); ++i) {
     if (!is_reachable(i))
--- a/src/controller/peer_directory.hpp
+++ b/src/controller/peer_directory.hpp
@@ -18,7 +18,7 @@
 
 /// The latest state that a peer has reported. Optional values are absent until its first frame.
 struct PeerState {
-  Seconds last_heard_at = -1e9;
+  Seconds last_frame_at = -1e9;
   bool state_service_healthy = false;     ///< the state service replies to it
   std::uint32_t rejected_heartbeats = 0;  ///< worker heartbeats that it has redirected in the last seconds
   std::optional<std::uint32_t> level;     ///< its protocol level, see peer::kProtocolLevel
@@ -64,9 +64,10 @@
   std::optional<std::size_t> reachable_leader(const std::string& leader) const;
   /// Returns a reachable peer to which the state service replies, preferably the leader.
   /// @param level the lowest protocol level that it may have
-  std::optional<std::size_t> served_peer(const std::string& leader, std::uint32_t level = 0) const;
+  std::optional<std::size_t> peer_with_state_service(const std::string& leader,
+                                                     std::uint32_t level = 0) const;
   /// Whether at least one peer is reachable and the state service replies to none of the reachable ones.
-  bool none_served() const;
+  bool none_has_state_service() const;
   /// Whether a reachable peer has redirected worker heartbeats in the last seconds.
   bool any_rejects_heartbeats() const;
   /// Whether every peer is known to have at least that protocol level.
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -34,14 +34,14 @@
       std::count_if(neighbours_.begin(), neighbours_.end(), [this](const NeighbourState& neighbour) {
         return out_.now() < neighbour.last_digest_at + kReachableWithin;
       });
-  digest.accepts_cores = cells::acceptable_guest_cores(guest_capacity_) /
+  digest.accepts_cores = cells::acceptable_guest_cores(foreign_job_capacity_) /
                          static_cast<double>(std::max<std::ptrdiff_t>(1, reachable));
   NeighbourState& neighbour = neighbours_[to];
   if (digest.accepts_cores >= neighbour.promised || out_.now() >= neighbour.promised_at + kOfferInTransit) {
     neighbour.promised = digest.accepts_cores;
     neighbour.promised_at = out_.now();
   }
-  digest.wait_s = guest_wait_s_;
+  digest.wait_s = foreign_job_wait_s_;
   digest.draining = settings_.cells.drain;
   digest.leadership = election_.fencing_token();
   for (std::size_t t = 0; t < settings_.teams.size(); ++t) {
@@ -88,7 +88,7 @@
   out_.call(std::move(call), [this, id, leader](const ports::Reply& reply) {
     if (!reply.frame || reply.frame->status != 200)
       return answer_cell(id, 503, {});
-    heard(*leader, *reply.frame);
+    on_peer_frame(*leader, *reply.frame);
     const auto message = peer::decode_cell_message(reply.frame->cell_message);
     message ? answer_cell(id, 200, *message) : answer_cell(id, 503, {});
   });
@@ -178,7 +178,7 @@
   auto spec = record ? wire::parse_job(*record) : wire::malformed("not CBOR");
   if (!spec || spec->ref != message.ref)
     return reply->say(i, JobVerb::never);
-  if (catalog_.types().empty() || !guest_capacity_known_)
+  if (catalog_.types().empty() || !foreign_job_capacity_known_)
     return reply->say(i, JobVerb::none);
   if (why_unrunnable(*spec, settings_, catalog_.types()))
     return reply->say(i, JobVerb::never);
@@ -201,18 +201,19 @@
                                  [&from](const auto& neighbour) { return neighbour.name == from; });
   NeighbourState& neighbour = neighbours_[static_cast<std::size_t>(home - known.begin())];
   // A cell that is being drained hands over what will have to wait here, too.
-  const bool home_draining = neighbour.digest && neighbour.digest->draining && !guest_capacity_.draining &&
-                             !guest_capacity_.overloaded;
+  const bool home_draining = neighbour.digest && neighbour.digest->draining &&
+                             !foreign_job_capacity_.draining && !foreign_job_capacity_.overloaded;
   // What the last digest promised holds: a refusal costs a tombstone, and the job can't come here again.
   const bool promised = neighbour.promised > 0 && out_.now() < neighbour.promised_at + kOfferInTransit;
   neighbour.promised -= cores;
-  return home_draining || promised || cells::acceptable_guest_cores(guest_capacity_) > 0;
+  return home_draining || promised || cells::acceptable_guest_cores(foreign_job_capacity_) > 0;
 }
 
 void Controller::create_offered_job(const std::shared_ptr<CellReply>& reply, std::size_t i,
                                     const wire::JobSpec& spec, const wire::Value& record,
                                     const std::string& from) {
-  guest_capacity_.guests_waiting += spec.tasks * spec.task_resources.cpus;  // until they are counted again
+  foreign_job_capacity_.guests_waiting +=
+      spec.tasks * spec.task_resources.cpus;  // until they are counted again
   reply->say(i, JobVerb::none);
   wire::JobSpec queued_as = spec;
   queued_as.job_class = "from " + from;  // jobs of other cells wait in a queue of their own
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -172,7 +172,7 @@
       reply.status = 0;
     }
   }
-  controller_.reply(loop_.now(), id, reply);
+  controller_.on_reply(loop_.now(), id, reply);
 }
 
 net::Task<std::optional<ports::Answer>> Daemon::wait_for_answer(std::uint64_t id) {
@@ -196,7 +196,7 @@
   in.method = std::move(request.method);
   in.path = request.target.substr(0, request.target.find('?'));
   in.body = std::move(request.body);
-  controller_.request(loop_.now(), in);
+  controller_.on_request(loop_.now(), in);
   const auto answer = co_await wait_for_answer(in.id);
   if (!answer) {
     response.status = 504;
@@ -223,7 +223,7 @@
     co_return response;
   }
   const std::uint64_t id = ++last_request_;
-  controller_.peer(loop_.now(), id, *frame);
+  controller_.on_frame(loop_.now(), id, *frame);
   const auto answer = co_await wait_for_answer(id);
   if (!answer || !answer->frame) {
     response.status = 504;
--- a/src/daemon/metrics_exporter.cpp
+++ b/src/daemon/metrics_exporter.cpp
@@ -210,7 +210,7 @@
     wait.Add(labels).Set(load.wait_s);
   }
   page.counter("wingtrail_cells_handed_on_total", "jobs handed on to other cells", stats.jobs_offloaded);
-  page.counter("wingtrail_cells_handed_back_total", "of these, home again", stats.jobs_returned_home);
+  page.counter("wingtrail_cells_handed_back_total", "of these, home again", stats.remote_jobs_returned);
   page.counter("wingtrail_cells_done_away_total", "of these, done elsewhere", stats.remote_jobs_done);
   page.counter("wingtrail_cells_guests_taken_total", "jobs of other cells that were taken",
                stats.offers_accepted);
--- a/src/simulation/controllers.cpp
+++ b/src/simulation/controllers.cpp
@@ -117,7 +117,7 @@
         return;
       ports::Reply none;
       none.delivered = false;
-      controllers_[i]->controller->reply(node_time(*controllers_[i]), id, none);
+      controllers_[i]->controller->on_reply(node_time(*controllers_[i]), id, none);
       run_controller(i);
     });
     return;
@@ -135,12 +135,12 @@
         SimulatedController& again = *controllers_[i];
         if (!again.controller || again.process_number != life)
           return;
-        again.controller->reply(node_time(again), id, r);
+        again.controller->on_reply(node_time(again), id, r);
         run_controller(i);
       });
       return;
     }
-    ctl.controller->reply(node_time(ctl), id, r);
+    ctl.controller->on_reply(node_time(ctl), id, r);
     run_controller(i);
   };
   if (call.target == ports::Target::cell) {
@@ -212,7 +212,7 @@
             finish(r);
           });
         };
-        other.controller->peer(node_time(other), id, *peer::decode(peer::encode(*call.frame)));
+        other.controller->on_frame(node_time(other), id, *peer::decode(peer::encode(*call.frame)));
         return run_controller(peer);
       }
       case ports::Target::worker: {
@@ -250,7 +250,7 @@
     return;
   const std::uint64_t id = ++c.requests;
   c.open_requests[id] = std::move(then);
-  c.controller->peer(node_time(c), id, *peer::decode(peer::encode(frame)));
+  c.controller->on_frame(node_time(c), id, *peer::decode(peer::encode(frame)));
   run_controller(node);
 }
 
@@ -269,7 +269,7 @@
   }
   in.id = ++c.requests;
   c.open_requests[in.id] = std::move(then);
-  c.controller->request(node_time(c), in);
+  c.controller->on_request(node_time(c), in);
   run_controller(i);
 }
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -676,14 +676,14 @@
           handed_on = call->frame->path;
           continue;
         }
-        node.reply(now, call->id, r);
+        node.on_reply(now, call->id, r);
       }
     }
   };
   std::uint64_t abort_call = 0;
   for (int n = 0; n < 30; ++n, now += 0.1)
     node.tick(now), turn();
-  node.request(now, {1, "POST", "/api/jobs/req-000001/abort", ""});
+  node.on_request(now, {1, "POST", "/api/jobs/req-000001/abort", ""});
   for (auto& a : node.drain()) {
     if (const auto* call = std::get_if<ports::Call>(&a); call && call->target == ports::Target::peer)
       abort_call = call->id;
@@ -691,9 +691,9 @@
   ASSERT_NE(abort_call, 0U);
   for (int n = 0; n < 30; ++n, now += 0.1)
     node.tick(now), turn();
-  node.reply(now, abort_call, {});
+  node.on_reply(now, abort_call, {});
   turn();
-  node.request(now, {2, "GET", "/api/jobs/req-000002", ""});
+  node.on_request(now, {2, "GET", "/api/jobs/req-000002", ""});
   turn();
   EXPECT_EQ(handed_on, "/api/jobs/req-000002");
 }
