--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -65,10 +65,10 @@
     double cores_in_use = 0;
     double cores_waiting = 0;
     double oldest_wait_s = 0;
-    double arriving_cores = 0;
-    double surge = 1;
-    double served_share = 1;
-    double largest_zone_share = 0;
+    double arriving_cores = 0;      ///< recent arrivals, in core-seconds per second
+    double surge = 1;               ///< the recent rate of arrivals divided by the usual one
+    double served_share = 1;        ///< of the jobs that are done or late, the share that is done
+    double largest_zone_share = 0;  ///< of the cores in use
   };
   struct CellLoad {  ///< the state of offloading to one neighbouring cell
     std::string name;
@@ -81,12 +81,12 @@
   // Requests.
   std::uint64_t submissions = 0;
   std::uint64_t jobs_accepted = 0;
-  std::uint64_t submissions_refused = 0;
+  std::uint64_t submissions_refused = 0;  ///< refused for good; deferred ones are not counted
   std::uint64_t heartbeats = 0;
   std::uint64_t forwarded_requests = 0;
   std::uint64_t jobs_done = 0;
   std::uint64_t jobs_cancelled = 0;
-  std::uint64_t cancellations_deferred = 0;
+  std::uint64_t cancellations_deferred = 0;  ///< because a task is on an unreachable machine
   std::array<std::uint64_t, kDeferralReasons> queries_deferred{};  ///< by reason
 
   // Leadership and the state service.
@@ -96,15 +96,15 @@
   std::uint64_t delegated_renewals = 0;
   std::uint64_t delegations_granted = 0;
   std::uint64_t state_requests = 0;
-  std::uint64_t state_throttled = 0;
-  double state_share = 0;   ///< part of the write budget that this controller may use
-  double state_demand = 0;  ///< part of the write budget that it has recently requested
-  double loan_age_s = 0;    ///< since the leader last set this controller's budget share
+  std::uint64_t state_throttled = 0;  ///< requests not sent because the budget share was used up
+  double state_share = 0;             ///< part of the write budget that this controller may use
+  double state_demand = 0;            ///< part of the write budget that it has recently requested
+  double loan_age_s = 0;              ///< since the leader last set this controller's budget share
 
   // Records.
   std::uint64_t commits = 0;
-  std::uint64_t malformed_commits = 0;
-  std::uint64_t state_writes = 0;
+  std::uint64_t malformed_commits = 0;  ///< refused by the state service as malformed
+  std::uint64_t state_writes = 0;       ///< the sum of the next three
   std::uint64_t final_states_written = 0;
   std::uint64_t inventory_written = 0;
   std::uint64_t completions_written = 0;
@@ -119,7 +119,7 @@
   std::uint64_t dependencies_met = 0;  ///< jobs whose dependencies are all done
   std::uint64_t orphaned = 0;          ///< jobs cancelled because a dependency was cancelled
   std::uint64_t batches_created = 0;
-  std::uint64_t batched_jobs = 0;
+  std::uint64_t batched_jobs = 0;  ///< jobs created in batches
   std::size_t live_batches = 0;
   std::uint64_t creations_deferred = 0;
   std::size_t admissions_waiting = 0;
@@ -156,11 +156,11 @@
   // Other cells.
   std::vector<CellLoad> cells;  ///< one for each neighbour
   std::uint64_t jobs_offloaded = 0;
-  std::uint64_t remote_jobs_returned = 0;
+  std::uint64_t remote_jobs_returned = 0;  ///< offloaded jobs that this cell schedules itself again
   std::uint64_t remote_jobs_done = 0;
   std::uint64_t offers_accepted = 0;
   std::uint64_t offers_refused = 0;
-  std::uint64_t offered_jobs_ended = 0;
+  std::uint64_t offered_jobs_ended = 0;  ///< foreign jobs that have a final state
   std::uint64_t tombstones = 0;
 };
 
@@ -234,8 +234,8 @@
                      const std::set<std::string>& with_final_state = {});
   void reread_jobs(std::uint64_t term);
   struct Rereading;
-  void reread_next_page(const std::shared_ptr<Rereading>& all);
-  void apply_reread_jobs(const std::shared_ptr<Rereading>& all);
+  void reread_next_page(const std::shared_ptr<Rereading>& reading);
+  void apply_reread_jobs(const std::shared_ptr<Rereading>& reading);
   void on_final_state(const std::string& ref, const wire::FinalState& ended);
 
   void send_status_to_peers();
@@ -344,10 +344,11 @@
   MachineCatalog catalog_;
   ZoneReporter zone_reporter_;
   FinalStateCache final_states_;
+  // Incremented when a leadership begins or ends. Replies to requests of an earlier term are ignored.
   std::uint64_t term_ = 0;
-  bool loaded_ = false;
-  Seconds last_load_reply_at_ = 0;                   // when the last records were read, while not loaded
-  std::vector<std::string> cancellation_markers_;    // keys of the markers that were read while loading
+  bool loaded_ = false;                            // this controller leads and has read its jobs and machines
+  Seconds last_load_reply_at_ = 0;                 // when the last records were read, while not loaded
+  std::vector<std::string> cancellation_markers_;  // keys of the markers that were read while loading
   std::deque<std::string> dependencies_to_look_up_;  // dependencies that are not known to this controller
   int dependency_lookups_in_flight_ = 0;
   Seconds started_at_ = 0;
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -10,6 +10,10 @@
 #include "wire/state_messages.hpp"
 
 namespace wingtrail::controller {
+namespace {
+constexpr Seconds kReadRetryDelay = 0.2;
+constexpr Seconds kWatchRetryDelay = 0.3;
+}  // namespace
 
 void Controller::on_elected() {
   ++term_;
@@ -53,13 +57,13 @@
 }
 
 void Controller::load_records(const char* prefix, const std::string& after, std::uint64_t term) {
-  store_.list(prefix, after, [this, prefix, after, term](const store::Reply& r) {
+  store_.list(prefix, after, [this, prefix, after, term](const store::Reply& reply) {
     if (term != term_)
       return;
-    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::malformed("");
+    auto range = reply.status == 200 ? wire::parse_range(reply.body) : wire::malformed("");
     last_load_reply_at_ = range ? out_.now() : last_load_reply_at_;
     if (!range) {
-      return out_.after(0.2, [this, prefix, after, term] {
+      return out_.after(kReadRetryDelay, [this, prefix, after, term] {
         if (term == term_)
           load_records(prefix, after, term);
       });
@@ -157,22 +161,22 @@
 }
 
 void Controller::watch_jobs(std::uint64_t after, std::uint64_t term) {
-  store_.watch(jobs::kLiveJobPrefix, after, [this, after, term](const store::Reply& r) {
+  store_.watch(jobs::kLiveJobPrefix, after, [this, after, term](const store::Reply& reply) {
     if (term != term_)
       return;
-    auto changes = r.status == 200 ? wire::parse_changes(r.body) : wire::malformed("");
+    auto changes = reply.status == 200 ? wire::parse_changes(reply.body) : wire::malformed("");
     if (changes) {
-      for (const wire::Change& c : changes->events) {
-        if (!c.deleted)
-          on_live_key_read(c.key, c.value, c.version);
+      for (const wire::Change& change : changes->events) {
+        if (!change.deleted)
+          on_live_key_read(change.key, change.value, change.version);
       }
       return watch_jobs(std::max(after, changes->revision), term);
     }
-    if (r.status == 410) {
+    if (reply.status == 410) {
       // The watch is too far behind (410), so all records are read again. Known jobs keep their state.
-      return out_.after(0.2, [this, term] { reread_jobs(term); });
+      return out_.after(kReadRetryDelay, [this, term] { reread_jobs(term); });
     }
-    out_.after(0.3, [this, after, term] {
+    out_.after(kWatchRetryDelay, [this, after, term] {
       if (term == term_)
         watch_jobs(after, term);
     });
@@ -192,28 +196,28 @@
     reread_next_page(std::make_shared<Rereading>(Rereading{term, 0, {}}));
 }
 
-void Controller::reread_next_page(const std::shared_ptr<Rereading>& all) {
-  const std::string after = all->items.empty() ? "" : all->items.back().key;
-  store_.list(jobs::kLiveJobPrefix, after, [this, all](const store::Reply& r) {
-    if (all->term != term_)
+void Controller::reread_next_page(const std::shared_ptr<Rereading>& reading) {
+  const std::string after = reading->items.empty() ? "" : reading->items.back().key;
+  store_.list(jobs::kLiveJobPrefix, after, [this, reading](const store::Reply& reply) {
+    if (reading->term != term_)
       return;
-    auto range = r.status == 200 ? wire::parse_range(r.body) : wire::malformed("");
+    auto range = reply.status == 200 ? wire::parse_range(reply.body) : wire::malformed("");
     if (!range)
-      return out_.after(0.3, [this, all] { reread_jobs(all->term); });
-    if (all->items.empty())
-      all->revision = range->revision;
-    all->items.insert(all->items.end(), range->items.begin(), range->items.end());
+      return out_.after(kWatchRetryDelay, [this, reading] { reread_jobs(reading->term); });
+    if (reading->items.empty())
+      reading->revision = range->revision;
+    reading->items.insert(reading->items.end(), range->items.begin(), range->items.end());
     // There may be more live keys than one reply holds; jobs on the later pages would stay unknown.
     if (range->more && !range->items.empty())
-      return reread_next_page(all);
-    apply_reread_jobs(all);
+      return reread_next_page(reading);
+    apply_reread_jobs(reading);
   });
 }
 
-void Controller::apply_reread_jobs(const std::shared_ptr<Rereading>& all) {
+void Controller::apply_reread_jobs(const std::shared_ptr<Rereading>& reading) {
   // A batch that has not been read before may hold jobs that already have a final state.
   std::vector<std::string> unknown;
-  for (const wire::Item& item : all->items) {
+  for (const wire::Item& item : reading->items) {
     if (!jobs::is_batch_key(item.key) || state_writer_.batches().fully_read(item.key))
       continue;
     jobs::for_each_record(item.value, [&](const std::string& ref, const wire::Value&) {
@@ -221,13 +225,13 @@
         unknown.push_back(ref);
     });
   }
-  final_state_query_.ask(std::move(unknown), [this, all](const std::set<std::string>& with_final_state) {
-    if (all->term != term_)
+  final_state_query_.ask(std::move(unknown), [this, reading](const std::set<std::string>& with_final_state) {
+    if (reading->term != term_)
       return;
     const auto is_marker = [](const wire::Item& item) {
       return item.key.ends_with(jobs::kCancellationSuffix);
     };
-    for (const wire::Item& item : all->items) {
+    for (const wire::Item& item : reading->items) {
       if (is_marker(item))
         continue;  // handled below, as its job may be in a batch that comes later in the list
       if (!jobs::is_batch_key(item.key)) {
@@ -236,11 +240,11 @@
         on_batch_read(item.key, item.value, item.version, with_final_state);
       }
     }
-    for (const wire::Item& item : all->items) {
+    for (const wire::Item& item : reading->items) {
       if (is_marker(item))
         cancellation_.on_marker(item.key);
     }
-    watch_jobs(all->revision, all->term);
+    watch_jobs(reading->revision, reading->term);
   });
 }
 
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -348,7 +348,7 @@
   EXPECT_EQ(delegate.renewal_token(131, 7), std::nullopt) << "the grant of an earlier leader is ignored";
 }
 
-// Without a leader all peers must agree. Each agreement counts from its request, and a newer leader voids
+// Without a leader all peers must agree. Each agreement counts from its request; a newer leader voids all.
 TEST(DelegatedRenewal, AnAgreementLastsAsLongAsItsOldestPart) {
   LeaseDelegate delegate(kDelegation, 2);
   delegate.on_peer_agreement(0, 0, 100, kDelegation);
