--- a/src/controller/delegated_renewal.hpp
+++ b/src/controller/delegated_renewal.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Delegated lease renewal in this controller: the grants and agreements that it gives to peers, and the
-/// heartbeats that it answers without being the acting leader.
+/// heartbeats that it answers without being the active leader.
 #pragma once
 
 #include <cstdint>
@@ -26,11 +26,11 @@
   };
   /// The permission to renew leases that the reply to a peer's status frame gives.
   struct Permission {
-    bool grant = false;      ///< this controller grants it as the acting leader
+    bool grant = false;      ///< this controller grants it as the leader
     bool agreement = false;  ///< this controller agrees, since it must not send commands
   };
   struct Counts {
-    std::uint64_t renewals = 0;  ///< heartbeats answered without being the acting leader
+    std::uint64_t renewals = 0;  ///< heartbeats answered without being the active leader
     std::uint64_t grants = 0;
   };
 
@@ -50,7 +50,7 @@
 
   /// Sets the fields of a frame to a peer that concern delegated renewal.
   void add_status(peer::Frame& frame) const;
-  /// Returns the time until which this controller may renew leases without being the acting leader.
+  /// Returns the time until which this controller may renew leases without being the active leader.
   Seconds delegated_until() const {
     return delegate_.delegated_until();
   }
@@ -66,7 +66,7 @@
   /// Sets the fields of the reply that give the permission.
   void add_permission(peer::Frame& reply, Permission permission) const;
 
-  /// Answers a heartbeat while this controller is not the acting leader. If the worker cannot reach the
+  /// Answers a heartbeat while this controller is not the active leader. If the worker cannot reach the
   /// leader either, a reply without commands renews its lease and keeps its tasks running.
   /// @return nullopt if this controller must not renew the lease, or if the heartbeat is malformed
   std::optional<wire::Value> answer_heartbeat(const std::string& bytes);
--- a/src/controller/delegation_support.cpp
+++ b/src/controller/delegation_support.cpp
@@ -16,7 +16,7 @@
 constexpr Seconds kReadRetryDelay = 0.3;
 constexpr Seconds kWriteInterval = 1;
 
-// The peer's level must be known.
+// Requires that the peer has sent a frame, so that its level is known.
 bool supports_delegation(const PeerState& peer) {
   return *peer.level >= peer::kLevelDelegation && peer.max_delegation_s.value_or(1) > 0;
 }
--- a/src/controller/delegation_support.hpp
+++ b/src/controller/delegation_support.hpp
@@ -13,8 +13,7 @@
 namespace wingtrail::controller {
 
 /// Tracks whether the version and the settings of every controller include delegated lease renewal, and since
-/// when. Such controllers confirm a cancellation only when all tasks of the job are gone ("strict
-/// cancellation").
+/// when. Such controllers confirm cancellations strictly: only when all tasks of the job are gone.
 ///
 /// The support record in the state service states that this has held for at least the time limit of a
 /// cancellation. Processes that have just started rely on it. The leader writes the record; a controller that
--- a/src/delegation/delegation_ledger.hpp
+++ b/src/delegation/delegation_ledger.hpp
@@ -47,9 +47,8 @@
 
   /// Returns when the lease of a worker has certainly expired.
   /// @param own_expiry when it expires if no peer has renewed it
-  /// @return a time; it has passed only if the peers' statements prove that none of them has renewed the
-  /// lease
-  ///         so that it would still be valid
+  /// @return a time that has passed only if the peers' statements prove that the lease is not valid by a
+  ///         renewal of any of them
   Seconds worker_lease_expiry(Seconds own_expiry) const;
 
  private:
--- a/src/delegation/lease_delegate.hpp
+++ b/src/delegation/lease_delegate.hpp
@@ -2,11 +2,10 @@
 /// Delegated renewal of worker leases, from the side of the controller that renews on the leader's behalf.
 ///
 /// By PROTOCOL any controller can renew a worker's lease with a reply that carries the worker's fencing
-/// token. While a zone is cut off, or the state service is unavailable, a controller that the workers can
+/// token. While a zone is unreachable, or the state service is unavailable, a controller that the workers can
 /// reach can therefore keep their tasks running although it must not send commands. The leader permits this
 /// for a bounded time per grant and records until when each grant may last (DelegationLedger). It considers a
-/// worker's lease expired only when no grant can have prolonged it. docs/safety.md gives the proof of each
-/// rule.
+/// worker's lease expired only when no grant can have prolonged it. docs/safety.md proves each rule.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +19,7 @@
 
 using ports::Seconds;
 
-/// Decides whether this controller may renew worker leases without being the acting leader. All times are in
+/// Decides whether this controller may renew worker leases without being the active leader. All times are in
 /// seconds of this controller's steady clock.
 ///
 /// Either of two permissions is sufficient. A *grant* of the leader applies while workers cannot reach the
@@ -55,15 +54,13 @@
   /// Returns the fencing token for the reply to a heartbeat, or nullopt if this controller must not renew the
   /// worker's lease now.
   /// @param worker_token the newest fencing token that the worker knows of
-  /// @param strict_cancellation whether it is known that no leader since the worker's newest token confirmed
-  /// a
+  /// @param strict_cancellation whether no leader since the worker's newest token can have confirmed a
   ///        cancellation before the job's tasks were gone. Needed only for agreements, because a leader
   ///        grants delegation only if this holds.
   std::optional<std::uint64_t> renewal_token(Seconds now, std::uint64_t worker_token,
                                              bool strict_cancellation = true) const;
 
-  /// Returns the time until which the agreements of all peers last; -1 if one is missing, kNever without
-  /// peers.
+  /// Returns until when the agreements of all peers last; -1 if one is missing, kNever without peers.
   Seconds agreed_until() const;
 
   /// Returns the newest fencing token that this controller knows of.
--- a/src/delegation/strict_cancellation.hpp
+++ b/src/delegation/strict_cancellation.hpp
@@ -14,8 +14,7 @@
 
 /// The bit of an attempt number that a leader with strict cancellation sets.
 inline constexpr std::uint64_t kStrictCancellationFlag = std::uint64_t{1} << 62;
-/// The bits below the flag hold the leader's fencing token, shifted by this many bits, and a counter in the
-/// low bits.
+/// Below the flag an attempt number holds the leader's fencing token, shifted by this, and a counter.
 inline constexpr int kFencingTokenShift = 24;
 
 /// Returns the fencing token of the leader that assigned the attempt number if the flag is set, otherwise 0.
--- a/src/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -20,8 +20,7 @@
 ///
 /// The leader holds kLeaderKey under a lease of the state service that lasts leader_lease_s. The revision of
 /// the write that created the key is the leader's fencing token. Renewals do not write the key, so the token
-/// is also the key's version, and a write conditioned on that version can succeed only while this leadership
-/// lasts.
+/// is also the key's version, and writes conditioned on that version fail once the leadership has ended.
 ///
 /// All times are in seconds of this controller's steady clock.
 class LeaderElection {
@@ -37,8 +36,8 @@
   /// Starts to watch the leader key and to campaign whenever the key is absent. Must be called once.
   void start();
 
-  /// Whether this controller was elected and has not learnt of a later leader. Its lease may have expired;
-  /// see may_act().
+  /// Whether this controller was elected and knows of no later leader. Its lease may have expired, see
+  /// may_act().
   bool holds_leadership() const {
     return holds_leadership_;
   }
@@ -70,8 +69,7 @@
   std::uint64_t leader_fencing_token() const {
     return leader_fencing_token_;
   }
-  /// Records a leader that a peer has reported. Ignored unless its token is higher than the highest one
-  /// known.
+  /// Records a leader that a peer has reported. Ignored unless its token is higher than all known ones.
   void observe_leader(const std::string& leader, std::uint64_t token);
   /// Gives up leadership, revokes the lease and does not campaign for `pause` seconds. Does nothing if this
   /// controller does not lead.
--- a/src/peer/frame.hpp
+++ b/src/peer/frame.hpp
@@ -84,8 +84,8 @@
   /// request budgets, as fractions of the whole budget.
   double requested_write_share = 0;
   double requested_request_share = 0;
-  /// In a reply of the leader: the shares that the receiver may use in addition to its guaranteed part, counted
-  /// from its request. A negative write share: the leader has set none.
+  /// In a reply of the leader: the shares that the receiver may use in addition to its guaranteed part,
+  /// counted from its request. A negative write share: the leader has set none.
   double lent_write_share = -1;
   double lent_request_share = 0;
   /// Submissions that the sender has recently deferred, as encoded by admission::FirstAttempts.
