--- a/src/leadership/leader_election.hpp
+++ b/src/leadership/leader_election.hpp
@@ -36,8 +36,7 @@
   /// Starts to watch the leader key and to campaign whenever the key is absent. Must be called once.
   void start();
 
-  /// Whether this controller was elected and knows of no later leader. Its lease may have expired, see
-  /// may_act().
+  /// Whether this controller was elected and knows of no later leader, even if its lease has expired.
   bool holds_leadership() const {
     return holds_leadership_;
   }
