--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -8,10 +8,12 @@
 
 namespace wingtrail::controller {
 namespace {
-// A process that the state service does not answer need not wait for an election. If all processes restart
-// every second amid an outage, each has less than a second to answer the workers that come to it.
-constexpr Seconds kNoElectionExpected = 0.3;
-constexpr double kLeasesOfOldVersions = 2;  // how long a delegation of versions that do not say so lasts
+// How long after its start a process leaves heartbeats to a leader while the state service does not reply,
+// when no election is possible. If all processes restart every second during an outage, each has less than a
+// second to renew the leases of the workers that reach it.
+constexpr Seconds kStartWaitWithoutStateService = 0.3;
+// Duration of a delegation, in worker leases, for protocol levels whose frames do not state it.
+constexpr double kUnstatedDelegationLeases = 2;
 constexpr Seconds kElectionMargin = 0.5;
 }  // namespace
 
@@ -45,7 +47,7 @@
   delegate_.observe_leadership(election_.leader_fencing_token());
 }
 
-void DelegatedRenewal::describe(peer::Frame& frame) const {
+void DelegatedRenewal::add_status(peer::Frame& frame) const {
   frame.since_delegated_renewal_s = delegate_.since_last_renewal_s(out_.now());
   frame.all_support_delegation_s = support_.all_support_for_s();
   frame.max_delegation_s = support_.duration_s();
@@ -53,8 +55,6 @@
   frame.strict_cancellation_token = strict_cancellation_token_;
 }
 
-// ---------------------------------------------------------------- peers
-
 void DelegatedRenewal::on_frame(const peer::Frame& frame) {
   delegate_.observe_leadership(std::max(election_.leader_fencing_token(), frame.newest_fencing_token));
   strict_cancellation_token_ = std::max(strict_cancellation_token_, frame.strict_cancellation_token);
@@ -62,7 +62,7 @@
     leader_answered_heartbeats_at_ = out_.now();
 }
 
-void DelegatedRenewal::on_greeting_reply(std::size_t peer, const peer::Frame& reply, Seconds sent) {
+void DelegatedRenewal::on_status_reply(std::size_t peer, const peer::Frame& reply, Seconds sent) {
   if (reply.grants_delegation && reply.node == reply.leader)
     delegate_.on_grant(reply.leader_fencing_token, sent, duration_granted_by(reply));
   if (reply.agreement_token >= 0) {
@@ -76,60 +76,60 @@
   }
 }
 
-// The leader grants before it has read its jobs, too: it answers no worker itself until then.
-DelegatedRenewal::Permission DelegatedRenewal::permission(const peer::Frame& greeting) const {
+// The leader also grants while it is still loading its records, because it answers no heartbeats until then.
+DelegatedRenewal::Permission DelegatedRenewal::permission_for(const peer::Frame& request) const {
   Permission permission;
   permission.grant = election_.may_act() && support_.all_cancellations_strict() && support_.enabled();
-  permission.agreement = !permission.grant && greeting.level >= peer::kLevelPeerAgreement && may_agree();
+  permission.agreement = !permission.grant && request.level >= peer::kLevelPeerAgreement && may_agree();
   return permission;
 }
 
-// What is agreed to by a leader past its lease must be reckoned with if a renewal gets through after all.
-void DelegatedRenewal::on_permitted(std::size_t peer, Permission permission) {
+// A leader whose lease has expired records its agreement like a grant, because a later renewal of the lease
+// may still succeed.
+void DelegatedRenewal::record_permission(std::size_t peer, Permission permission) {
   if (permission.grant || (permission.agreement && election_.holds_leadership()))
     ledger_.on_granted(peer, out_.now());
   counts_.grants += permission.grant;
 }
 
-void DelegatedRenewal::permit(peer::Frame& reply, Permission permission) const {
+void DelegatedRenewal::add_permission(peer::Frame& reply, Permission permission) const {
   reply.grants_delegation = permission.grant;
   reply.delegation_s = permitted_duration_s();
   if (permission.agreement)
     reply.agreement_token = static_cast<std::int64_t>(delegate_.newest_token());
 }
 
-// How long the sender of the frame lets its grant, or its agreement, last.
+// Returns how long the grant or the agreement in the frame lasts.
 Seconds DelegatedRenewal::duration_granted_by(const peer::Frame& frame) const {
   return frame.level >= peer::kLevelPeerAgreement
              ? frame.delegation_s
-             : std::min(support_.duration_s(), kLeasesOfOldVersions * settings_.worker_lease_s);
+             : std::min(support_.duration_s(), kUnstatedDelegationLeases * settings_.worker_lease_s);
 }
 
-// How long a grant or an agreement of this controller lasts: no longer than any controller, being elected,
-// would reckon with.
+// Returns how long a grant or an agreement of this controller lasts: the shortest maximum of all controllers,
+// because whichever of them is elected next waits only for its own maximum.
 Seconds DelegatedRenewal::permitted_duration_s() const {
-  Seconds least = support_.duration_s();
+  Seconds shortest = support_.duration_s();
   for (const PeerState& peer : peers_.all()) {
     const bool states_duration = peer.level.value_or(peer::kLevelPeerAgreement) >= peer::kLevelPeerAgreement;
-    least = std::min(least, states_duration ? peer.max_delegation_s.value_or(least)
-                                            : kLeasesOfOldVersions * settings_.worker_lease_s);
+    shortest = std::min(shortest, states_duration ? peer.max_delegation_s.value_or(shortest)
+                                                  : kUnstatedDelegationLeases * settings_.worker_lease_s);
   }
-  return least;
+  return shortest;
 }
 
-// Whether this controller may agree that nobody sends commands now. A leader past its lease agrees for as
-// long as it stays so, and records that.
+// Whether this controller may agree to delegated renewal because it must not send commands now. A leader
+// whose lease has expired may agree as well; record_permission() records that.
 bool DelegatedRenewal::may_agree() const {
   return settings_.tunables.peer_agreement && support_.enabled() && !election_.may_act() &&
          support_.all_support();
 }
 
-// ---------------------------------------------------------------- workers
-
 std::optional<wire::Value> DelegatedRenewal::answer_heartbeat(const std::string& bytes) {
   observe_leadership();
   wire::Result<wire::Heartbeat> heartbeat = wire::malformed("");
-  // Where the state service cannot be read, what any worker shows is kept, whether it can be answered or not.
+  // Without the state service only the attempt numbers in heartbeats show whether cancellations were
+  // confirmed strictly. They are recorded even if this heartbeat is not answered.
   if (settings_.tunables.peer_agreement && !store_.healthy()) {
     heartbeat = wire::parse_heartbeat(bytes);
     if (!heartbeat)
@@ -146,7 +146,7 @@
     return std::nullopt;
   }
   if (out_.now() >= delegate_.delegated_until())
-    return std::nullopt;  // without parsing the heartbeat in vain
+    return std::nullopt;  // checked first to save the parsing
   if (!heartbeat)
     heartbeat = wire::parse_heartbeat(bytes);
   if (!heartbeat)
@@ -157,8 +157,9 @@
 }
 
 std::optional<wire::Value> DelegatedRenewal::renew(const wire::Heartbeat& heartbeat) {
-  // A leader that confirmed cancellations early may have confirmed one whose task is on this very worker.
-  // That none has since this worker heard of a leader is known from before, or from what workers show.
+  // A leader without strict cancellation may have confirmed a cancellation while the task still runs on this
+  // worker. The support record, or the attempt numbers of workers, can prove that no leader since the
+  // worker's newest token did so.
   const bool strict =
       support_.all_cancellations_strict() ||
       (strict_cancellation_token_ > 0 && heartbeat.fencing_token <= strict_cancellation_token_);
@@ -173,20 +174,23 @@
       delegate_.on_renewal(out_.now());
     return reply;
   }
-  // A worker without tasks has nothing to lose, and finds the leader sooner if it goes on looking.
+  // A worker without tasks loses nothing if its lease expires, and finds the leader sooner if its heartbeats
+  // are redirected.
   if (heartbeat.tasks.empty())
     return std::nullopt;
   delegate_.on_renewal(out_.now());
   return wire::heartbeat_reply(*token, {});
 }
 
-// Whether workers should find the leader instead, or a leader may yet be elected.
+// Whether heartbeats should be redirected rather than answered here, because a leader answers them or may be
+// elected soon after the start of this process.
 bool DelegatedRenewal::waits_for_leader() const {
   return leader_answers_heartbeats() ||
-         out_.now() - started_at_ < (store_.healthy() ? leaderless_after_s() : kNoElectionExpected);
+         out_.now() - started_at_ < (store_.healthy() ? leaderless_after_s() : kStartWaitWithoutStateService);
 }
 
-// After a crash of the leader another one is elected within the leader's lease.
+// Returns the time without a leader after which none is expected: after a crash of the leader another one is
+// elected within one leader lease.
 Seconds DelegatedRenewal::leaderless_after_s() const {
   return settings_.tunables.leader_lease_s + kElectionMargin;
 }
@@ -194,7 +198,7 @@
 bool DelegatedRenewal::leader_answers_heartbeats() const {
   const auto leader = peers_.find(election_.leader());
   if (leader && peers_[*leader].answers_heartbeats &&
-      out_.now() - peers_[*leader].last_heard_at < leaderless_after_s()) {
+      out_.now() - peers_[*leader].last_frame_at < leaderless_after_s()) {
     return true;
   }
   return out_.now() - leader_answered_heartbeats_at_ < leaderless_after_s();
