--- a/src/controller/batch_index_follower.cpp
+++ b/src/controller/batch_index_follower.cpp
@@ -7,24 +7,25 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kFollowInterval = 0.5;  // many batches are written a second; nobody needs each at once
+constexpr Seconds kFollowInterval = 0.5;  // many batches are written per second, and none is needed at once
 constexpr Seconds kRetryDelay = 0.3;
-constexpr Seconds kPeersKnowProcessAfter = 5;  // a process that greets its peers is known to them by then
-constexpr int kHistoryCompacted = 410;         // HTTP: the service no longer tells the changes since then
+constexpr Seconds kPeersKnowProcessAfter = 5;  // by then all peers have had a frame of this process
+constexpr int kHistoryCompacted = 410;         // HTTP status: changes since that revision are not kept
 }  // namespace
 
-BatchIndexFollower::BatchIndexFollower(ports::Outbox& out, store::StateClient& store,
+BatchIndexFollower::BatchIndexFollower(ports::Outbox& outbox, store::StateClient& store,
                                        const PeerDirectory& peers, bool batches_enabled)
-    : out_(out), store_(store), peers_(peers), batches_enabled_(batches_enabled) {}
+    : outbox_(outbox), store_(store), peers_(peers), batches_enabled_(batches_enabled) {}
 
 void BatchIndexFollower::start() {
-  started_at_ = out_.now();
+  started_at_ = outbox_.now();
   if (batches_enabled_)
     reread();
 }
 
-// Where no controller creates batches, the index has to have been complete once after those peers that took
-// this process for its predecessor have heard of it.
+// Where this controller creates no batches, the index must have been complete at a time when all peers knew
+// that this process had started. Before, a peer that still counted on the previous process of this controller
+// may have created batches.
 bool BatchIndexFollower::may_miss_batches() const {
   if (!index_.complete() || !index_.empty() || batches_enabled_)
     return true;
@@ -43,18 +44,18 @@
   if (!range) {
     for (const auto& then : std::exchange(waiting_, {}))
       then(false);
-    return out_.after(kRetryDelay, [this, after] { read_from(after); });
+    return outbox_.after(kRetryDelay, [this, after] { read_from(after); });
   }
   if (after.empty()) {
     read_revision_ = range->revision;
-    read_since_ = out_.now();
+    read_since_ = outbox_.now();
   }
   for (const wire::Item& item : range->items)
     index_.add_batch(item.key, item.value);
   if (range->more && !range->items.empty())
     return read_from(range->items.back().key);
-  // Batches may have come or gone after the first page was read; the changes since its revision tell.
-  index_.advance_to(read_revision_, out_.now());
+  // Batches created or deleted after the first page was read are among the changes since its revision.
+  index_.advance_to(read_revision_, outbox_.now());
   reading_ = false;
   catch_up_now();
   if (batches_enabled_)
@@ -68,7 +69,7 @@
       apply(*changes);
     if (reply.status == kHistoryCompacted)
       return reread();
-    out_.after(changes ? kFollowInterval : kRetryDelay, [this] { follow(); });
+    outbox_.after(changes ? kFollowInterval : kRetryDelay, [this] { follow(); });
   });
 }
 
@@ -81,16 +82,16 @@
 }
 
 void BatchIndexFollower::apply(const wire::Changes& changes) {
-  // Replies may overtake each other; what an older one tells is known.
+  // Replies may arrive out of order; the changes in an older one are already applied.
   if (changes.revision < index_.revision())
     return;
   for (const wire::Change& change : changes.events) {
     if (change.deleted)
-      index_.remove_batch(change.key, out_.now());
+      index_.remove_batch(change.key, outbox_.now());
     else
       index_.add_batch(change.key, change.value);
   }
-  index_.advance_to(changes.revision, out_.now());
+  index_.advance_to(changes.revision, outbox_.now());
 }
 
 void BatchIndexFollower::catch_up(std::function<void(bool)> then) {
@@ -106,23 +107,24 @@
     return reread();
   catching_up_ = true;
   store_.read_changes(jobs::kBatchPrefix, index_.revision(),
-                      [this, asked = out_.now(), waiting = std::exchange(waiting_, {})](
-                          const store::Reply& reply) { on_caught_up(asked, waiting, reply); });
+                      [this, requested_at = outbox_.now(), waiting = std::exchange(waiting_, {})](
+                          const store::Reply& reply) { on_caught_up(requested_at, waiting, reply); });
 }
 
-void BatchIndexFollower::on_caught_up(Seconds asked, const std::vector<std::function<void(bool)>>& waiting,
+void BatchIndexFollower::on_caught_up(Seconds requested_at,
+                                      const std::vector<std::function<void(bool)>>& waiting,
                                       const store::Reply& reply) {
   catching_up_ = false;
   const auto changes = reply.status == 200 ? wire::parse_changes(reply.body) : wire::malformed("");
   if (changes) {
     apply(*changes);
-    complete_as_of_ = asked;
+    complete_as_of_ = requested_at;
   }
   for (const auto& then : waiting)
     then(static_cast<bool>(changes));
   if (reply.status == kHistoryCompacted && !batches_enabled_)
     reread();
-  catch_up_now();  // those that came meanwhile need changes asked for after they came
+  catch_up_now();  // callers that came meanwhile need a request sent after their call
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/batch_index_follower.hpp
+++ b/src/controller/batch_index_follower.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps this controller's index of job batches in step with the state service.
+/// Keeps this controller's index of job batches up to date with the state service.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,31 @@
 
 namespace wingtrail::controller {
 
-/// Reads the keys of all job batches and then follows their changes. Where this deployment creates no batches
-/// the index is only brought up to date when somebody asks.
+/// Reads all job batches and then follows their changes. In a deployment that creates no job batches, the
+/// index is brought up to date only by catch_up().
 ///
 /// The collaborators passed to the constructor must outlive the follower.
 class BatchIndexFollower {
  public:
   /// @param batches_enabled whether this controller creates job batches
-  BatchIndexFollower(ports::Outbox& out, store::StateClient& store, const PeerDirectory& peers,
+  BatchIndexFollower(ports::Outbox& outbox, store::StateClient& store, const PeerDirectory& peers,
                      bool batches_enabled);
 
-  /// To be called once, when the process begins.
+  /// To be called once, when the process starts.
   void start();
 
-  /// Whether a job without a key of its own may be in a batch that the index does not show yet.
+  /// Whether a job without a key of its own may be in a batch that the index does not contain yet.
   bool may_miss_batches() const;
 
-  /// Calls `then(true)` once the index holds all batches that existed at this moment, or `then(false)` if
-  /// that cannot be had now.
+  /// Calls `then(true)` once the index contains all batches that exist at the time of this call, or
+  /// `then(false)` if reading them fails.
   void catch_up(std::function<void(bool)> then);
 
   const admission::BatchIndex& index() const {
     return index_;
   }
-  /// When the reading that the index rests on began; it has forgotten batches deleted before.
+  /// When the first page of the last full read was received. Batches deleted before are not in the index, not
+  /// even as recently removed.
   Seconds read_since() const {
     return read_since_;
   }
@@ -50,10 +51,10 @@
   void reread();
   void apply(const wire::Changes& changes);
   void catch_up_now();
-  void on_caught_up(Seconds asked, const std::vector<std::function<void(bool)>>& waiting,
+  void on_caught_up(Seconds requested_at, const std::vector<std::function<void(bool)>>& waiting,
                     const store::Reply& reply);
 
-  ports::Outbox& out_;
+  ports::Outbox& outbox_;
   store::StateClient& store_;
   const PeerDirectory& peers_;
   const bool batches_enabled_;
@@ -61,12 +62,12 @@
   Seconds started_at_ = 0;
 
   bool reading_ = false;
-  std::uint64_t read_revision_ = 0;  // of the first page of the reading under way
+  std::uint64_t read_revision_ = 0;  // of the first page of the full read in progress
   Seconds read_since_ = 0;
-  Seconds complete_as_of_ = -1e9;  // as of when the index is known to be complete
+  Seconds complete_as_of_ = -1e9;  // the index contains all batches that existed then
 
   bool catching_up_ = false;
-  std::vector<std::function<void(bool)>> waiting_;  // for changes asked for after they came
+  std::vector<std::function<void(bool)>> waiting_;  // callers of catch_up() that the next request answers
 };
 
 }  // namespace wingtrail::controller
--- a/src/controller/batches.cpp
+++ b/src/controller/batches.cpp
@@ -1,38 +1,40 @@
 /// @file
-/// This controller's share of the state service's budget, and jobs that were found in batches.
+/// Controller: its share of the budget for the state service, and jobs that are stored in job batches.
 #include "controller/controller.hpp"
 
 namespace wingtrail::controller {
 
-// Whether every controller creates job batches: none has a version, or settings, that would not find the
-// jobs.
+// Whether all controllers support job batches. One whose version or settings do not support them would not
+// find the jobs.
 bool Controller::may_create_batches() const {
   return settings_.tunables.fair_admission > 0 && peers_.all_support_batches();
 }
 
-// A peer that keeps to no shares uses the fixed part that it always had, and so do the others then.
+// Versions without job batches do not support budget shares either and use a fixed part of the budget. While
+// a peer runs such a version, all controllers use fixed parts.
 bool Controller::shares_are_fixed() const {
   return peers_.any_lacks_batches();
 }
 
 store::StateClient::BudgetShare Controller::budget_share() const {
-  const bool leads = election_.may_act();
+  const bool is_leader = election_.may_act();
   if (!shares_are_fixed())
-    return {request_shares_.own_share(out_.now(), leads), write_shares_.own_share(out_.now(), leads), false};
+    return {request_shares_.own_share(out_.now(), is_leader), write_shares_.own_share(out_.now(), is_leader),
+            false};
   const double part = store::StateClient::default_share(election_.holds_leadership(), peers_.size());
   return {part, part, true};
 }
 
-// The leader takes a job in that it read itself. A record that an earlier leadership of this controller asked
-// for tells nothing: the job may have ended, and users been told, under a leader in between.
+// Adds a live job that the leader has read. A record whose read began in an earlier term is ignored: the job
+// may have become final since, under another leader, and users may have been answered so.
 void Controller::on_live_job_read(const LiveRecord& live) {
   if (live.term != term_)
     return;
   on_job_read(live.spec, live.version, jobs::is_batch_key(live.key) ? live.key : "");
 }
 
-// A batch outlives some of its jobs, so whoever begins to lead asks which have a final state. Nobody but this
-// leader can write one any more: earlier leaders' writes are conditioned on their key.
+// A job batch outlives some of its jobs, so a new leader reads which of them have a final state. No other
+// controller can write a final state meanwhile: earlier leaders' writes are conditioned on the leader's key.
 void Controller::drop_jobs_with_final_state(std::function<void()> then) {
   std::vector<std::string> refs;
   registry_.for_each([&](const jobs::Job& job) {
--- a/src/controller/deferral_reason.hpp
+++ b/src/controller/deferral_reason.hpp
@@ -1,4 +1,5 @@
-// Why a question about a job, or its repeated submission, is answered "come back later".
+/// @file
+/// Reasons for answering a query of a job, or its repeated submission, with a request to retry.
 #pragma once
 
 #include <array>
@@ -7,22 +8,24 @@
 
 namespace wingtrail::controller {
 
+/// Why a reply was deferred.
 enum class DeferralReason : std::uint8_t {
-  dependency_cancelled,  // a job that it needs is cancelled, and its own end is not recorded yet
-  dependency_unknown,    // whether one is has still to be read
-  leader_deferred,       // it needs others, and its leader has put the question off
-  leader_unreachable,    // it needs others, and no leader was heard of lately that has recorded all ends
-  not_leading,           // asked by a peer as the leader that this node is not
-  budget_exhausted,      // the state service, or this node's part of its budget, grants no more requests now
-  no_reply,              // the state service gave none
+  dependency_cancelled,  ///< the job is orphaned, and its final state is not recorded yet
+  dependency_unknown,    ///< the leader does not know yet whether a dependency is cancelled
+  leader_deferred,       ///< the job has dependencies, and the leader deferred the query
+  leader_unreachable,    ///< the job has dependencies; no leader lately reported all final states recorded
+  not_leading,           ///< a peer forwarded the query, but this controller does not lead
+  budget_exhausted,      ///< the budget of the state service, or this controller's share of it, is used up
+  no_reply,              ///< the state service did not reply
 };
 inline constexpr std::size_t kDeferralReasons = 7;
 
-inline constexpr const char* name(DeferralReason why) {
+/// The reason's name in metrics and logs.
+inline constexpr const char* name(DeferralReason reason) {
   constexpr std::array<const char*, kDeferralReasons> kNames{
       "need_cancelled", "need_unknown",     "leader_put_off", "leader_unheard",
       "not_leading",    "requests_used_up", "no_answer"};
-  return kNames[static_cast<std::size_t>(why)];
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/dependency_lookup.cpp
+++ b/src/controller/dependency_lookup.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What follows from jobs that were read or have reached their final state, and the look-up of dependencies
-/// that this leader knows nothing of.
+/// Handles jobs whose dependencies are all done or whose dependency is cancelled, and looks up dependencies
+/// that this leader does not know.
 #include <spdlog/spdlog.h>
 
 #include "controller/controller.hpp"
@@ -29,7 +29,8 @@
     ++stats_.orphaned;
     spdlog::info("dependencies: orphaned ref={}", job->spec.ref);
     state_writer_.record_orphan(*job);
-    workers_.cancel_job(*job);  // nothing of it runs, unless a version without dependencies led in between
+    // Tasks of it run only if a leader with a version without dependencies started them.
+    workers_.cancel_job(*job);
   }
   for (std::string& ref : dependencies_.take_unknown()) {
     unknown_dependencies_.emplace_back(out_.now(), ref);
@@ -39,7 +40,7 @@
 }
 
 void Controller::look_up_unknown_dependencies() {
-  // A failover may leave hundreds to look up, and others need the state service too.
+  // A failover may leave hundreds of lookups; the limit leaves part of the request budget to others.
   constexpr int kMaxInFlight = 8;
   while (is_active_leader() && dependency_lookups_in_flight_ < kMaxInFlight &&
          !dependencies_to_look_up_.empty()) {
@@ -50,8 +51,8 @@
   }
 }
 
-// Most dependencies that are not live were over before this leadership. One that is not over either was
-// created a moment ago, and its creation has not been seen here yet. Absent is never taken for done.
+// Most dependencies that are not live became final before this leadership. One without a final state was
+// created a moment ago, and the watch has not reported it yet. An absent dependency never counts as done.
 void Controller::look_up_dependency(const std::string& ref) {
   ++dependency_lookups_in_flight_;
   store_.get(jobs::kFinalStatePrefix + ref, store::RequestPriority::user,
@@ -60,21 +61,21 @@
                  return;
                --dependency_lookups_in_flight_;
                const auto item = reply.status == 200 ? wire::parse_item(reply.body) : wire::malformed("");
-               if (const auto ended = item ? wire::parse_final_state(item->value) : std::nullopt) {
-                 on_final_state(ref, *ended);
+               if (const auto final_state = item ? wire::parse_final_state(item->value) : std::nullopt) {
+                 on_final_state(ref, *final_state);
                  return process_dependencies();
                }
-               const auto again = [this, ref, term] {
+               const auto retry_later = [this, ref, term] {
                  out_.after(kRetryDelay, [this, ref, term] {
                    if (term == term_ && dependencies_.awaits_unknown(ref))
                      dependencies_to_look_up_.push_back(ref);
                  });
                };
                if (reply.status != 404)
-                 return again();
+                 return retry_later();
                ++dependency_lookups_in_flight_;
                lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
-                               [this, ref, term, again](const LookupResult& result) {
+                               [this, ref, term, retry_later](const LookupResult& result) {
                                  if (term != term_)
                                    return;
                                  --dependency_lookups_in_flight_;
@@ -84,7 +85,7 @@
                                    spdlog::error("dependencies: unknown dependency ref={}", ref);
                                  process_dependencies();
                                  if (dependencies_.awaits_unknown(ref))
-                                   again();
+                                   retry_later();
                                });
              });
 }
--- a/src/controller/final_state_cache.hpp
+++ b/src/controller/final_state_cache.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A bounded cache of final states of jobs.
+/// A bounded cache of the final states of jobs.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 /// oldest entry is dropped when the cache is full.
 class FinalStateCache {
  public:
-  /// Returns false if the job's final state is known already.
+  /// Returns false, and changes nothing, if the cache has the job's final state.
   bool insert(const std::string& ref, const wire::FinalState& state) {
     if (!states_.emplace(ref, state).second)
       return false;
@@ -26,7 +26,7 @@
     }
     return true;
   }
-  /// Returns null if the final state is not known; the pointer is valid until the next insertion.
+  /// Returns null if the final state is not in the cache; the pointer is valid until the next insertion.
   const wire::FinalState* find(const std::string& ref) const {
     const auto it = states_.find(ref);
     return it == states_.end() ? nullptr : &it->second;
@@ -36,7 +36,7 @@
   }
 
  private:
-  static constexpr std::size_t kCapacity = 50'000;  // some 100 bytes each
+  static constexpr std::size_t kCapacity = 50'000;  // entries of some 100 bytes
 
   std::unordered_map<std::string, wire::FinalState> states_;
   std::deque<std::string> insertion_order_;
--- a/src/controller/final_state_query.cpp
+++ b/src/controller/final_state_query.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 struct FinalStateQuery::Run {
-  std::vector<std::string> refs;  // still to be asked about
+  std::vector<std::string> refs;  // still to be compared
   std::set<std::string> with_final_state;
   int open = 0;  // comparisons in flight, or to be repeated
   bool finished = false;
@@ -21,39 +21,40 @@
   Callback then;
 };
 
-FinalStateQuery::FinalStateQuery(ports::Outbox& out, store::StateClient& store,
+FinalStateQuery::FinalStateQuery(ports::Outbox& outbox, store::StateClient& store,
                                  const settings::Settings& settings, Leadership leadership)
-    : out_(out), store_(store), settings_(settings), leadership_(std::move(leadership)) {}
+    : outbox_(outbox), store_(store), settings_(settings), leadership_(std::move(leadership)) {}
 
 void FinalStateQuery::ask(std::vector<std::string> refs, Callback then) {
   auto run = std::make_shared<Run>(Run{std::move(refs), {}, 0, false, leadership_.term(), std::move(then)});
   for (int i = 0; i < kMaxInFlight; ++i)
-    ask_some(run);
+    send_next(run);
 }
 
-void FinalStateQuery::ask_some(const std::shared_ptr<Run>& run) {
-  // Whoever finds nothing left to ask, and no comparison open, is the last. A comparison to be repeated may
-  // find that another one has asked for its jobs; it then still has to look whether it is the last, or the
-  // leader would renew its lease without ever having finished loading.
+void FinalStateQuery::send_next(const std::shared_ptr<Run>& run) {
+  // The run is finished once no references are left and no comparison is open. A repetition must check this
+  // too: another comparison may have taken its references meanwhile, and without the check the run would
+  // never finish, while the leader renews its lease without ever finishing to load.
   if (run->refs.empty()) {
     if (run->open == 0 && !std::exchange(run->finished, true))
       run->then(run->with_final_state);
     return;
   }
-  wire::Transaction txn;
-  std::vector<std::string> asked;
-  while (!run->refs.empty() && txn.condition_count() < 4 * settings_.max_transaction_changes) {
-    asked.push_back(std::move(run->refs.back()));
+  wire::Transaction transaction;
+  std::vector<std::string> compared;
+  while (!run->refs.empty() && transaction.condition_count() < 4 * settings_.max_transaction_changes) {
+    compared.push_back(std::move(run->refs.back()));
     run->refs.pop_back();
-    txn.require(jobs::kFinalStatePrefix + asked.back(), 0);
+    transaction.require(jobs::kFinalStatePrefix + compared.back(), 0);
   }
   ++run->open;
-  store_.transact(
-      std::move(txn), store::RequestPriority::lease, ports::kNever,
-      [this, run, asked = std::move(asked)](const store::Reply& reply) { on_reply(run, asked, reply); });
+  store_.transact(std::move(transaction), store::RequestPriority::lease, ports::kNever,
+                  [this, run, compared = std::move(compared)](const store::Reply& reply) {
+                    on_reply(run, compared, reply);
+                  });
 }
 
-void FinalStateQuery::on_reply(const std::shared_ptr<Run>& run, const std::vector<std::string>& asked,
+void FinalStateQuery::on_reply(const std::shared_ptr<Run>& run, const std::vector<std::string>& compared,
                                const store::Reply& reply) {
   if (run->term != leadership_.term())
     return;
@@ -63,13 +64,13 @@
   if (none_has_final_state || some_have_final_state)
     leadership_.on_answer();
   if (!none_has_final_state && !some_have_final_state) {
-    run->refs.insert(run->refs.end(), asked.begin(), asked.end());
+    run->refs.insert(run->refs.end(), compared.begin(), compared.end());
     ++run->open;
-    return out_.after(kRetryDelay, [this, run] {
+    return outbox_.after(kRetryDelay, [this, run] {
       if (run->term != leadership_.term())
         return;
       --run->open;
-      ask_some(run);
+      send_next(run);
     });
   }
   constexpr std::size_t kPrefixLength = std::string_view(jobs::kFinalStatePrefix).size();
@@ -77,7 +78,7 @@
     for (const std::string& key : wire::failed_keys(reply.body))
       run->with_final_state.insert(key.substr(kPrefixLength));
   }
-  ask_some(run);
+  send_next(run);
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/final_state_query.hpp
+++ b/src/controller/final_state_query.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Asks the state service which of many jobs have a final state.
+/// Reads from the state service which of many jobs have a final state.
 #pragma once
 
 #include <functional>
@@ -12,32 +12,32 @@
 
 namespace wingtrail::controller {
 
-/// Finds out which of many jobs have a final state, with several comparisons in flight at a time. Comparisons
-/// without an answer are repeated until they have one.
+/// Finds out which of many jobs have a final state, with several comparisons in flight at a time. A
+/// comparison that fails is repeated until it succeeds.
 ///
 /// The collaborators passed to the constructor must outlive the query.
 class FinalStateQuery {
  public:
-  /// What the query needs of the leadership it serves.
+  /// The leadership that the query belongs to.
   struct Leadership {
     std::function<std::uint64_t()> term;  ///< changes whenever a leadership begins or ends
     std::function<void()> on_answer;      ///< the state service has answered a comparison
   };
   using Callback = std::function<void(const std::set<std::string>& with_final_state)>;
 
-  FinalStateQuery(ports::Outbox& out, store::StateClient& store, const settings::Settings& settings,
+  FinalStateQuery(ports::Outbox& outbox, store::StateClient& store, const settings::Settings& settings,
                   Leadership leadership);
 
-  /// Calls `then` with those of `refs` that have a final state, never if the leadership ends before.
+  /// Calls `then` with those of `refs` that have a final state, unless the leadership ends first.
   void ask(std::vector<std::string> refs, Callback then);
 
  private:
   struct Run;
-  void ask_some(const std::shared_ptr<Run>& run);
-  void on_reply(const std::shared_ptr<Run>& run, const std::vector<std::string>& asked,
+  void send_next(const std::shared_ptr<Run>& run);
+  void on_reply(const std::shared_ptr<Run>& run, const std::vector<std::string>& compared,
                 const store::Reply& reply);
 
-  ports::Outbox& out_;
+  ports::Outbox& outbox_;
   store::StateClient& store_;
   const settings::Settings& settings_;
   Leadership leadership_;
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -1,22 +1,23 @@
 /// @file
-/// Final states: what the leader remembers of them, and up to when it has recorded them.
+/// Controller: final states that it has learned of, and the time up to which the leader has recorded them.
 #include <algorithm>
 
 #include "controller/controller.hpp"
 #include "wire/job_messages.hpp"
 
 namespace wingtrail::controller {
-void Controller::on_final_state(const std::string& ref, const wire::FinalState& ended) {
-  if (!final_states_.insert(ref, ended))
+void Controller::on_final_state(const std::string& ref, const wire::FinalState& state) {
+  if (!final_states_.insert(ref, state))
     return;
   if (election_.holds_leadership())
-    dependencies_.on_ended(ref, {ended.phase == wire::Phase::done,
-                                 ended.ended_at ? to_steady_time(*ended.ended_at) : out_.now()});
+    dependencies_.on_ended(ref, {state.phase == wire::Phase::done,
+                                 state.ended_at ? to_steady_time(*state.ended_at) : out_.now()});
 }
 
-// What the others may rely on when this leader does not answer them: up to when all that follows from
-// cancellations is recorded. It stands still after a failover until every dependency is known that was not
-// live, and goes no further than the oldest end that waits to be recorded, however many wait before it.
+// Updates the time up to which all final states that follow from cancellations are recorded. Peers rely on it
+// when this leader does not answer them. After a failover it does not advance until every dependency that is
+// not live has been looked up. It never passes the time at which the oldest unrecorded final state of a
+// cancelled or orphaned job was decided, however many others are recorded before it.
 void Controller::update_final_states_recorded_until() {
   while (!unknown_dependencies_.empty() &&
          !dependencies_.awaits_unknown(unknown_dependencies_.front().second))
@@ -27,7 +28,7 @@
     if (recorded_until <= loaded_at_)
       return;
   }
-  // One that its user cancelled too may be recorded as that.
+  // An orphaned job that its user also cancelled may be queued as cancelled, so both kinds count.
   for (const auto kind : {jobs::RecordKind::orphaned, jobs::RecordKind::cancelled})
     recorded_until = std::min(recorded_until, state_writer_.oldest_unrecorded(kind).value_or(recorded_until));
   final_states_recorded_until_ = recorded_until;
--- a/src/controller/job_cancellation.cpp
+++ b/src/controller/job_cancellation.cpp
@@ -10,172 +10,178 @@
 namespace wingtrail::controller {
 namespace {
 constexpr Seconds kLeaderTimeout = 3.0;
-constexpr Seconds kTasksGoneWithin = 0.5;  // responsive workers stop a job's tasks within this time
-constexpr Seconds kRecordedWithin = 1.0;   // a cancellation is recorded, unless the write budget is scarce
+constexpr Seconds kMaxStopWait = 0.5;    // responsive workers stop a job's tasks within this time
+constexpr Seconds kMaxRecordWait = 1.0;  // recording takes longer only while the write budget is scarce
 }  // namespace
 
 JobCancellation::JobCancellation(Collaborators collaborators, Callbacks callbacks)
-    : with_(collaborators), callbacks_(std::move(callbacks)) {}
+    : collaborators_(collaborators), callbacks_(std::move(callbacks)) {}
 
 void JobCancellation::request(const RequestOrigin& origin, const std::string& ref) {
-  if (with_.queries.answer_final(origin, ref, ReplyDetail::state))
+  if (collaborators_.queries.answer_final(origin, ref, ReplyDetail::state))
     return;
   if (!callbacks_.is_active_leader())
     return forward_to_leader(origin, ref);
-  if (jobs::Job* job = with_.registry.find(ref))
+  if (jobs::Job* job = collaborators_.registry.find(ref))
     return cancel_for(origin, *job);
-  with_.lookup.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
-                       [this, origin, ref](const LookupResult& result) {
-                         if (result.outcome == LookupOutcome::absent)
-                           return with_.responder.respond(origin, 404);
-                         if (result.outcome != LookupOutcome::found)
-                           return with_.responder.try_later(origin, retry_status(result.outcome));
-                         if (with_.queries.answer_final(origin, ref, ReplyDetail::state))
-                           return;
-                         if (callbacks_.is_active_leader() && result.live)
-                           callbacks_.on_live_job_read(*result.live);
-                         jobs::Job* job = callbacks_.is_active_leader() ? with_.registry.find(ref) : nullptr;
-                         if (!job)
-                           return with_.responder.try_later(origin);
-                         cancel_for(origin, *job);
-                       });
+  collaborators_.lookup.look_up(
+      ref, store::RequestPriority::user, LookupDetail::live_record,
+      [this, origin, ref](const LookupResult& result) {
+        if (result.outcome == LookupOutcome::absent)
+          return collaborators_.responder.respond(origin, 404);
+        if (result.outcome != LookupOutcome::found)
+          return collaborators_.responder.try_later(origin, retry_status(result.outcome));
+        if (collaborators_.queries.answer_final(origin, ref, ReplyDetail::state))
+          return;
+        if (callbacks_.is_active_leader() && result.live)
+          callbacks_.on_live_job_read(*result.live);
+        jobs::Job* job = callbacks_.is_active_leader() ? collaborators_.registry.find(ref) : nullptr;
+        if (!job)
+          return collaborators_.responder.try_later(origin);
+        cancel_for(origin, *job);
+      });
 }
 
 void JobCancellation::forward_to_leader(const RequestOrigin& origin, const std::string& ref) {
   if (origin.by_peer)
-    return with_.responder.try_later(origin);
-  const auto leader = with_.peer_calls.reachable_leader();
+    return collaborators_.responder.try_later(origin);
+  const auto leader = collaborators_.peer_calls.reachable_leader();
   const std::string path = std::string(wire::kJobsPath) + "/" + ref + wire::kAbortSuffix;
-  with_.peer_calls.forward(
+  collaborators_.peer_calls.forward(
       origin, leader, {"POST", path, "", kLeaderTimeout}, [this, origin, ref, leader](PeerOutcome outcome) {
-        // A leader that is only slow with it needs no marker: each costs two writes, and
-        // users repeat late cancellations.
-        if (outcome == PeerOutcome::unavailable && with_.peers[*leader].answers_heartbeats &&
-            with_.peers[*leader].state_service_healthy) {
-          return with_.responder.try_later(origin);
+        // No marker for a leader that is reachable but slow: a marker costs two writes, and users repeat
+        // cancellations that are not confirmed in time.
+        if (outcome == PeerOutcome::unavailable && collaborators_.peers[*leader].answers_heartbeats &&
+            collaborators_.peers[*leader].state_service_healthy) {
+          return collaborators_.responder.try_later(origin);
         }
-        leave_marker(origin, ref);
+        request_marker(origin, ref);
       });
 }
 
 void JobCancellation::cancel_for(const RequestOrigin& origin, jobs::Job& job) {
   cancel(job);
-  pending_.push_back({job.index, origin, with_.out.now() + kTasksGoneWithin});
-  with_.out.after(kTasksGoneWithin, [] {});  // wakes the controller, so that progress() is called then
+  pending_.push_back({job.index, origin, collaborators_.outbox.now() + kMaxStopWait});
+  // The timer wakes the controller, which then calls progress().
+  collaborators_.outbox.after(kMaxStopWait, [] {});
 }
 
-// While the leader cannot be reached by its peers, it may well read what they leave in the state service. The
-// user is asked to come back: only the leader decides whether the job was done first.
-void JobCancellation::leave_marker(const RequestOrigin& origin, const std::string& ref) {
-  with_.lookup.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
-                       [this, origin, ref](const LookupResult& result) {
-                         if (result.outcome == LookupOutcome::absent)
-                           return with_.responder.respond(origin, 404);
-                         if (result.outcome != LookupOutcome::found)
-                           return with_.responder.try_later(origin, retry_status(result.outcome));
-                         if (with_.queries.answer_final(origin, ref, ReplyDetail::state))
-                           return;
-                         write_marker(ref, result.live.value());
-                         with_.responder.try_later(origin);
-                       });
+// A leader that its peers cannot reach may still read the marker from the state service. The user is asked to
+// retry, since only the leader decides whether the job was done first.
+void JobCancellation::request_marker(const RequestOrigin& origin, const std::string& ref) {
+  collaborators_.lookup.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
+                                [this, origin, ref](const LookupResult& result) {
+                                  if (result.outcome == LookupOutcome::absent)
+                                    return collaborators_.responder.respond(origin, 404);
+                                  if (result.outcome != LookupOutcome::found)
+                                    return collaborators_.responder.try_later(origin,
+                                                                              retry_status(result.outcome));
+                                  if (collaborators_.queries.answer_final(origin, ref, ReplyDetail::state))
+                                    return;
+                                  write_marker(ref, result.live.value());
+                                  collaborators_.responder.try_later(origin);
+                                });
 }
 
 void JobCancellation::write_marker(const std::string& ref, const LiveRecord& live) {
-  wire::Transaction txn;
-  txn.require(live.key, live.version);
-  txn.require(jobs::kFinalStatePrefix + ref, 0);  // a batch outlives some of its jobs
-  txn.put(jobs::kLiveJobPrefix + ref + jobs::kCancellationSuffix, true);
-  with_.store.transact(std::move(txn), store::RequestPriority::user, ports::kNever,
-                       [](const store::Reply&) {});
+  wire::Transaction transaction;
+  transaction.require(live.key, live.version);
+  transaction.require(jobs::kFinalStatePrefix + ref, 0);  // a batch outlives some of its jobs
+  transaction.put(jobs::kLiveJobPrefix + ref + jobs::kCancellationSuffix, true);
+  collaborators_.store.transact(std::move(transaction), store::RequestPriority::user, ports::kNever,
+                                [](const store::Reply&) {});
 }
 
 void JobCancellation::on_marker(const std::string& key) {
   constexpr std::size_t kPrefixLength = std::string_view(jobs::kLiveJobPrefix).size();
   constexpr std::size_t kSuffixLength = std::string_view(jobs::kCancellationSuffix).size();
-  jobs::Job* job = with_.registry.find(key.substr(kPrefixLength, key.size() - kPrefixLength - kSuffixLength));
-  // A marker is written on condition that the job's record exists, so the job's creation was seen before. The
-  // job is over, or its final state is being written and did not delete the marker.
+  jobs::Job* job =
+      collaborators_.registry.find(key.substr(kPrefixLength, key.size() - kPrefixLength - kSuffixLength));
+  // A marker is written only if the job's record exists, so the job's creation was read before the marker. If
+  // the job is not open, it is over, or its final state is being written by a transaction that does not
+  // delete the marker.
   if (!job || !job->is_open())
-    return with_.state_writer.delete_later(key);
+    return collaborators_.state_writer.delete_later(key);
   job->has_cancellation_marker = true;
   cancel(*job);
 }
 
-// One entry stands for the job until its final state is recorded; users who ask, and ask again, wait beside
-// it for a moment only.
+// One entry without a user remains until the job's final state is recorded. Each request of a user has an
+// entry of its own, which ends after kMaxStopWait at the latest.
 void JobCancellation::cancel(jobs::Job& job) {
   if (job.is_open() && !job.cancelling) {
     job.cancelling = true;
     pending_.push_back({job.index, {}, ports::kNever});
   }
-  with_.workers.cancel_job(job);
+  collaborators_.workers.cancel_job(job);
 }
 
-// Whether no machine has a task of the job, nor can get one any more: the one proof behind every cancellation
-// that is confirmed. The lease of a worker out of reach may be renewed by delegation for longer than a
-// cancellation may take, and a start that was sent may still arrive, so nothing of it rests on time. The same
-// with and without delegated renewal: without it a silent machine's lease is over in time, but a start could
-// follow the reply to the user.
-bool JobCancellation::is_gone(const jobs::Job& job) const {
+// Whether it is proved that no machine runs a task of the job or can still start one. Every confirmed
+// cancellation rests on this proof. It uses no timeouts: delegated lease renewal may keep an unreachable
+// worker alive for longer than a cancellation may take, and without delegated renewal, when the worker's
+// lease expires in time, a start command already sent could still arrive after the reply to the user.
+bool JobCancellation::has_no_instances(const jobs::Job& job) const {
   if (job.placed_remotely)
-    return false;  // the cell that holds it has to say so
+    return false;  // the holding cell has to confirm it
   if (job.placed_tasks > 0)
-    return false;  // commanded, in doubt, or running
-  if (with_.workers.has_stray_instance(job.spec.ref))
+    return false;  // started, possibly started, or running
+  if (collaborators_.workers.has_stray_instance(job.spec.ref))
     return false;
-  // Only leaders before this one could have started it elsewhere, and only if it is older.
-  return with_.scheduler.filters().reconciled().admits(job);
+  // Until the reconciliation ends, a machine may run a task that an earlier leader started. That concerns
+  // only jobs that are older than this leadership.
+  return collaborators_.scheduler.filters().reconciled().admits(job);
 }
 
-// While a task's machine does not answer, the user is asked to come back; the job starts nothing meanwhile.
+// While the machine of a task does not answer, users are asked to retry; no task of the job starts meanwhile.
 void JobCancellation::progress() {
   if (pending_.empty() || !callbacks_.loaded())
     return;
   std::vector<Pending> waiting;
   for (const Pending& pending : std::exchange(pending_, {})) {
-    if (keeps_waiting(pending))
+    if (still_pending(pending))
       waiting.push_back(pending);
   }
   pending_.insert(pending_.end(), waiting.begin(), waiting.end());
 }
 
-bool JobCancellation::keeps_waiting(const Pending& pending) {
-  jobs::Job* job = with_.registry.job_at(pending.job);
+bool JobCancellation::still_pending(const Pending& pending) {
+  jobs::Job* job = collaborators_.registry.job_at(pending.job);
   if (!job) {
     if (pending.origin)
-      with_.responder.try_later(*pending.origin);
+      collaborators_.responder.try_later(*pending.origin);
     return false;
   }
   if (job->placed_remotely)
-    with_.remote_placements.recall(job->spec.ref, true, with_.out.now());
+    collaborators_.remote_placements.recall(job->spec.ref, true, collaborators_.outbox.now());
   if (job->final_state_pending || job->final_state_recorded ||
-      (callbacks_.is_active_leader() && is_gone(*job))) {
-    record(*job, pending.origin);
+      (callbacks_.is_active_leader() && has_no_instances(*job))) {
+    record_cancelled(*job, pending.origin);
     return false;
   }
-  if (pending.origin && with_.out.now() >= pending.defer_at) {
+  if (pending.origin && collaborators_.outbox.now() >= pending.defer_at) {
     ++deferred_count_;
-    with_.responder.try_later(*pending.origin);
+    collaborators_.responder.try_later(*pending.origin);
     return false;
   }
   return true;
 }
 
-void JobCancellation::record(jobs::Job& job, const std::optional<RequestOrigin>& origin) {
+void JobCancellation::record_cancelled(jobs::Job& job, const std::optional<RequestOrigin>& origin) {
   std::function<void()> then;
   if (origin) {
-    // A user that waits here holds a connection, and with all of them taken no peer could ask anything.
+    // A waiting user holds a connection. The wait is limited, since with all connections taken no peer could
+    // send a request.
     auto answered = std::make_shared<bool>(false);
     then = [this, answered, origin = *origin, ref = job.spec.ref] {
       if (std::exchange(*answered, true))
         return;
-      if (!with_.queries.answer_final(origin, ref, ReplyDetail::state))
-        with_.responder.try_later(origin);
+      if (!collaborators_.queries.answer_final(origin, ref, ReplyDetail::state))
+        collaborators_.responder.try_later(origin);
     };
-    with_.out.after(kRecordedWithin, then);
+    collaborators_.outbox.after(kMaxRecordWait, then);
   }
   if (!job.final_state_recorded)
-    return with_.state_writer.record_final_state(job, wire::Phase::cancelled, std::move(then));
+    return collaborators_.state_writer.record_final_state(job, wire::Phase::cancelled, std::move(then));
   if (then)
     then();
 }
@@ -183,7 +189,7 @@
 void JobCancellation::end_leadership() {
   for (const Pending& pending : std::exchange(pending_, {})) {
     if (pending.origin)
-      with_.responder.try_later(*pending.origin);
+      collaborators_.responder.try_later(*pending.origin);
   }
 }
 
--- a/src/controller/job_cancellation.hpp
+++ b/src/controller/job_cancellation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Cancellation of jobs at the request of users.
+/// Cancels jobs at the request of users.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,13 @@
 namespace wingtrail::controller {
 
 /// Cancels jobs. A cancellation is recorded, and confirmed to the user, only once no task of the job runs or
-/// can start any more; until then the user is asked to come back. Only the leader cancels. While peers cannot
-/// reach it, they leave a cancellation marker in the state service, which the leader reads.
+/// can still start; until then the user is asked to retry. Only the leader cancels. A controller that cannot
+/// reach it writes a cancellation marker to the state service, which the leader reads.
 class JobCancellation {
  public:
   /// The references must outlive this object.
   struct Collaborators {
-    ports::Outbox& out;
+    ports::Outbox& outbox;
     store::StateClient& store;
     jobs::JobRegistry& registry;
     jobs::StateWriter& state_writer;
@@ -41,37 +41,38 @@
   };
   JobCancellation(Collaborators collaborators, Callbacks callbacks);
 
-  /// A user asks to cancel the job.
+  /// Handles a user's request to cancel the job.
   void request(const RequestOrigin& origin, const std::string& ref);
-  /// The leader cancels the job: nothing of it starts any more, and what runs is stopped.
+  /// As the leader: starts no further task of the job and stops those that run.
   void cancel(jobs::Job& job);
-  /// The leader has read the cancellation marker with that key.
+  /// As the leader: handles the cancellation marker with that key.
   void on_marker(const std::string& key);
-  /// Records cancellations whose tasks are gone, and asks users to come back that have waited long enough.
+  /// Records the cancellations whose tasks are gone, and asks users who have waited for 0.5 s to retry.
   void progress();
-  /// The leadership is over: users that wait are asked to come back.
+  /// Asks all waiting users to retry, since the leadership has ended.
   void end_leadership();
 
-  /// Users asked to come back because a task is out of reach.
+  /// Users asked to retry because a task was not gone in time.
   std::uint64_t deferred_count() const {
     return deferred_count_;
   }
 
  private:
-  struct Pending {  // a cancellation that waits for its tasks to be gone, and who asked for it
+  // A cancellation that waits until the job's tasks are gone; `origin` is the user's request, if one waits.
+  struct Pending {
     jobs::JobIndex job;
     std::optional<RequestOrigin> origin;
     Seconds defer_at = ports::kNever;
   };
   void forward_to_leader(const RequestOrigin& origin, const std::string& ref);
   void cancel_for(const RequestOrigin& origin, jobs::Job& job);
-  void leave_marker(const RequestOrigin& origin, const std::string& ref);
+  void request_marker(const RequestOrigin& origin, const std::string& ref);
   void write_marker(const std::string& ref, const LiveRecord& live);
-  bool is_gone(const jobs::Job& job) const;
-  bool keeps_waiting(const Pending& pending);
-  void record(jobs::Job& job, const std::optional<RequestOrigin>& origin);
+  bool has_no_instances(const jobs::Job& job) const;
+  bool still_pending(const Pending& pending);
+  void record_cancelled(jobs::Job& job, const std::optional<RequestOrigin>& origin);
 
-  Collaborators with_;
+  Collaborators collaborators_;
   Callbacks callbacks_;
   std::vector<Pending> pending_;
   std::uint64_t deferred_count_ = 0;
--- a/src/controller/job_lookup.cpp
+++ b/src/controller/job_lookup.cpp
@@ -22,93 +22,94 @@
   return outcome == LookupOutcome::throttled ? 429 : 503;
 }
 
-struct JobLookup::Query {
+struct JobLookup::Pending {
   std::string ref;
   store::RequestPriority priority;
   LookupDetail detail;
-  Callback then;
-  Seconds asked_at;
+  OnResult then;
+  Seconds began_at;
   std::uint64_t term;
 };
 
-JobLookup::JobLookup(ports::Outbox& out, store::StateClient& store, BatchIndexFollower& batches,
-                     Events events)
-    : out_(out), store_(store), batches_(batches), events_(std::move(events)) {}
+JobLookup::JobLookup(ports::Outbox& outbox, store::StateClient& store, BatchIndexFollower& batches,
+                     Callbacks callbacks)
+    : outbox_(outbox), store_(store), batches_(batches), callbacks_(std::move(callbacks)) {}
 
 void JobLookup::look_up(const std::string& ref, store::RequestPriority priority, LookupDetail detail,
-                        Callback then) {
-  wire::Transaction txn;
-  txn.require(jobs::kLiveJobPrefix + ref, 0).require(jobs::kFinalStatePrefix + ref, 0);
-  Query query{ref, priority, detail, std::move(then), out_.now(), events_.term()};
-  store_.transact(std::move(txn), priority, ports::kNever,
-                  [this, query = std::move(query)](const store::Reply& reply) { on_compared(query, reply); });
+                        OnResult then) {
+  wire::Transaction transaction;
+  transaction.require(jobs::kLiveJobPrefix + ref, 0).require(jobs::kFinalStatePrefix + ref, 0);
+  Pending lookup{ref, priority, detail, std::move(then), outbox_.now(), callbacks_.term()};
+  store_.transact(
+      std::move(transaction), priority, ports::kNever,
+      [this, lookup = std::move(lookup)](const store::Reply& reply) { on_compared(lookup, reply); });
 }
 
-void JobLookup::on_compared(const Query& query, const store::Reply& reply) {
+void JobLookup::on_compared(const Pending& lookup, const store::Reply& reply) {
   if (reply.status == 200 && batches_.may_miss_batches())
-    return look_up_in_batches(query);
+    return look_up_in_batches(lookup);
   if (reply.status == 200)
-    return query.then({LookupOutcome::absent});
+    return lookup.then({LookupOutcome::absent});
   if (reply.status != 409)
-    return query.then({reply.status == 429 ? LookupOutcome::throttled : LookupOutcome::unavailable});
-  // The comparison says which of the two keys exists: at that moment the job was live, or was over.
+    return lookup.then({reply.status == 429 ? LookupOutcome::throttled : LookupOutcome::unavailable});
+  // The reply names which of the two keys exists, so whether the job was live or over at that moment.
   const auto existing = wire::failed_keys(reply.body);
   const bool is_over =
-      std::find(existing.begin(), existing.end(), jobs::kFinalStatePrefix + query.ref) != existing.end();
+      std::find(existing.begin(), existing.end(), jobs::kFinalStatePrefix + lookup.ref) != existing.end();
   if (is_over || existing.empty())
-    return read_final_state(query);
-  if (query.detail == LookupDetail::phase)
-    return query.then({LookupOutcome::found, wire::Phase::queued});
-  read_live(query);
+    return read_final_state(lookup);
+  if (lookup.detail == LookupDetail::phase)
+    return lookup.then({LookupOutcome::found, wire::Phase::queued});
+  read_live(lookup);
 }
 
-void JobLookup::read_live(const Query& query) {
-  store_.get(jobs::kLiveJobPrefix + query.ref, query.priority,
-             [then = query.then, term = query.term](const store::Reply& reply) {
+void JobLookup::read_live(const Pending& lookup) {
+  store_.get(jobs::kLiveJobPrefix + lookup.ref, lookup.priority,
+             [then = lookup.then, term = lookup.term](const store::Reply& reply) {
                const auto item = parse_item(reply);
-               // Not there any more: it has become final since.
+               // No reply, or the key is gone because the job has become final since the comparison.
                if (!item)
                  return then({LookupOutcome::unavailable});
                then(found_live(item->value, *item, term));
              });
 }
 
-void JobLookup::read_final_state(const Query& query) {
-  store_.get(jobs::kFinalStatePrefix + query.ref, query.priority,
-             [this, ref = query.ref, then = query.then](const store::Reply& reply) {
+void JobLookup::read_final_state(const Pending& lookup) {
+  store_.get(jobs::kFinalStatePrefix + lookup.ref, lookup.priority,
+             [this, ref = lookup.ref, then = lookup.then](const store::Reply& reply) {
                const auto item = parse_item(reply);
                const auto state = item ? wire::parse_final_state(item->value) : std::nullopt;
                if (!state)
                  return then({LookupOutcome::unavailable});
-               events_.on_final_state(ref, *state);
+               callbacks_.on_final_state(ref, *state);
                then({LookupOutcome::found, state->phase});
              });
 }
 
-// The job has no key and no final state, as of a moment ago. It was never accepted unless it is in a batch.
-void JobLookup::look_up_in_batches(const Query& query) {
-  batches_.catch_up([this, query](bool caught_up) {
-    // An index read anew since has forgotten which batches were deleted lately.
-    if (!caught_up || batches_.read_since() >= query.asked_at)
-      return query.then({LookupOutcome::unavailable});
-    const auto batch_key = batches_.index().find(query.ref);
-    // Its batch was deleted while it was looked for: it has become final.
-    if (!batch_key && batches_.index().recently_removed(query.ref))
-      return query.then({LookupOutcome::unavailable});
+// The comparison found neither a key nor a final state, so the job was accepted only if it is in a job batch.
+void JobLookup::look_up_in_batches(const Pending& lookup) {
+  batches_.catch_up([this, lookup](bool caught_up) {
+    // An index read anew since the lookup began does not know which batches were deleted before that.
+    if (!caught_up || batches_.read_since() >= lookup.began_at)
+      return lookup.then({LookupOutcome::unavailable});
+    const auto batch_key = batches_.index().find(lookup.ref);
+    // The batch was deleted during the lookup, so the job has become final.
+    if (!batch_key && batches_.index().recently_removed(lookup.ref))
+      return lookup.then({LookupOutcome::unavailable});
     if (!batch_key)
-      return query.then({LookupOutcome::absent});
-    if (query.detail == LookupDetail::phase)
-      return confirm_live(query);
-    read_from_batch(query, *batch_key);
+      return lookup.then({LookupOutcome::absent});
+    if (lookup.detail == LookupDetail::phase)
+      return confirm_live(lookup);
+    read_from_batch(lookup, *batch_key);
   });
 }
 
-// The job is in a batch, but may have become final while it was looked for.
-void JobLookup::confirm_live(const Query& query) {
-  wire::Transaction txn;
-  txn.require(jobs::kFinalStatePrefix + query.ref, 0);
-  store_.transact(std::move(txn), query.priority, ports::kNever,
-                  [then = query.then](const store::Reply& reply) {
+// A batch outlives some of its jobs, so this checks that the job has no final state.
+void JobLookup::confirm_live(const Pending& lookup) {
+  wire::Transaction transaction;
+  transaction.require(jobs::kFinalStatePrefix + lookup.ref, 0);
+  store_.transact(std::move(transaction), lookup.priority, ports::kNever,
+                  [then = lookup.then](const store::Reply& reply) {
                     if (reply.status == 200)
                       then({LookupOutcome::found, wire::Phase::queued});
                     else
@@ -116,9 +117,9 @@
                   });
 }
 
-void JobLookup::read_from_batch(const Query& query, const std::string& batch_key) {
-  store_.get(batch_key, query.priority,
-             [ref = query.ref, then = query.then, term = query.term](const store::Reply& reply) {
+void JobLookup::read_from_batch(const Pending& lookup, const std::string& batch_key) {
+  store_.get(batch_key, lookup.priority,
+             [ref = lookup.ref, then = lookup.then, term = lookup.term](const store::Reply& reply) {
                const auto item = parse_item(reply);
                wire::Value spec;
                if (item) {
--- a/src/controller/job_lookup.hpp
+++ b/src/controller/job_lookup.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Finds out from the state service whether a job exists and what became of it.
+/// Looks up in the state service whether a job exists, and its phase.
 #pragma once
 
 #include <cstdint>
@@ -13,63 +13,69 @@
 
 namespace wingtrail::controller {
 
-/// Whether the state service could tell what was asked.
+/// Outcome of a lookup.
 enum class LookupOutcome : std::uint8_t {
-  found,        ///< the job was accepted; the result says whether it is live or over
+  found,        ///< the job was accepted; LookupResult::phase says whether it is live or over
   absent,       ///< the job was never accepted
-  throttled,    ///< the budget of the state service grants no more requests now
-  unavailable,  ///< no answer, or one that changed while it was read; asking again will tell
+  throttled,    ///< the budget for requests to the state service is used up
+  unavailable,  ///< no reply, or the job's state changed during the lookup; to be retried
 };
 
-/// The HTTP status that tells a user to come back later; of outcomes other than found and absent.
+/// Returns the HTTP status that asks a user to retry; for the outcomes throttled and unavailable.
 int retry_status(LookupOutcome outcome);
 
-/// A live job as it was read from the state service.
+/// The record of a live job, as read from the state service.
 struct LiveRecord {
-  wire::Value spec;
-  std::string key;
+  wire::Value spec;           ///< the job record, see wire::job_record()
+  std::string key;            ///< the job's own key, or that of its job batch
   std::uint64_t version = 0;  ///< of the key
-  std::uint64_t term = 0;     ///< in which it was asked for, see JobLookup
+  std::uint64_t term = 0;     ///< JobLookup::Callbacks::term when the lookup began
 };
 
+/// Result of a lookup.
+///
+/// `phase` is set if the job was found, `live` if it is live and LookupDetail::live_record was requested.
 struct LookupResult {
   LookupOutcome outcome = LookupOutcome::unavailable;
-  std::optional<wire::Phase> phase = {};  ///< if found
-  std::optional<LiveRecord> live = {};    ///< if found live, and if the record was asked for
+  std::optional<wire::Phase> phase = {};
+  std::optional<LiveRecord> live = {};
 };
 
+/// What to read of a live job: its phase only, or its record too.
 enum class LookupDetail : std::uint8_t { phase, live_record };
 
-/// Looks jobs up in the state service. Most jobs asked for need one comparison; a read follows only if the
-/// job exists. Jobs without a key of their own are looked for in batches.
+/// Looks up jobs in the state service. Most lookups need one comparison; a read follows only if the job
+/// exists. Jobs without a key of their own are looked up in the job batches.
 ///
 /// The collaborators passed to the constructor must outlive the lookup.
 class JobLookup {
  public:
-  struct Events {
+  struct Callbacks {
     std::function<std::uint64_t()> term;  ///< changes whenever a leadership begins or ends
-    std::function<void(const std::string& ref, const wire::FinalState&)> on_final_state;  ///< one was read
+    /// A job's final state has been read.
+    std::function<void(const std::string& ref, const wire::FinalState&)> on_final_state;
   };
-  using Callback = std::function<void(const LookupResult&)>;
+  using OnResult = std::function<void(const LookupResult&)>;
 
-  JobLookup(ports::Outbox& out, store::StateClient& store, BatchIndexFollower& batches, Events events);
+  JobLookup(ports::Outbox& outbox, store::StateClient& store, BatchIndexFollower& batches,
+            Callbacks callbacks);
 
-  /// Calls `then` with what the state service says of the job at a time after this call.
-  void look_up(const std::string& ref, store::RequestPriority priority, LookupDetail detail, Callback then);
+  /// Calls `then` with the job's state as of some moment between this call and the callback.
+  void look_up(const std::string& ref, store::RequestPriority priority, LookupDetail detail, OnResult then);
 
  private:
-  struct Query;
-  void on_compared(const Query& query, const store::Reply& reply);
-  void read_live(const Query& query);
-  void read_final_state(const Query& query);
-  void look_up_in_batches(const Query& query);
-  void confirm_live(const Query& query);
-  void read_from_batch(const Query& query, const std::string& batch_key);
+  struct Pending;
+  void on_compared(const Pending& lookup, const store::Reply& reply);
+  void read_live(const Pending& lookup);
+  void read_final_state(const Pending& lookup);
+  void look_up_in_batches(const Pending& lookup);
+  void confirm_live(const Pending& lookup);
+  void read_from_batch(const Pending& lookup, const std::string& batch_key);
 
-  ports::Outbox& out_;
+  ports::Outbox& outbox_;
   store::StateClient& store_;
   BatchIndexFollower& batches_;
-  Events events_;
+  Callbacks callbacks_;
 };
 
 }  // namespace wingtrail::controller
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -16,51 +16,52 @@
 }  // namespace
 
 JobQueries::JobQueries(Collaborators collaborators, Callbacks callbacks)
-    : with_(collaborators), callbacks_(std::move(callbacks)) {}
+    : collaborators_(collaborators), callbacks_(std::move(callbacks)) {}
 
 void JobQueries::status(const RequestOrigin& origin, const std::string& ref) {
   if (answer_final(origin, ref, ReplyDetail::progress))
     return;
   if (callbacks_.is_active_leader()) {
-    if (const jobs::Job* job = with_.registry.find(ref))
+    if (const jobs::Job* job = collaborators_.registry.find(ref))
       return answer_live(origin, *job, ReplyDetail::progress);
     return answer_fresh(origin, ref, ReplyDetail::progress);
   }
   if (origin.by_peer) {
-    // Asked as the leader that it is not: the peer takes the answer for a leader's.
-    if (with_.store.healthy())
+    // The peer takes this controller for the leader and would pass the reply on as the leader's, so the reply
+    // must hold even if the leader deferred the query.
+    if (collaborators_.store.healthy())
       return answer_fresh(origin, ref, ReplyDetail::progress, true);
     return defer(origin, ref, DeferralReason::not_leading);
   }
-  with_.peer_calls.forward(
-      origin, with_.peer_calls.reachable_leader(), {"GET", job_path(ref), "", kLeaderTimeout},
+  collaborators_.peer_calls.forward(
+      origin, collaborators_.peer_calls.reachable_leader(), {"GET", job_path(ref), "", kLeaderTimeout},
       [this, origin, ref](PeerOutcome outcome) {
         answer_fresh(origin, ref, ReplyDetail::progress, outcome == PeerOutcome::unavailable);
       });
 }
 
 bool JobQueries::answer_final(const RequestOrigin& origin, const std::string& ref, ReplyDetail detail) {
-  const wire::FinalState* state = with_.final_states.find(ref);
+  const wire::FinalState* state = collaborators_.final_states.find(ref);
   if (!state)
     return false;
   const std::uint32_t done_tasks = state->phase == wire::Phase::done ? state->tasks : 0;
-  with_.responder.respond(origin, 200,
-                          detail == ReplyDetail::state
-                              ? wire::job_state(ref, state->phase)
-                              : wire::job_progress(ref, state->phase, done_tasks, 0));
+  collaborators_.responder.respond(origin, 200,
+                                   detail == ReplyDetail::state
+                                       ? wire::job_state(ref, state->phase)
+                                       : wire::job_progress(ref, state->phase, done_tasks, 0));
   return true;
 }
 
-// Whether a job that it depends on is cancelled, or nothing rules that out yet. So is it then; but its own
-// final state is told only once it is recorded, and that it is queued must not be told any more.
+// Whether a job that it depends on is cancelled, or may be, as far as the leader knows. The job is then
+// cancelled too. Until that final state is recorded, neither it nor "queued" may be answered.
 bool JobQueries::may_be_orphaned(const jobs::Job& job) const {
-  return job.orphaned || with_.dependencies.has_undecided_dependency(job);
+  return job.orphaned || collaborators_.dependencies.has_undecided_dependency(job);
 }
 
 void JobQueries::defer(const RequestOrigin& origin, const std::string& ref, DeferralReason reason) {
   ++deferral_counts_[static_cast<std::size_t>(reason)];
   spdlog::debug("queries: deferred ref={} reason={}", ref, name(reason));
-  with_.responder.try_later(origin, reason == DeferralReason::budget_exhausted ? 429 : 503);
+  collaborators_.responder.try_later(origin, reason == DeferralReason::budget_exhausted ? 429 : 503);
 }
 
 void JobQueries::defer_undecided(const RequestOrigin& origin, const jobs::Job& job) {
@@ -71,33 +72,34 @@
 void JobQueries::answer_live(const RequestOrigin& origin, const jobs::Job& job, ReplyDetail detail) {
   if (may_be_orphaned(job))
     return defer_undecided(origin, job);
-  // Its final state may be recorded though this controller has not heard so yet, and another may have read
-  // and told it: that the job is live would be an older answer then.
+  // The final state has been sent and may be recorded although no reply has come. Another controller may have
+  // read and answered it, and an answer that the job is live would then be out of date.
   if (job.final_state_sent)
     return answer_fresh(origin, job.spec.ref, detail);
   if (detail == ReplyDetail::state)
-    return with_.responder.respond(origin, 200, wire::job_state(job.spec.ref, job.phase()));
-  with_.responder.respond(
+    return collaborators_.responder.respond(origin, 200, wire::job_state(job.spec.ref, job.phase()));
+  collaborators_.responder.respond(
       origin, 200,
       job.placed_remotely ? remote_progress(job)
                           : wire::job_progress(job.spec.ref, job.phase(), job.done_tasks, job.running_tasks));
 }
 
-// What the cell that holds the job has said of it.
+// Progress as last reported by the cell that holds the job.
 wire::Value JobQueries::remote_progress(const jobs::Job& job) const {
-  const cells::RemotePlacements::RemotePlacement* placement = with_.remote_placements.find(job.spec.ref);
+  const cells::RemotePlacements::RemotePlacement* placement =
+      collaborators_.remote_placements.find(job.spec.ref);
   const std::uint32_t done = placement ? placement->done : 0;
   const std::uint32_t running = placement ? placement->running : 0;
   return wire::job_progress(job.spec.ref, running > 0 ? wire::Phase::running : wire::Phase::queued, done,
                             running);
 }
 
-// Of a job that depends on others only the leader knows whether it is live.
+// Only the leader knows whether a job with dependencies is live, so it is asked first.
 void JobQueries::answer_accepted(const RequestOrigin& origin, const wire::JobSpec& spec) {
   if (callbacks_.is_active_leader() || origin.by_peer || spec.depends_on.empty())
     return answer_fresh(origin, spec.ref, ReplyDetail::state);
-  with_.peer_calls.forward(
-      origin, with_.peer_calls.reachable_leader(), {"GET", job_path(spec.ref), "", kLeaderTimeout},
+  collaborators_.peer_calls.forward(
+      origin, collaborators_.peer_calls.reachable_leader(), {"GET", job_path(spec.ref), "", kLeaderTimeout},
       [this, origin, ref = spec.ref](PeerOutcome outcome) {
         answer_fresh(origin, ref, ReplyDetail::state, outcome == PeerOutcome::unavailable);
       });
@@ -105,20 +107,22 @@
 
 void JobQueries::answer_fresh(const RequestOrigin& origin, const std::string& ref, ReplyDetail detail,
                               bool leader_deferred) {
-  // Questions are repeated in a few seconds anyway; submissions and cancellations go before them.
+  // Users repeat queries every few seconds, so submissions and cancellations have priority over them.
   const auto priority =
       detail == ReplyDetail::state ? store::RequestPriority::user : store::RequestPriority::question;
-  // A job that depends on a cancelled one may still be recorded as live, and only the leader knows. So this
-  // controller goes by how far the leader said that it has recorded such final states: that the leader could
-  // write lately is no proof, since more may wait than it can write. Nor is the record one if the leader has
-  // just deferred the question, whose replies from the state service may have been lost.
-  const bool leader_overdue = !callbacks_.is_active_leader() &&
-                              (leader_deferred || with_.out.now() - callbacks_.final_states_recorded_until() >
-                                                      with_.settings.cancellation_limit_s / 2);
-  // The leader takes in a job that it does not know.
+  // A job that depends on a cancelled one may still be recorded as live, and only the leader knows that it is
+  // orphaned. So this controller relies on the time up to which the leader reports such final states as
+  // recorded. That the leader wrote something lately proves nothing, since its backlog may exceed what it can
+  // write. The report proves nothing either if the leader has just deferred the query: replies of the state
+  // service to the leader may have been lost.
+  const bool leader_overdue =
+      !callbacks_.is_active_leader() &&
+      (leader_deferred || collaborators_.outbox.now() - callbacks_.final_states_recorded_until() >
+                              collaborators_.settings.cancellation_limit_s / 2);
+  // The leader needs the record, to add a job that it does not know.
   const auto lookup_detail =
       callbacks_.is_active_leader() || leader_overdue ? LookupDetail::live_record : LookupDetail::phase;
-  with_.lookup.look_up(
+  collaborators_.lookup.look_up(
       ref, priority, lookup_detail,
       [this, origin, ref, detail, leader_overdue, leader_deferred](const LookupResult& result) {
         on_looked_up(origin, ref, detail, leader_overdue, leader_deferred, result);
@@ -128,10 +132,10 @@
 void JobQueries::on_looked_up(const RequestOrigin& origin, const std::string& ref, ReplyDetail detail,
                               bool leader_overdue, bool leader_deferred, const LookupResult& result) {
   if (result.outcome == LookupOutcome::absent)
-    return with_.responder.respond(origin, 404);
+    return collaborators_.responder.respond(origin, 404);
   if (result.outcome != LookupOutcome::found) {
-    // That the leader is not there to answer is no fault of the user's.
-    const bool alone = !callbacks_.is_active_leader() && !with_.peer_calls.reachable_leader();
+    // 429 would blame the user's rate of requests, which is wrong while no leader is reachable to answer.
+    const bool alone = !callbacks_.is_active_leader() && !collaborators_.peer_calls.reachable_leader();
     const bool throttled = result.outcome == LookupOutcome::throttled;
     return defer(origin, ref,
                  throttled && !alone ? DeferralReason::budget_exhausted : DeferralReason::no_reply);
@@ -144,12 +148,13 @@
   }
   if (callbacks_.is_active_leader() && result.live)
     callbacks_.on_live_job_read(*result.live);
-  const jobs::Job* known = callbacks_.is_active_leader() ? with_.registry.find(ref) : nullptr;
+  const jobs::Job* known = callbacks_.is_active_leader() ? collaborators_.registry.find(ref) : nullptr;
   if (known && may_be_orphaned(*known))
     return defer_undecided(origin, *known);
-  with_.responder.respond(origin, 200,
-                          detail == ReplyDetail::state ? wire::job_state(ref, *result.phase)
-                                                       : wire::job_progress(ref, *result.phase, 0, 0));
+  collaborators_.responder.respond(origin, 200,
+                                   detail == ReplyDetail::state
+                                       ? wire::job_state(ref, *result.phase)
+                                       : wire::job_progress(ref, *result.phase, 0, 0));
 }
 
 }  // namespace wingtrail::controller
--- a/src/controller/job_queries.hpp
+++ b/src/controller/job_queries.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Answers to questions about jobs: from memory, from the leader, or from a fresh read of the state service.
+/// Answers queries of jobs: from memory, through the leader, or from a fresh read of the state service.
 #pragma once
 
 #include <array>
@@ -17,18 +17,18 @@
 
 namespace wingtrail::controller {
 
-/// How much a reply says of a job.
+/// What a reply contains about a job.
 enum class ReplyDetail : std::uint8_t {
-  state,     ///< its phase only, in reply to a submission or a cancellation
-  progress,  ///< the numbers of its tasks too, in reply to a question
+  state,     ///< its phase, in reply to a submission or a cancellation
+  progress,  ///< its phase and the numbers of done and running tasks, in reply to a query
 };
 
-/// Answers questions about jobs. A job is called unknown only after a fresh read of the state service.
+/// Answers queries of jobs. A job is answered as unknown (404) only after a fresh read of the state service.
 class JobQueries {
  public:
-  /// What the answers rest on; the references must outlive the queries.
+  /// The references must outlive this object.
   struct Collaborators {
-    const ports::Outbox& out;
+    const ports::Outbox& outbox;
     const store::StateClient& store;
     const settings::Settings& settings;
     const FinalStateCache& final_states;
@@ -41,28 +41,27 @@
   };
   struct Callbacks {
     std::function<bool()> is_active_leader;
-    std::function<void(const LiveRecord&)> on_live_job_read;  ///< the leader has read a job
-    /// Every final state that follows from a cancellation before this time is recorded, as far as is known.
+    std::function<void(const LiveRecord&)> on_live_job_read;  ///< the leader has read a live job's record
+    /// Every job orphaned by a cancellation before this time has its final state recorded, as far as this
+    /// controller knows from the leader.
     std::function<Seconds()> final_states_recorded_until;
   };
-  /// Deferred answers by DeferralReason.
+  /// Deferred replies, indexed by DeferralReason.
   using DeferralCounts = std::array<std::uint64_t, kDeferralReasons>;
 
   JobQueries(Collaborators collaborators, Callbacks callbacks);
 
-  /// Answers the question what became of the job.
+  /// Answers a user's query, or one that a peer forwarded, with the job's progress.
   void status(const RequestOrigin& origin, const std::string& ref);
   /// Answers from memory if the job's final state is known; returns false otherwise.
   bool answer_final(const RequestOrigin& origin, const std::string& ref, ReplyDetail detail);
-  /// Answers as the leader that has the job in memory.
+  /// As the leader: answers from the job in memory.
   void answer_live(const RequestOrigin& origin, const jobs::Job& job, ReplyDetail detail);
   /// Answers after a fresh read of the state service.
-  /// @param leader_deferred the leader was asked and deferred the question, so a job that depends on others
-  /// may
-  ///        be cancelled with one of them
+  /// @param leader_deferred the leader deferred the query, so a job that depends on others may be orphaned
   void answer_fresh(const RequestOrigin& origin, const std::string& ref, ReplyDetail detail,
                     bool leader_deferred = false);
-  /// Answers a submission of a job that was accepted before.
+  /// Answers a repeated submission of an accepted job.
   void answer_accepted(const RequestOrigin& origin, const wire::JobSpec& spec);
 
   const DeferralCounts& deferral_counts() const {
@@ -77,7 +76,7 @@
   void defer_undecided(const RequestOrigin& origin, const jobs::Job& job);
   wire::Value remote_progress(const jobs::Job& job) const;
 
-  Collaborators with_;
+  Collaborators collaborators_;
   Callbacks callbacks_;
   DeferralCounts deferral_counts_{};
 };
--- a/src/controller/job_submission.hpp
+++ b/src/controller/job_submission.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Submissions of jobs: validation, the check of dependencies, and creation.
+/// Handles job submissions: validates the specification, checks that the dependencies exist, creates the job.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 namespace wingtrail::controller {
 
-/// Accepts or refuses submissions. A job that was accepted stays accepted: a repeated submission is answered
-/// with the job's state, whatever a new one would be told.
+/// Accepts or refuses submissions. Acceptance is final: a repeated submission of an accepted job is answered
+/// with the job's state, even if a new job with this specification would be refused.
 class JobSubmission {
  public:
   /// The references must outlive this object.
   struct Collaborators {
-    ports::Outbox& out;
+    ports::Outbox& outbox;
     store::StateClient& store;
     const settings::Settings& settings;
-    const std::vector<wire::MachineType>& catalog;  ///< empty: not known yet
+    const std::vector<wire::MachineType>& catalog;  ///< empty until the machine types are known
     const leadership::LeaderElection& election;
     const PeerDirectory& peers;
     const FinalStateCache& final_states;
@@ -39,20 +39,21 @@
   struct Callbacks {
     std::function<bool()> is_active_leader;
     std::function<std::uint64_t()> term;  ///< changes whenever a leadership begins or ends
-    std::function<bool()> fixed_shares;   ///< a peer keeps to no shares of the budget
-    /// The leader has created a job. The batch key is empty if the job has a key of its own.
+    std::function<bool()> fixed_shares;   ///< a peer does not support budget shares
+    /// The leader has created a job at `revision`; `batch_key` is empty if the job has a key of its own.
     std::function<void(const wire::Value& record, std::uint64_t revision, const std::string& batch_key)>
         on_created;
   };
   struct Counts {
     std::uint64_t submitted = 0;
     std::uint64_t admitted = 0;
-    std::uint64_t refused = 0;  ///< for good
+    std::uint64_t refused = 0;  ///< with 400 or 422, so that a retry cannot succeed
   };
 
   JobSubmission(Collaborators collaborators, Callbacks callbacks);
 
-  /// @param bytes the submission as it came, in CBOR
+  /// Answers the submission once it is accepted, refused or deferred.
+  /// @param bytes body of the request, in CBOR
   void submit(const RequestOrigin& origin, const std::string& bytes);
 
   const Counts& counts() const {
@@ -69,21 +70,21 @@
   bool leader_lacks_dependencies() const;
   void check_dependencies(const RequestOrigin& origin, const wire::JobSpec& spec, const std::string& bytes);
   void check_next(const std::shared_ptr<DependencyCheck>& check);
-  void on_compared(const std::shared_ptr<DependencyCheck>& check, const std::vector<std::string>& asked,
+  void on_compared(const std::shared_ptr<DependencyCheck>& check, const std::vector<std::string>& compared,
                    const store::Reply& reply);
   void look_up_without_key(const std::shared_ptr<DependencyCheck>& check, std::vector<std::string> refs);
 
   // Creation.
   void create(const RequestOrigin& origin, const wire::JobSpec& spec);
-  void create_here(const std::shared_ptr<Creation>& creation);
-  void on_created_here(const std::shared_ptr<Creation>& creation, std::uint64_t term,
+  void create_locally(const std::shared_ptr<Creation>& creation);
+  void on_local_result(const std::shared_ptr<Creation>& creation, std::uint64_t term,
                        const admission::CreationQueue::Result& result);
   void hedge(const std::shared_ptr<Creation>& creation);
   void create_at_peer(const std::shared_ptr<Creation>& creation);
   void on_peer_reply(const std::shared_ptr<Creation>& creation, const PeerReply& reply);
-  void fail_if_nothing_open(const std::shared_ptr<Creation>& creation);
+  void fail_if_nothing_pending(const std::shared_ptr<Creation>& creation);
 
-  Collaborators with_;
+  Collaborators collaborators_;
   Callbacks callbacks_;
   Counts counts_;
 };
--- a/src/controller/job_validation.hpp
+++ b/src/controller/job_validation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a job could ever run.
+/// Checks whether a job could ever run.
 #pragma once
 
 #include <optional>
@@ -12,8 +12,8 @@
 
 namespace wingtrail::controller {
 
-/// Returns why the job could never run, in words for the user, or nothing if it could: its team exists, its
-/// resources fit the team's limit and a machine type of the catalog.
+/// Returns why the job could never run, as the text answered to the user, or nothing if it could: its team
+/// exists, its resources are within the team's limit, and a task fits an allowed machine type of the catalog.
 std::optional<std::string> why_unrunnable(const wire::JobSpec& spec, const settings::Settings& settings,
                                           const std::vector<wire::MachineType>& catalog);
 
