--- a/src/admission/batch_index.cpp
+++ b/src/admission/batch_index.cpp
@@ -8,7 +8,7 @@
 
 void BatchIndex::add_batch(const std::string& key, const wire::Value& value) {
   if (batches_.contains(key))
-    return;  // a sheet never changes
+    return;  // a batch never changes
   auto& refs = batches_[key];
   jobs::for_each_record(value, [&](const std::string& ref, const wire::Value&) {
     refs.push_back(ref);
@@ -17,12 +17,12 @@
 }
 
 void BatchIndex::remove_batch(const std::string& key, Seconds now) {
-  const auto sheet = batches_.extract(key);
-  if (sheet.empty())
+  const auto batch = batches_.extract(key);
+  if (batch.empty())
     return;
-  for (const std::string& ref : sheet.mapped()) {
+  for (const std::string& ref : batch.mapped()) {
     const auto [first, last] = by_ref_.equal_range(ref);
-    const auto it = std::find_if(first, last, [&key](const auto& e) { return e.second == key; });
+    const auto it = std::find_if(first, last, [&key](const auto& entry) { return entry.second == key; });
     if (it != last)
       by_ref_.erase(it);
     removed_[ref] = now;
@@ -32,7 +32,7 @@
 
 void BatchIndex::advance_to(std::uint64_t revision, Seconds now) {
   revision_ = std::max(revision_.value_or(0), revision);
-  while (!removal_order_.empty() && removal_order_.front().first < now - kRemovedJobMemory) {
+  while (!removal_order_.empty() && removal_order_.front().first < now - kRemovedJobRetention) {
     const auto it = removed_.find(removal_order_.front().second);
     if (it != removed_.end() && it->second == removal_order_.front().first)
       removed_.erase(it);
--- a/src/admission/batch_index.hpp
+++ b/src/admission/batch_index.hpp
@@ -1,6 +1,5 @@
-// Which jobs were admitted on sheets (jobs/sheets.hpp). A job on a sheet has no key of its own to be asked
-// for, so every node follows the sheets' keys, and what was absent at some revision is known from this only
-// once the index has come that far.
+/// @file
+/// Index of the job batches (jobs/job_batches.hpp) in the state service.
 #pragma once
 
 #include <cstdint>
@@ -17,29 +16,35 @@
 
 using ports::Seconds;
 
+/// Finds the job batch that contains a job. A job in a batch has no key of its own, so every controller
+/// follows the keys of the batches. That the index lacks a job proves that no batch contained it only for
+/// revisions up to revision().
 class BatchIndex {
  public:
+  /// Empties the index before the batches are read anew.
   void reset() {
     *this = {};
-  }  // nothing is known any more; it is read anew
+  }
   void add_batch(const std::string& key, const wire::Value& value);
   void remove_batch(const std::string& key, Seconds now);
-  // All changes up to that revision have been told.
+  /// Declares all changes up to `revision` applied, and forgets jobs that were removed more than 60 s ago.
   void advance_to(std::uint64_t revision, Seconds now);
+  /// Whether all batches have been read, as of revision().
   bool complete() const {
     return revision_.has_value();
   }
   std::uint64_t revision() const {
     return revision_.value_or(0);
   }
+  /// Whether there is no batch, and none was removed recently.
   bool empty() const {
     return batches_.empty() && removed_.empty();
   }
 
-  // The key of a sheet that holds the job; nothing: there is none, as of `revision`.
+  /// The key of a batch that contains the job; nothing if there is none as of revision().
   std::optional<std::string> find(const std::string& ref) const;
-  // Whether a sheet with it has gone not long ago. Its final state is there to be read, but an answer that
-  // was under way meanwhile need not show it.
+  /// Whether a batch with the job was deleted recently. The job's final state can be read then, but a reply
+  /// of the state service that was in flight at the deletion may not show it.
   bool recently_removed(const std::string& ref) const {
     return removed_.contains(ref);
   }
@@ -48,11 +53,12 @@
   }
 
  private:
-  static constexpr Seconds kRemovedJobMemory = 60;
+  static constexpr Seconds kRemovedJobRetention = 60;
+
   std::optional<std::uint64_t> revision_;
-  std::unordered_map<std::string, std::vector<std::string>> batches_;
-  std::unordered_multimap<std::string, std::string> by_ref_;
-  std::unordered_map<std::string, Seconds> removed_;
+  std::unordered_map<std::string, std::vector<std::string>> batches_;  // references by key
+  std::unordered_multimap<std::string, std::string> by_ref_;           // key by reference
+  std::unordered_map<std::string, Seconds> removed_;                   // removal time by reference
   std::deque<std::pair<Seconds, std::string>> removal_order_;
 };
 
--- a/src/admission/fair_queue.cpp
+++ b/src/admission/fair_queue.cpp
@@ -5,75 +5,82 @@
 namespace wingtrail::admission {
 
 FairQueue::FairQueue(std::vector<double> weights) : weights_(std::move(weights)) {
-  double least = 0;
-  for (const double w : weights_) {
-    if (w > 0)
-      least = least > 0 ? std::min(least, w) : w;
+  double smallest = 0;
+  for (const double weight : weights_) {
+    if (weight > 0)
+      smallest = smallest > 0 ? std::min(smallest, weight) : weight;
   }
-  if (least > 0)
-    min_weight_ = least;
+  if (smallest > 0)
+    min_weight_ = smallest;
 }
 
 double FairQueue::weight(TeamIndex team) const {
   return team < weights_.size() && weights_[team] > 0 ? weights_[team] : min_weight_;
 }
 
-void FairQueue::push(TeamIndex team, ClassIndex job_class, Id id, Seconds since) {
-  TeamQueue& t = teams_[team];
-  ClassQueue& line = t.classes[job_class];
-  // Who comes after a pause begins now; what it did not use before is gone.
-  if (t.size == 0)
-    t.virtual_time = std::max(t.virtual_time, team_clock_);
-  if (line.waiting.empty())
-    line.virtual_time = std::max(line.virtual_time, t.class_clock);
-  line.waiting.emplace(since, id);
-  ++t.size, ++size_;
+void FairQueue::push(TeamIndex team, ClassIndex job_class, Id id, Seconds first_attempt_at) {
+  TeamQueue& team_queue = teams_[team];
+  ClassQueue& class_queue = team_queue.classes[job_class];
+  // A team or class that was idle starts at the current virtual time: it gets no credit for the time before.
+  if (team_queue.size == 0)
+    team_queue.virtual_time = std::max(team_queue.virtual_time, team_clock_);
+  if (class_queue.waiting.empty())
+    class_queue.virtual_time = std::max(class_queue.virtual_time, team_queue.class_clock);
+  class_queue.waiting.emplace(first_attempt_at, id);
+  ++team_queue.size;
+  ++size_;
 }
 
 std::optional<FairQueue::Id> FairQueue::pop() {
   TeamQueue* team = nullptr;
-  TeamIndex which;
-  for (auto& [ix, t] : teams_) {
-    if (t.size > 0 && (!team || t.virtual_time < team->virtual_time))
-      team = &t, which = ix;
+  TeamIndex team_index;
+  for (auto& [index, candidate] : teams_) {
+    if (candidate.size > 0 && (!team || candidate.virtual_time < team->virtual_time)) {
+      team = &candidate;
+      team_index = index;
+    }
   }
   if (!team)
     return std::nullopt;
-  ClassQueue* line = nullptr;
-  for (auto& [c, l] : team->classes) {
-    if (!l.waiting.empty() && (!line || l.virtual_time < line->virtual_time))
-      line = &l;
+  ClassQueue* job_class = nullptr;
+  for (auto& [index, candidate] : team->classes) {
+    if (!candidate.waiting.empty() && (!job_class || candidate.virtual_time < job_class->virtual_time))
+      job_class = &candidate;
   }
   team_clock_ = team->virtual_time;
-  team->class_clock = line->virtual_time;
-  team->virtual_time += 1 / weight(which);
-  line->virtual_time += 1;
-  const Id id = line->waiting.begin()->second;
-  line->waiting.erase(line->waiting.begin());
-  --team->size, --size_;
+  team->class_clock = job_class->virtual_time;
+  team->virtual_time += 1 / weight(team_index);
+  job_class->virtual_time += 1;
+  const Id id = job_class->waiting.begin()->second;
+  job_class->waiting.erase(job_class->waiting.begin());
+  --team->size;
+  --size_;
   return id;
 }
 
-double FairQueue::jobs_ahead(TeamIndex team, ClassIndex job_class, Seconds since) const {
-  double weights = weight(team), own = 0, lines = 1;
-  for (const auto& [ix, t] : teams_) {
-    if (ix != team) {
-      if (t.size > 0)
-        weights += weight(ix);
+double FairQueue::jobs_ahead(TeamIndex team, ClassIndex job_class, Seconds first_attempt_at) const {
+  double total_weight = weight(team);
+  double ahead_in_class = 0;
+  double waiting_classes = 1;
+  for (const auto& [team_index, team_queue] : teams_) {
+    if (team_index != team) {
+      if (team_queue.size > 0)
+        total_weight += weight(team_index);
       continue;
     }
-    for (const auto& [c, l] : t.classes) {
-      // Most are new, so this looks from the end.
-      if (c == job_class)
-        own = static_cast<double>(l.waiting.size()) -
-              static_cast<double>(std::distance(l.waiting.upper_bound(since), l.waiting.end()));
-      else if (!l.waiting.empty())
-        lines += 1;
+    for (const auto& [class_index, class_queue] : team_queue.classes) {
+      const auto& waiting = class_queue.waiting;
+      // Counted from the end of the class, since most entries are added there.
+      if (class_index == job_class)
+        ahead_in_class =
+            static_cast<double>(waiting.size()) -
+            static_cast<double>(std::distance(waiting.upper_bound(first_attempt_at), waiting.end()));
+      else if (!waiting.empty())
+        waiting_classes += 1;
     }
   }
-  // Of all turns, its class has this part.
-  const double part = weight(team) / weights / lines;
-  return std::min(static_cast<double>(size_), own / part);
+  const double class_share = weight(team) / total_weight / waiting_classes;
+  return std::min(static_cast<double>(size_), ahead_in_class / class_share);
 }
 
 }  // namespace wingtrail::admission
--- a/src/admission/first_attempts.cpp
+++ b/src/admission/first_attempts.cpp
@@ -4,71 +4,78 @@
 
 namespace wingtrail::admission {
 namespace {
-constexpr std::size_t kEntry = 12;  // a mark, and how many milliseconds ago, both with the low byte first
+// An encoded entry, little-endian: the job's hash (8 bytes) and the age of the first attempt in ms (4 bytes).
+constexpr std::size_t kHashBytes = 8;
+constexpr std::size_t kAgeBytes = 4;
+constexpr std::size_t kEntryBytes = kHashBytes + kAgeBytes;
+constexpr double kMaxEncodedAgeMs = 4e9;
 
-void append(std::string& out, std::uint64_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i)
+void append_little_endian(std::string& out, std::uint64_t value, std::size_t bytes) {
+  for (std::size_t i = 0; i < bytes; ++i)
     out.push_back(static_cast<char>(value >> (8 * i)));
 }
-std::uint64_t number(std::string_view in, int bytes) {
+std::uint64_t read_little_endian(std::string_view in, std::size_t bytes) {
   std::uint64_t value = 0;
-  for (int i = 0; i < bytes; ++i)
+  for (std::size_t i = 0; i < bytes; ++i)
     value |= std::uint64_t{static_cast<unsigned char>(in[i])} << (8 * i);
   return value;
 }
 }  // namespace
 
 std::uint64_t job_hash(std::string_view ref) {
-  std::uint64_t h = 0xcbf29ce484222325;
+  std::uint64_t hash = 0xcbf29ce484222325;
   for (const char c : ref)
-    h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3;
-  // Names that differ in their last digits must not lie together.
-  h ^= h >> 32;
-  h *= 0xd6e8feb86659fd93;
-  h ^= h >> 32;
-  return h;
+    hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3;
+  // Mixes, so that references that differ only in their last digits do not get neighbouring hashes.
+  hash ^= hash >> 32;
+  hash *= 0xd6e8feb86659fd93;
+  hash ^= hash >> 32;
+  return hash;
 }
 
-void FirstAttempts::record(std::uint64_t mark, double first, double now, bool here) {
+void FirstAttempts::record(std::uint64_t hash, double first_attempt_at, double now, bool local) {
   while (!expiry_order_.empty() &&
          (expiry_order_.front().first < now - kRetention || attempts_.size() >= kMaxEntries)) {
     const auto it = attempts_.find(expiry_order_.front().second);
-    if (it != attempts_.end() && it->second.last <= expiry_order_.front().first)
+    if (it != attempts_.end() && it->second.last_recorded_at <= expiry_order_.front().first)
       attempts_.erase(it);
     expiry_order_.pop_front();
   }
-  Attempt& t = attempts_.try_emplace(mark, Attempt{first, now}).first->second;
-  t.first = std::min(t.first, first);
-  t.last = now;
-  expiry_order_.emplace_back(now, mark);
-  if (!here)
+  Attempt& attempt = attempts_.try_emplace(hash, Attempt{first_attempt_at, now}).first->second;
+  attempt.first_at = std::min(attempt.first_at, first_attempt_at);
+  attempt.last_recorded_at = now;
+  expiry_order_.emplace_back(now, hash);
+  if (!local)
     return;
-  recent_local_.emplace_back(now, mark);
+  recent_local_.emplace_back(now, hash);
   while (recent_local_.front().first < now - kSharedWindow || recent_local_.size() > kMaxShared)
     recent_local_.pop_front();
 }
 
 std::optional<double> FirstAttempts::first_attempt(const std::string& ref) const {
   const auto it = attempts_.find(job_hash(ref));
-  return it == attempts_.end() ? std::nullopt : std::optional(it->second.first);
+  return it == attempts_.end() ? std::nullopt : std::optional(it->second.first_at);
 }
 
 std::string FirstAttempts::encode_recent(double now) const {
-  std::string out;
-  for (const auto& [at, mark] : recent_local_) {
-    const auto it = attempts_.find(mark);
-    if (at < now - kSharedWindow || it == attempts_.end())
+  std::string encoded;
+  for (const auto& [deferred_at, hash] : recent_local_) {
+    const auto it = attempts_.find(hash);
+    if (deferred_at < now - kSharedWindow || it == attempts_.end())
       continue;
-    append(out, mark, 8);
-    append(out, static_cast<std::uint64_t>(std::clamp((now - it->second.first) * 1000, 0.0, 4e9)), 4);
+    append_little_endian(encoded, hash, kHashBytes);
+    const double age_ms = std::clamp((now - it->second.first_at) * 1000, 0.0, kMaxEncodedAgeMs);
+    append_little_endian(encoded, static_cast<std::uint64_t>(age_ms), kAgeBytes);
   }
-  return out;
+  return encoded;
 }
 
-void FirstAttempts::merge(std::string_view told, double now) {
-  for (; told.size() >= kEntry; told.remove_prefix(kEntry)) {
-    const double ago = static_cast<double>(number(told.substr(8), 4)) / 1000;
-    record(number(told, 8), now - std::min(ago, kRetention), now, false);
+void FirstAttempts::merge(std::string_view encoded, double now) {
+  for (; encoded.size() >= kEntryBytes; encoded.remove_prefix(kEntryBytes)) {
+    const std::uint64_t hash = read_little_endian(encoded, kHashBytes);
+    const double age_s =
+        static_cast<double>(read_little_endian(encoded.substr(kHashBytes), kAgeBytes)) / 1000;
+    record(hash, now - std::min(age_s, kRetention), now, false);
   }
 }
 
--- a/src/admission/first_attempts.hpp
+++ b/src/admission/first_attempts.hpp
@@ -1,6 +1,5 @@
-// When each job that is put off was first tried, as all nodes know it: a retry keeps its place in the line of
-// its class at whichever node it comes, and gains none by coming to several. Nodes tell each other of those
-// put off lately with every greeting, so they disagree for a greeting's time at most.
+/// @file
+/// When the creation of each deferred job was first attempted, at any controller.
 #pragma once
 
 #include <cstdint>
@@ -16,40 +15,49 @@
 
 using ports::Seconds;
 
-// The same number for a name at every node and in every build (64-bit FNV-1a, then mixed).
+/// Hashes a job's reference (64-bit FNV-1a, then mixed). Controllers exchange the hashes, so the function
+/// must be the same in every build.
 std::uint64_t job_hash(std::string_view ref);
 
+/// First attempts of deferred jobs, shared by all controllers: a retry keeps its place in the queue of its
+/// class at whichever controller it arrives, and gains none by being sent to several. Controllers send each
+/// other their recent deferrals in their periodic messages, so their views differ for 1 s at most.
+///
+/// All times are times of day in seconds since 1970; the clocks of the controllers differ within a bound.
 class FirstAttempts {
  public:
-  // `first`: when it was first tried; times of day, in seconds since 1970, which means the same to all nodes
-  // within their bound.
-  void record_deferral(const std::string& ref, double first, double now) {
-    record(job_hash(ref), first, now, true);
+  /// Records that this controller has deferred the job's creation.
+  void record_deferral(const std::string& ref, double first_attempt_at, double now) {
+    record(job_hash(ref), first_attempt_at, now, true);
   }
+  /// Nothing if the job was not deferred lately.
   std::optional<double> first_attempt(const std::string& ref) const;
   void forget(const std::string& ref) {
     attempts_.erase(job_hash(ref));
   }
-  // Those put off here within the last two greetings' time, for a greeting; empty if there are none.
+  /// Encodes this controller's deferrals of the last 2.2 s, about two periodic messages, to be sent to peers;
+  /// empty if there are none.
   std::string encode_recent(double now) const;
-  void merge(std::string_view told, double now);
+  /// Adds the deferrals that a peer has encoded.
+  void merge(std::string_view encoded, double now);
   std::size_t size() const {
     return attempts_.size();
   }
 
  private:
-  static constexpr double kRetention = 90;      // users give up after 60 s
-  static constexpr double kSharedWindow = 2.2;  // seconds
-  static constexpr std::size_t kMaxEntries = 20'000, kMaxShared = 1000;
+  static constexpr double kRetention = 90;      // s; users give up after 60 s
+  static constexpr double kSharedWindow = 2.2;  // s
+  static constexpr std::size_t kMaxEntries = 20'000;
+  static constexpr std::size_t kMaxShared = 1000;
   struct Attempt {
-    double first = 0;
-    double last = 0;
+    double first_at = 0;
+    double last_recorded_at = 0;
   };
-  void record(std::uint64_t mark, double first, double now, bool here);
+  void record(std::uint64_t hash, double first_attempt_at, double now, bool local);
 
-  std::unordered_map<std::uint64_t, Attempt> attempts_;
-  std::deque<std::pair<double, std::uint64_t>> expiry_order_;  // by when they were noted
-  std::deque<std::pair<double, std::uint64_t>> recent_local_;  // those put off here
+  std::unordered_map<std::uint64_t, Attempt> attempts_;        // by hash
+  std::deque<std::pair<double, std::uint64_t>> expiry_order_;  // time of recording, hash
+  std::deque<std::pair<double, std::uint64_t>> recent_local_;  // this controller's deferrals: time, hash
 };
 
 }  // namespace wingtrail::admission
