--- a/src/admission/budget_shares.cpp
+++ b/src/admission/budget_shares.cpp
@@ -56,8 +56,8 @@
   if (controller_count_ == 1)
     return 1;
   if (is_leader)
-    return floor() + 1 - kTotalMinimumShare - total_lent(now);
-  return floor() + (now < borrowed_at_ + kLoanTerm ? borrowed_ : 0);
+    return minimum_share() + 1 - kTotalMinimumShare - total_lent(now);
+  return minimum_share() + (now < borrowed_at_ + kLoanTerm ? borrowed_ : 0);
 }
 
 }  // namespace wingtrail::admission
--- a/src/admission/budget_shares.hpp
+++ b/src/admission/budget_shares.hpp
@@ -33,7 +33,7 @@
       : controller_count_(controllers), loans_(controllers - 1), requested_(controllers - 1) {}
 
   /// The share that this controller may always use.
-  double floor() const {
+  double minimum_share() const {
     return controller_count_ == 1 ? 1.0 : kTotalMinimumShare / static_cast<double>(controller_count_);
   }
   /// The leader has lent this controller `share`, in reply to a request sent at `requested_at`. Ignored if
--- a/src/controller/batch_index_follower.cpp
+++ b/src/controller/batch_index_follower.cpp
@@ -48,7 +48,7 @@
   }
   if (after.empty()) {
     read_revision_ = range->revision;
-    read_since_ = outbox_.now();
+    read_started_at_ = outbox_.now();
   }
   for (const wire::Item& item : range->items)
     index_.add_batch(item.key, item.value);
--- a/src/controller/batch_index_follower.hpp
+++ b/src/controller/batch_index_follower.hpp
@@ -40,8 +40,8 @@
   }
   /// When the first page of the last full read was received. Batches deleted before are not in the index, not
   /// even as recently removed.
-  Seconds read_since() const {
-    return read_since_;
+  Seconds read_started_at() const {
+    return read_started_at_;
   }
 
  private:
@@ -63,7 +63,7 @@
 
   bool reading_ = false;
   std::uint64_t read_revision_ = 0;  // of the first page of the full read in progress
-  Seconds read_since_ = 0;
+  Seconds read_started_at_ = 0;
   Seconds complete_as_of_ = -1e9;  // the index contains all batches that existed then
 
   bool catching_up_ = false;
--- a/src/controller/batches.cpp
+++ b/src/controller/batches.cpp
@@ -41,7 +41,7 @@
     if (state_writer_.batches().contains(job.index))
       refs.push_back(job.spec.ref);
   });
-  final_state_query_.ask(std::move(refs),
+  final_state_query_.start(std::move(refs),
                          [this, then = std::move(then)](const std::set<std::string>& with_final_state) {
                            for (const std::string& ref : with_final_state) {
                              if (const jobs::Job* job = registry_.find(ref))
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -193,7 +193,7 @@
 
 std::vector<ports::Action> Controller::drain() {
   if (election_.holds_leadership())
-    cancellation_.progress();
+    cancellation_.process_pending();
   if (is_active_leader())
     workers_.flush_commands();
   return out_.drain();
@@ -230,7 +230,7 @@
       return;
     if (!wire::valid_ref(ref))
       return responder_.respond(origin, 404);
-    return cancels ? cancellation_.request(origin, ref) : queries_.status(origin, ref);
+    return cancels ? cancellation_.request(origin, ref) : queries_.answer_query(origin, ref);
   }
   if (path == wire::kHeartbeatPath && !origin.by_peer) {
     if (wrong_method("POST"))
@@ -269,8 +269,8 @@
   const auto asked = store_.recent_demand();
   f.requested_write_share =
       2 * (asked.writes + creation_queue_.backlog_changes() / std::max(1.0, settings_.state_writes_per_s)) -
-      write_shares_.floor();
-  f.requested_request_share = 2 * asked.requests - request_shares_.floor();
+      write_shares_.minimum_share();
+  f.requested_request_share = 2 * asked.requests - request_shares_.minimum_share();
   if (f.supports_batches)
     f.deferred_attempts = creation_queue_.first_attempts().encode_recent(out_.time_of_day());
   if (election_.holds_leadership() && loaded_)
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -87,7 +87,7 @@
   std::uint64_t jobs_done = 0;
   std::uint64_t jobs_cancelled = 0;
   std::uint64_t cancellations_deferred = 0;
-  std::array<std::uint64_t, kDeferralReasons> queries_deferred{};  ///< by reason
+  std::array<std::uint64_t, kDeferralReasonCount> queries_deferred{};  ///< by reason
 
   // Leadership and the state service.
   bool leading = false;
--- a/src/controller/deferral_reason.hpp
+++ b/src/controller/deferral_reason.hpp
@@ -18,11 +18,11 @@
   budget_exhausted,      ///< the budget of the state service, or this controller's share of it, is used up
   no_reply,              ///< the state service did not reply
 };
-inline constexpr std::size_t kDeferralReasons = 7;
+inline constexpr std::size_t kDeferralReasonCount = 7;
 
 /// The reason's name in metrics and logs.
 inline constexpr const char* name(DeferralReason reason) {
-  constexpr std::array<const char*, kDeferralReasons> kNames{
+  constexpr std::array<const char*, kDeferralReasonCount> kNames{
       "need_cancelled", "need_unknown",     "leader_put_off", "leader_unheard",
       "not_leading",    "requests_used_up", "no_answer"};
   return kNames[static_cast<std::size_t>(reason)];
--- a/src/controller/final_state_query.cpp
+++ b/src/controller/final_state_query.cpp
@@ -25,7 +25,7 @@
                                  const settings::Settings& settings, Leadership leadership)
     : outbox_(outbox), store_(store), settings_(settings), leadership_(std::move(leadership)) {}
 
-void FinalStateQuery::ask(std::vector<std::string> refs, Callback then) {
+void FinalStateQuery::start(std::vector<std::string> refs, Callback then) {
   auto run = std::make_shared<Run>(Run{std::move(refs), {}, 0, false, leadership_.term(), std::move(then)});
   for (int i = 0; i < kMaxInFlight; ++i)
     send_next(run);
--- a/src/controller/final_state_query.hpp
+++ b/src/controller/final_state_query.hpp
@@ -29,7 +29,7 @@
                   Leadership leadership);
 
   /// Calls `then` with those of `refs` that have a final state, unless the leadership ends first.
-  void ask(std::vector<std::string> refs, Callback then);
+  void start(std::vector<std::string> refs, Callback then);
 
  private:
   struct Run;
--- a/src/controller/job_cancellation.cpp
+++ b/src/controller/job_cancellation.cpp
@@ -62,7 +62,7 @@
 void JobCancellation::cancel_for(const RequestOrigin& origin, jobs::Job& job) {
   cancel(job);
   pending_.push_back({job.index, origin, collaborators_.outbox.now() + kMaxStopWait});
-  // The timer wakes the controller, which then calls progress().
+  // The timer wakes the controller, which then calls process_pending().
   collaborators_.outbox.after(kMaxStopWait, [] {});
 }
 
@@ -133,7 +133,7 @@
 }
 
 // While the machine of a task does not answer, users are asked to retry; no task of the job starts meanwhile.
-void JobCancellation::progress() {
+void JobCancellation::process_pending() {
   if (pending_.empty() || !callbacks_.loaded())
     return;
   std::vector<Pending> waiting;
--- a/src/controller/job_cancellation.hpp
+++ b/src/controller/job_cancellation.hpp
@@ -48,7 +48,7 @@
   /// As the leader: handles the cancellation marker with that key.
   void on_marker(const std::string& key);
   /// Records the cancellations whose tasks are gone, and asks users who have waited for 0.5 s to retry.
-  void progress();
+  void process_pending();
   /// Asks all waiting users to retry, since the leadership has ended.
   void end_leadership();
 
--- a/src/controller/job_lookup.cpp
+++ b/src/controller/job_lookup.cpp
@@ -90,7 +90,7 @@
 void JobLookup::look_up_in_batches(const Pending& lookup) {
   batches_.catch_up([this, lookup](bool caught_up) {
     // An index read anew since the lookup began does not know which batches were deleted before that.
-    if (!caught_up || batches_.read_since() >= lookup.began_at)
+    if (!caught_up || batches_.read_started_at() >= lookup.began_at)
       return lookup.then({LookupOutcome::unavailable});
     const auto batch_key = batches_.index().find(lookup.ref);
     // The batch was deleted during the lookup, so the job has become final.
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -18,7 +18,7 @@
 JobQueries::JobQueries(Collaborators collaborators, Callbacks callbacks)
     : collaborators_(collaborators), callbacks_(std::move(callbacks)) {}
 
-void JobQueries::status(const RequestOrigin& origin, const std::string& ref) {
+void JobQueries::answer_query(const RequestOrigin& origin, const std::string& ref) {
   if (answer_final(origin, ref, ReplyDetail::progress))
     return;
   if (callbacks_.is_active_leader()) {
--- a/src/controller/job_queries.hpp
+++ b/src/controller/job_queries.hpp
@@ -47,12 +47,12 @@
     std::function<Seconds()> final_states_recorded_until;
   };
   /// Deferred replies, indexed by DeferralReason.
-  using DeferralCounts = std::array<std::uint64_t, kDeferralReasons>;
+  using DeferralCounts = std::array<std::uint64_t, kDeferralReasonCount>;
 
   JobQueries(Collaborators collaborators, Callbacks callbacks);
 
   /// Answers a user's query, or one that a peer forwarded, with the job's progress.
-  void status(const RequestOrigin& origin, const std::string& ref);
+  void answer_query(const RequestOrigin& origin, const std::string& ref);
   /// Answers from memory if the job's final state is known; returns false otherwise.
   bool answer_final(const RequestOrigin& origin, const std::string& ref, ReplyDetail detail);
   /// As the leader: answers from the job in memory.
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -40,7 +40,7 @@
         [this, origin](PeerOutcome) { collaborators_.responder.try_later(origin); });
   }
   // The catalog may have changed since the job was accepted, so a refusal first checks that it was not.
-  if (const auto reason = why_unrunnable(*spec, collaborators_.settings, collaborators_.catalog))
+  if (const auto reason = unrunnable_reason(*spec, collaborators_.settings, collaborators_.catalog))
     return refuse_unless_accepted(origin, spec->ref, *reason);
   if (wire::job_record(*spec, collaborators_.outbox.time_of_day()).dump().size() >
       collaborators_.settings.value_bytes()) {
@@ -226,7 +226,7 @@
     return;
   if (result.outcome == Outcome::created) {
     creation->answered = true;
-    ++counts_.admitted;
+    ++counts_.accepted;
     return collaborators_.responder.respond(creation->origin, 201,
                                             wire::job_state(creation->spec.ref, wire::Phase::queued));
   }
--- a/src/controller/job_submission.hpp
+++ b/src/controller/job_submission.hpp
@@ -46,7 +46,7 @@
   };
   struct Counts {
     std::uint64_t submitted = 0;
-    std::uint64_t admitted = 0;
+    std::uint64_t accepted = 0;
     std::uint64_t refused = 0;  ///< with 400 or 422, so that a retry cannot succeed
   };
 
--- a/src/controller/job_validation.cpp
+++ b/src/controller/job_validation.cpp
@@ -17,8 +17,8 @@
 }
 }  // namespace
 
-std::optional<std::string> why_unrunnable(const wire::JobSpec& spec, const settings::Settings& settings,
-                                          const std::vector<wire::MachineType>& catalog) {
+std::optional<std::string> unrunnable_reason(const wire::JobSpec& spec, const settings::Settings& settings,
+                                             const std::vector<wire::MachineType>& catalog) {
   const auto team = std::find_if(settings.teams.begin(), settings.teams.end(),
                                  [&](const settings::Team& known) { return known.name == spec.team; });
   if (team == settings.teams.end())
--- a/src/controller/job_validation.hpp
+++ b/src/controller/job_validation.hpp
@@ -14,7 +14,7 @@
 
 /// Returns why the job could never run, as the text answered to the user, or nothing if it could: its team
 /// exists, its resources are within the team's limit, and a task fits an allowed machine type of the catalog.
-std::optional<std::string> why_unrunnable(const wire::JobSpec& spec, const settings::Settings& settings,
-                                          const std::vector<wire::MachineType>& catalog);
+std::optional<std::string> unrunnable_reason(const wire::JobSpec& spec, const settings::Settings& settings,
+                                             const std::vector<wire::MachineType>& catalog);
 
 }  // namespace wingtrail::controller
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -217,7 +217,7 @@
         unknown.push_back(ref);
     });
   }
-  final_state_query_.ask(std::move(unknown), [this, all](const std::set<std::string>& over) {
+  final_state_query_.start(std::move(unknown), [this, all](const std::set<std::string>& over) {
     if (all->term != term_)
       return;
     const auto is_mark = [](const wire::Item& i) {
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -180,7 +180,7 @@
     return reply->say(i, JobVerb::never);
   if (catalog_.types().empty() || !guest_capacity_known_)
     return reply->say(i, JobVerb::none);
-  if (why_unrunnable(*spec, settings_, catalog_.types()))
+  if (unrunnable_reason(*spec, settings_, catalog_.types()))
     return reply->say(i, JobVerb::never);
   if (!accepts_offer(*spec, from)) {
     // One that an earlier leader took says so when it is asked for.
--- a/src/controller/stats.cpp
+++ b/src/controller/stats.cpp
@@ -38,7 +38,7 @@
   Stats s = stats_;
   s.heartbeats = heartbeats_.count();
   s.submissions = submission_.counts().submitted;
-  s.jobs_accepted = submission_.counts().admitted;
+  s.jobs_accepted = submission_.counts().accepted;
   s.submissions_refused = submission_.counts().refused;
   s.forwarded_requests = peer_calls_.count();
   s.queries_deferred = queries_.deferral_counts();
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -305,8 +305,8 @@
   BudgetShares follower(3);
   follower.on_loan(0.3, 10);
   follower.on_loan(0.1, 9);
-  EXPECT_NEAR(follower.own_share(11, false), follower.floor() + 0.3, 1e-9);
-  EXPECT_NEAR(follower.own_share(11.9, false), follower.floor(), 1e-9);
+  EXPECT_NEAR(follower.own_share(11, false), follower.minimum_share() + 0.3, 1e-9);
+  EXPECT_NEAR(follower.own_share(11.9, false), follower.minimum_share(), 1e-9);
 }
 
 // ---------------------------------------------------------------- job batches and their index
