--- a/src/controller/batches.cpp
+++ b/src/controller/batches.cpp
@@ -42,15 +42,15 @@
       refs.push_back(job.spec.ref);
   });
   final_state_query_.start(std::move(refs),
-                         [this, then = std::move(then)](const std::set<std::string>& with_final_state) {
-                           for (const std::string& ref : with_final_state) {
-                             if (const jobs::Job* job = registry_.find(ref))
-                               state_writer_.batches().on_job_over(job->index);
-                             registry_.forget(ref);
-                           }
-                           state_writer_.delete_empty_batches();
-                           then();
-                         });
+                           [this, then = std::move(then)](const std::set<std::string>& with_final_state) {
+                             for (const std::string& ref : with_final_state) {
+                               if (const jobs::Job* job = registry_.find(ref))
+                                 state_writer_.batches().on_job_over(job->index);
+                               registry_.forget(ref);
+                             }
+                             state_writer_.delete_empty_batches();
+                             then();
+                           });
 }
 
 }  // namespace wingtrail::controller
