--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -134,7 +134,7 @@
   if (result.outcome == LookupOutcome::absent)
     return collaborators_.responder.respond(origin, 404);
   if (result.outcome != LookupOutcome::found) {
-    // 429 would blame the user's rate of requests, which is wrong while no leader is reachable to answer.
+    // 429 would blame the rate of requests, which is wrong while no leader can be reached to answer.
     const bool alone = !callbacks_.is_active_leader() && !collaborators_.peer_calls.reachable_leader();
     const bool throttled = result.outcome == LookupOutcome::throttled;
     return defer(origin, ref,
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -39,7 +39,7 @@
         origin, collaborators_.peer_calls.served_peer(), {"POST", wire::kJobsPath, bytes, kForwardTimeout},
         [this, origin](PeerOutcome) { collaborators_.responder.try_later(origin); });
   }
-  // The catalog may have changed since the job was accepted, so a refusal first checks that it was not.
+  // The catalog may have changed since an earlier acceptance of the job, so a refusal first checks for one.
   if (const auto reason = unrunnable_reason(*spec, collaborators_.settings, collaborators_.catalog))
     return refuse_unless_accepted(origin, spec->ref, *reason);
   if (wire::job_record(*spec, collaborators_.outbox.time_of_day()).dump().size() >
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -410,13 +410,13 @@
 // A creation queue with its state client. The test replies to the calls and advances the time.
 struct CreationQueueFixture {
   static settings::Settings make_settings(double writes_per_s) {
-    settings::Settings settings;
-    settings.node = "node-0";
-    settings.tunables.fair_admission = 1;
-    settings.state_writes_per_s = writes_per_s;
-    settings.state_requests_per_s = 150;
-    settings.teams = {{"red", 30, 0, 0, 0}, {"blue", 10, 0, 0, 0}};
-    return settings;
+    settings::Settings made;
+    made.node = "node-0";
+    made.tunables.fair_admission = 1;
+    made.state_writes_per_s = writes_per_s;
+    made.state_requests_per_s = 150;
+    made.teams = {{"red", 30, 0, 0, 0}, {"blue", 10, 0, 0, 0}};
+    return made;
   }
   explicit CreationQueueFixture(double writes_per_s = 35) : settings(make_settings(writes_per_s)) {
     spdlog::set_level(spdlog::level::off);
@@ -439,16 +439,16 @@
                   [this, n](const CreationQueue::Result& result) { results[n].push_back(result); });
   }
   std::vector<ports::Call> calls() {
-    std::vector<ports::Call> calls;
+    std::vector<ports::Call> drained;
     for (auto& action : outbox.drain())
-      calls.push_back(std::move(std::get<ports::Call>(action)));
-    return calls;
+      drained.push_back(std::move(std::get<ports::Call>(action)));
+    return drained;
   }
   void reply(const ports::Call& call, int status, Value body = Value::object()) {
-    ports::Reply reply;
-    reply.status = status;
-    reply.body = std::move(body);
-    outbox.complete(call.id, reply);
+    ports::Reply call_reply;
+    call_reply.status = status;
+    call_reply.body = std::move(body);
+    outbox.complete(call.id, call_reply);
   }
   void advance(double seconds) {
     outbox.set_now(outbox.now() + seconds);
