--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -135,10 +135,12 @@
     return collaborators_.responder.respond(origin, 404);
   if (result.outcome != LookupOutcome::found) {
     // 429 would blame the rate of requests, which is wrong while no leader can be reached to answer.
-    const bool alone = !callbacks_.is_active_leader() && !collaborators_.peer_calls.reachable_leader();
+    const bool no_reachable_leader =
+        !callbacks_.is_active_leader() && !collaborators_.peer_calls.reachable_leader();
     const bool throttled = result.outcome == LookupOutcome::throttled;
-    return defer(origin, ref,
-                 throttled && !alone ? DeferralReason::budget_exhausted : DeferralReason::no_reply);
+    return defer(
+        origin, ref,
+        throttled && !no_reachable_leader ? DeferralReason::budget_exhausted : DeferralReason::no_reply);
   }
   if (answer_final(origin, ref, detail))
     return;
