--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -225,7 +225,7 @@
         unknown.push_back(ref);
     });
   }
-  final_state_query_.ask(std::move(unknown), [this, reading](const std::set<std::string>& with_final_state) {
+  final_state_query_.start(std::move(unknown), [this, reading](const std::set<std::string>& with_final_state) {
     if (reading->term != term_)
       return;
     const auto is_marker = [](const wire::Item& item) {
