--- a/src/workers/check_schedule.cpp
+++ b/src/workers/check_schedule.cpp
@@ -21,7 +21,7 @@
     entries_.pop();
     Machine& machine = machines[due.machine];
     if (machine.next_check_at != due.at)
-      continue;  // an earlier check has replaced this one
+      continue;  // replaced by an earlier check
     machine.next_check_at = ports::kNever;
     return &machine;
   }
--- a/src/workers/check_schedule.hpp
+++ b/src/workers/check_schedule.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// When each machine is to be checked next.
+/// @file
+/// The schedule of checks of machines.
 #pragma once
 
 #include <deque>
@@ -11,14 +11,14 @@
 
 namespace wingtrail::workers {
 
-/// The machines by the time of their next check (`Machine::next_check_at`). An earlier check replaces a later
-/// one; the entry of the later one stays in the queue and is skipped when it comes up.
+/// A queue of machines by the time of their next check (`Machine::next_check_at`). An earlier check replaces
+/// a later one. The entry of the replaced check stays in the queue and is skipped when it becomes due.
 class CheckSchedule {
  public:
-  /// Schedules a check of the machine, unless an earlier one is scheduled already. A time in the past, or
-  /// now, becomes one shortly after now, so that a check cannot repeat itself endlessly.
+  /// Schedules a check of the machine, unless an earlier one is scheduled already. Checks are scheduled at
+  /// least 0.02 s ahead, so that a check that schedules the next one at once does not loop within one tick.
   void schedule(Machine& machine, Seconds at, Seconds now);
-  /// Takes the next machine whose check is due out of the schedule; null if there is none.
+  /// Removes the next due check from the schedule and returns its machine; null if no check is due.
   Machine* pop_due(std::deque<Machine>& machines, Seconds now);
   void clear() {
     entries_ = {};
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -1,5 +1,6 @@
-/// \file
-/// Commands to workers: in the reply to a heartbeat where one is at hand, else by a direct call.
+/// @file
+/// Sending of commands to workers, in the reply to a heartbeat or by a direct call, and processing of the
+/// replies to direct calls.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -14,16 +15,17 @@
 namespace wingtrail::workers {
 namespace {
 constexpr Seconds kCommandTimeout = 2.0;
-constexpr Seconds kTokenTimeout =
-    1.0;  // such a call starts nothing, so giving it up leaves nothing uncertain
-// A call without a reply for this long is overdue: a worker replies within milliseconds, and a packet that
-// was lost is mostly resent sooner.
+// Shorter than kCommandTimeout: a fencing call starts no task, so a missing reply leaves nothing uncertain.
+constexpr Seconds kFencingTimeout = 1.0;
+// A call without a reply for this long is overdue: a worker replies within milliseconds, and a lost packet is
+// usually retransmitted sooner.
 constexpr Seconds kOverdueCallDelay = 0.75;
-// PROTOCOL: a worker stops waiting for the reply to its heartbeat after 4 s; the rest covers the drift and
-// the timer steps of both clocks.
+// By the worker protocol, a worker stops waiting for the reply to its heartbeat after 4 s. The other 0.5 s
+// cover the drift and the timer steps of both clocks.
 constexpr Seconds kWorkerReplyWait = 4.5;
-constexpr std::size_t kMaxCommandsPerCall = 200;  // far below the 64 KiB of a body
-// Calls to workers under way at once, as a share of the sockets: each holds one until it is answered.
+constexpr std::size_t kMaxCommandsPerCall = 200;  // keeps a body far below its limit of 64 KiB
+// Limit on concurrent calls to workers, as a share of max_connections: each call occupies a connection until
+// it is answered.
 constexpr double kConnectionShare = 0.08;
 constexpr int kMinConcurrentCalls = 8;
 }  // namespace
@@ -32,11 +34,11 @@
   Allocation allocation;
   allocation.job = job.index;
   allocation.task = task;
-  // Unique without a write to the state service: no other leadership has the token, and within this one the
-  // counter only grows.
+  // Unique without a write to the state service: no other leadership has the same fencing token, and the
+  // counter only grows within a leadership.
   allocation.attempt = (leadership_.strict_cancellations() ? delegation::kStrictCancellationFlag : 0) +
                        (leadership_.fencing_token() << delegation::kFencingTokenShift) + ++attempt_counter_;
-  // A gang's tasks find each other by their attempt: all that start together share it.
+  // The tasks of a gang recognize each other by their attempt, so all tasks that start together share one.
   if (job.is_gang()) {
     if (job.placed_tasks == 0)
       job.gang_attempt = allocation.attempt;
@@ -59,10 +61,10 @@
 void WorkerManager::stop_task(Machine& machine, Allocation& allocation, double grace_s) {
   if (!allocation.occupies_machine || (allocation.stop_requested && allocation.grace_s <= grace_s))
     return;
-  const bool before = allocation.stops_immediately();
+  const bool already_released = allocation.stops_immediately();
   allocation.stop_requested = true;
   allocation.grace_s = grace_s;
-  if (!before && allocation.stops_immediately() && allocation.job != kNoIndex)
+  if (!already_released && allocation.stops_immediately() && allocation.job != kNoIndex)
     add_resources(machine.used, allocation.resources, -1);
   machine.delivery.has_new_commands = true;
   mark_changed(machine);
@@ -82,22 +84,24 @@
   stop_strays(job.spec.ref);
 }
 
-// Drops stopped allocations whose start never left this node: there is nothing to send to the worker.
+// Drops allocations that are to stop and whose start has certainly not reached the worker, so that no command
+// is needed for them.
 void WorkerManager::drop_unsent_starts(Machine& machine) {
   for (std::size_t i = machine.allocations.size(); i-- > 0;) {
     const Allocation& allocation = machine.allocations[i];
-    // Time alone proves nothing: a worker may have acted on the reply to its heartbeat and become
-    // unresponsive then. Taking such a task for one whose start never left would run it twice.
+    // Elapsed time alone does not prove that a start had no effect: the worker may have acted on the reply to
+    // its heartbeat and become unresponsive afterwards. Dropping such a task would let it run twice.
     if (allocation.stop_requested && allocation.certainly_not_started(out_.now()))
       drop_allocation(machine, i);
   }
 }
 
-// All commands that the worker has yet to confirm, as far as one message may hold them now.
+// Returns the commands that the worker has not confirmed yet. Acknowledgements and starts are limited to
+// kMaxCommandsPerCall commands in total, and starts are left out while they might overtake a stop.
 std::vector<wire::Command> WorkerManager::build_commands(Machine& machine, Delivery delivery) {
   using Verb = wire::Command::Verb;
   std::vector<wire::Command> commands;
-  // Stops come first: a start behind them may need their resources.
+  // Stops come first because the starts that follow may need the resources that they free.
   for (const Allocation& allocation : machine.allocations) {
     if (allocation.occupies_machine && allocation.stop_requested)
       commands.push_back({Verb::stop, allocation.name, allocation.attempt, allocation.grace_s});
@@ -110,8 +114,8 @@
       commands.push_back({Verb::forget, allocation.name, allocation.attempt});
   }
   machine.delivery.last_sent_at = out_.now();
-  // The reply to a heartbeat may overtake a call that is under way, and its starts the stops in that call. So
-  // it has no starts meanwhile.
+  // The reply to a heartbeat may overtake a direct call that is in flight, and a start must not overtake the
+  // stops in that call. So the reply contains no starts while a call is in flight.
   const bool may_overtake_call = delivery == Delivery::heartbeat_reply && machine.delivery.call_in_flight;
   if (!may_overtake_call) {
     machine.delivery.has_new_commands = false;
@@ -127,7 +131,7 @@
   for (Allocation& allocation : machine.allocations) {
     if (allocation.phase != Allocation::Phase::requested || commands.size() >= kMaxCommandsPerCall)
       continue;
-    // A task that is stopped before its start has left needs no start.
+    // A task that is to stop and has certainly not been started needs no start.
     if (allocation.stop_requested && allocation.certainly_not_started(out_.now()))
       continue;
     const jobs::Job* job = registry_.job_at(allocation.job);
@@ -151,15 +155,15 @@
   if (machine.delivery.queued || machine.gone)
     return;
   machine.delivery.queued = true;
-  (machine.fenced ? command_queue_ : token_queue_).push_back(machine.index);
+  (machine.fenced ? command_queue_ : fencing_queue_).push_back(machine.index);
 }
 
 void WorkerManager::flush_commands() {
   if (!active_)
     return;
-  for (auto* queue : {&command_queue_, &token_queue_}) {
-    // After a take-over hundreds of machines are to be fenced; half of the calls stay free for commands
-    // meanwhile.
+  for (auto* queue : {&command_queue_, &fencing_queue_}) {
+    // After a failover hundreds of machines must be fenced. Fencing calls use at most half of the concurrent
+    // calls, so that commands are not delayed.
     const int limit = queue == &command_queue_ ? max_concurrent_calls() : max_concurrent_calls() / 2;
     while (!queue->empty() && calls_in_flight_ < limit) {
       Machine& machine = machines_[queue->front()];
@@ -174,8 +178,8 @@
 }
 
 void WorkerManager::send_queued_commands(Machine& machine) {
-  // A machine of the inventory is called even before its first heartbeat. A worker refuses a call for another
-  // incarnation with status 409, and that reply has its heartbeat all the same.
+  // A machine from the inventory is called even before its first heartbeat. A worker refuses a call for
+  // another incarnation with status 409, but that reply contains its heartbeat, too.
   if (machine.gone || machine.address.empty() || (!machine.has_incarnation && machine.fenced))
     return;
   if (out_.now() < machine.delivery.retry_at)
@@ -185,14 +189,14 @@
   if (out_.now() >= leadership_.lease_expires_at())
     return schedule_check(machine, out_.now() + kResendInterval);
   if (!machine.fenced) {
-    // The reply to its heartbeat had our token a moment ago; its next heartbeat will confirm that.
+    // The fencing token was sent less than kResendInterval ago; the worker's next heartbeat may confirm it.
     if (machine.has_incarnation && out_.now() < machine.delivery.last_sent_at + kResendInterval)
       return schedule_check(machine, machine.delivery.last_sent_at + kResendInterval);
-    // An empty call makes our token known. The commands follow once the machine is fenced.
-    return send_direct(machine, {}, {}, kTokenTimeout);
+    // A call without commands delivers the fencing token. Commands follow once the machine is fenced.
+    return send_direct(machine, {}, {}, kFencingTimeout);
   }
-  // A machine that is not in the persisted inventory yet gets no start: the next leader would not know that
-  // it has to reconcile it.
+  // A machine gets no commands before its inventory record is persisted: the next leader would not know that
+  // it has to reconcile this machine.
   if (!machine.in_inventory)
     return;
   drop_unsent_starts(machine);
@@ -234,8 +238,9 @@
   });
 }
 
-// A call with commands has a longer timeout than a probe. But if it is overdue while its zone is heard, that
-// is reason enough to probe the other machines.
+// Starts a liveness sweep if the call just sent is overdue although there is contact with the machine's zone.
+// Waiting for the call to time out would delay the sweep, as a call with commands has a longer timeout than a
+// probe.
 void WorkerManager::sweep_if_overdue(const Machine& machine) {
   const Seconds called_at = machine.delivery.last_call_at;
   out_.after(kOverdueCallDelay, [this, index = machine.index, term = term_, called_at] {
@@ -280,23 +285,24 @@
   }
 }
 
-// The worker has answered; its reply has its heartbeat. False: the leadership is over.
+// Processes a worker's reply to a direct call, which contains its heartbeat. Returns false if the leadership
+// is over.
 bool WorkerManager::apply_commands_reply(Machine& machine, const ports::Reply& reply) {
   if (machine.unreachable)
     mark_changed(machine);
   machine.unreachable = false;
-  const auto report = wire::parse_heartbeat(reply.heartbeat);
-  if (!report || report->host != machine.host) {
+  const auto heartbeat = wire::parse_heartbeat(reply.heartbeat);
+  if (!heartbeat || heartbeat->host != machine.host) {
     spdlog::warn("workers: malformed command reply host={}", machine.host);
     return true;
   }
-  if (report->fencing_token > leadership_.fencing_token()) {
+  if (heartbeat->fencing_token > leadership_.fencing_token()) {
     events_.on_superseded();
     return false;
   }
   const std::uint64_t term = term_;
-  if (is_newer(machine, *report))
-    apply_heartbeat(machine, *report, HeartbeatSource::command_reply);
+  if (is_newer(machine, *heartbeat))
+    apply_heartbeat(machine, *heartbeat, HeartbeatSource::command_reply);
   if (term != term_)
     return false;
   if (reply.status == 200)
@@ -304,7 +310,7 @@
   return true;
 }
 
-// The call got no reply, or an error.
+// Handles a direct call that got no reply or an error status.
 void WorkerManager::on_call_failed(Machine& machine, const ports::Reply& reply) {
   if (!machine.unreachable) {
     spdlog::debug("workers: command call failed host={}", machine.host);
@@ -312,11 +318,12 @@
   }
   machine.unreachable = true;
   machine.delivery.retry_at = out_.now() + kResendInterval;
-  // A call that was sent while the zone was out of reach says nothing of its machine.
+  // A call that was sent while the zone was unreachable does not show that the machine has failed.
   if (machine.delivery.last_call_at >= zones_.returned_at(machine.zone) &&
       machine.delivery.failed_calls++ == 0)
     machine.delivery.unanswered_since = machine.delivery.last_call_at;
-  // Spot machines vanish one by one all the time; that says nothing about the others.
+  // Spot machines are often preempted one by one without notice, so the failure of one does not suggest that
+  // others have failed.
   const bool unanswered = reply.status == 0;
   if (unanswered && machine.has_incarnation && !machine.spot)
     start_liveness_sweep();
@@ -324,7 +331,7 @@
     schedule_check(machine, out_.now());
 }
 
-// Whether the worker has yet to confirm that it has our token, or that it has carried out a command.
+// Whether the worker has yet to confirm the fencing token, a start or a stop.
 bool WorkerManager::has_commands(const Machine& machine) const {
   if (!machine.fenced)
     return true;
--- a/src/workers/deadlines.cpp
+++ b/src/workers/deadlines.cpp
@@ -1,6 +1,6 @@
-/// \file
-/// What happens as time passes: leases expire, late heartbeats are followed by probes, commands are resent,
-/// machines become unresponsive.
+/// @file
+/// Time-driven checks of machines: they end expired leases, probe machines whose heartbeats are late, resend
+/// commands, and detect unresponsive machines.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -10,17 +10,17 @@
 
 namespace wingtrail::workers {
 namespace {
-constexpr Seconds kAfterThreshold = 0.02;  // a check comes this long after what it is to notice
+constexpr Seconds kThresholdCheckDelay = 0.02;  // a check runs this long after the threshold that it checks
 constexpr Seconds kProbeTimeout = 1.0;
-constexpr Seconds kUnreachableZoneProbeInterval = 0.25;  // one machine of the zone at a time
+constexpr Seconds kUnreachableZoneProbeInterval = 0.25;  // between probes to single machines of the zone
 constexpr Seconds kMinResendDelay = 0.25;
-// After this share of the heartbeat interval the next heartbeat is about to come.
+// After this share of the heartbeat interval without contact, the next heartbeat is about to arrive.
 constexpr double kHeartbeatDueFactor = 0.6;
 }  // namespace
 
-// Machines that are up, or that an earlier leader had in the inventory, are expected to send heartbeats;
-// those that boot are not yet.
-void WorkerManager::update_expected(Machine& machine) {
+// Heartbeats are expected from machines that are up, and from unfenced machines of the inventory, but not
+// from machines that are still booting.
+void WorkerManager::update_heartbeat_expected(Machine& machine) {
   const bool expected = !machine.gone && (machine.has_incarnation || !machine.fenced);
   if (expected == machine.expected_to_report)
     return;
@@ -28,16 +28,16 @@
   zones_.set_expected(machine.zone, expected ? 1 : -1);
 }
 
-// The zone is within reach again: all its machines are probed at once instead of waiting for their
+// Called when the zone is reachable again: probes all its machines at once instead of waiting for their
 // heartbeats.
-void WorkerManager::probe_returned_zone(ZoneIndex zone) {
+void WorkerManager::probe_recovering_zone(ZoneIndex zone) {
   spdlog::info("workers: zone reachable again zone={}", registry_.zones[zone]);
   for (const MachineIndex index : live_machines_) {
     Machine& machine = machines_[index];
     if (machine.zone != zone || !machine.expected_to_report)
       continue;
-    // Calls that failed before say only that the zone was out of reach. Counted against the machines, they
-    // would make all of them seem lost alone as soon as the first one answers.
+    // Calls failed because the zone was unreachable. If they counted against the machines, every machine
+    // would seem to have failed individually (lost_alone()) as soon as the first one answers.
     machine.delivery.failed_calls = 0;
     machine.delivery.unanswered_since = ports::kNever;
     machine.delivery.retry_at = out_.now();
@@ -53,7 +53,8 @@
 
 void WorkerManager::tick() {
   const Seconds now = out_.now();
-  // Past its authority a leader knows nothing of the workers' leases: another one may be renewing them.
+  // A leader whose own lease has expired must not judge the workers' leases: another leader may be renewing
+  // them.
   if (!active_ || now >= leadership_.lease_expires_at())
     return;
   while (Machine* machine = checks_.pop_due(machines_, now)) {
@@ -62,22 +63,22 @@
   }
 }
 
-// Probes all machines, since an on-demand machine does not answer (see LivenessSweep).
+// Queues probes of all machines after an on-demand machine did not answer (see LivenessSweep).
 void WorkerManager::start_liveness_sweep() {
   if (!liveness_sweep_.begin_or_extend(out_.now()))
     return;
-  std::vector<MachineIndex> up;
+  std::vector<MachineIndex> running_machines;
   for (const MachineIndex index : live_machines_) {
     if (machines_[index].has_incarnation)
-      up.push_back(index);
+      running_machines.push_back(index);
   }
-  // Those without contact for longest first: they are the likeliest to have failed.
-  std::sort(up.begin(), up.end(), [this](MachineIndex a, MachineIndex b) {
+  // Machines with the longest time since the last contact come first, as they are most likely to have failed.
+  std::sort(running_machines.begin(), running_machines.end(), [this](MachineIndex a, MachineIndex b) {
     const Seconds contact_a = machines_[a].last_contact_at;
     const Seconds contact_b = machines_[b].last_contact_at;
     return contact_a != contact_b ? contact_a < contact_b : a < b;
   });
-  for (const MachineIndex index : up)
+  for (const MachineIndex index : running_machines)
     liveness_sweep_.enqueue(index);
   ++liveness_sweeps_;
 }
@@ -93,7 +94,7 @@
   }
 }
 
-// Does what is due on a machine, and schedules the next check.
+// Performs all checks that are due on a machine, and schedules the next one.
 void WorkerManager::check_machine(Machine& machine) {
   const Seconds now = out_.now();
   if (machine.gone)
@@ -108,7 +109,7 @@
     schedule_check(machine, machine.avoid_until);
   if (has_commands(machine))
     resend_commands(machine);
-  suspect_if_unresponsive(machine);
+  mark_if_unresponsive(machine);
   if (machine.has_incarnation)
     probe_if_late(machine);
 }
@@ -118,23 +119,25 @@
   const Seconds now = out_.now();
   if (now < machine.lease_expires_at || (!machine.has_incarnation && machine.fenced))
     return;
-  // Another node may have renewed it by delegation. Only that node's report, or the end of the time for which
-  // it may renew leases, rules that out.
+  // Another controller may have renewed the lease by delegation. Only a report of that controller, or the end
+  // of its delegation, rules this out.
   if (now < leadership_.worker_lease_expiry(machine.lease_expires_at))
     return schedule_check(machine, now + kResendInterval);
-  // Nobody can have renewed the worker's lease since, so it has killed all its tasks.
+  // No controller can have renewed the lease since, so the worker has killed all its tasks.
   if (machine.has_incarnation)
     spdlog::warn("workers: lease expired host={}", machine.host);
-  // The lease of a machine that failed long before the zone became unreachable says nothing of the zone.
+  // A machine that lost contact long before its zone did has failed individually, so the expiry of its lease
+  // does not show that the zone is lost.
   if (machine.last_contact_at >= zones_.last_contact_at(machine.zone) - 2 * settings_.heartbeat_interval_s)
     zones_.on_lease_expired(machine.zone, now);
   end_incarnation(machine);
   machine.fenced = true;
-  update_expected(machine);
+  update_heartbeat_expected(machine);
   update_unreconciled(machine);
 }
 
-// Of an unreachable zone one machine at a time is probed; when it answers, all are (probe_returned_zone).
+// Probes one machine of an unreachable zone at a time. When one answers, probe_recovering_zone() probes them
+// all.
 void WorkerManager::probe_unreachable_zone(Machine& machine) {
   const Seconds now = out_.now();
   if (zone_probe_at_.size() <= machine.zone)
@@ -166,46 +169,49 @@
          calls_in_flight_ < max_concurrent_calls();
 }
 
-void WorkerManager::suspect_if_unresponsive(Machine& machine) {
+void WorkerManager::mark_if_unresponsive(Machine& machine) {
   const Seconds now = out_.now();
-  // While others fail, a machine that answers neither of two calls, or not the one when its next heartbeat is
-  // about to come, counts as unresponsive before the threshold.
+  // While other machines are failing, a machine counts as unresponsive before the threshold if it has not
+  // answered two calls, or has not answered one call and its next heartbeat is about to arrive.
   const bool failing_with_others =
       liveness_sweep_.in_progress(now) && machine.has_incarnation &&
       (machine.delivery.failed_calls >= 2 ||
        (machine.delivery.failed_calls == 1 &&
         time_since_contact(machine) > kHeartbeatDueFactor * settings_.heartbeat_interval_s));
-  // After a take-over the machines answer within a moment; one that does not answer two calls is lost.
-  const bool lost_at_takeover = !machine.fenced && machine.delivery.failed_calls >= 2;
-  if ((failing_with_others || lost_at_takeover || time_since_contact(machine) > unresponsive_threshold()) &&
+  // After a failover a running machine answers its first call; one that does not answer two calls is lost.
+  const bool lost_after_failover = !machine.fenced && machine.delivery.failed_calls >= 2;
+  if ((failing_with_others || lost_after_failover ||
+       time_since_contact(machine) > unresponsive_threshold()) &&
       (machine.has_incarnation || !machine.fenced))
     unresponsive_machines_.insert(machine.index);
   if (!machine.fenced && time_since_contact(machine) <= unresponsive_threshold())
-    schedule_check(machine, machine.last_contact_at + unresponsive_threshold() + kAfterThreshold);
+    schedule_check(machine, machine.last_contact_at + unresponsive_threshold() + kThresholdCheckDelay);
 }
 
-// Probes a machine whose heartbeat is late, or that sends heartbeats though a call to it has failed.
+// Probes a machine whose heartbeat is late, or that sends heartbeats although the last call to it failed.
 void WorkerManager::probe_if_late(Machine& machine) {
   const Seconds now = out_.now();
-  // One that failed to answer is probed again at once.
-  const Seconds late =
+  // A machine that has not answered a call is probed again at once.
+  const Seconds late_after =
       machine.delivery.failed_calls > 0 ? 0 : kLateHeartbeatFactor * settings_.heartbeat_interval_s;
-  // It sends heartbeats, but did not answer the last call: without another one it would get no more commands.
-  const bool back =
-      machine.unreachable && machine.delivery.failed_calls == 0 && time_since_contact(machine) <= late;
-  if (back && now >= machine.delivery.retry_at && may_probe(machine))
+  // The machine sends heartbeats but counts as unreachable, as it did not answer the last call. Without
+  // another call it would get no more commands.
+  const bool contact_resumed =
+      machine.unreachable && machine.delivery.failed_calls == 0 && time_since_contact(machine) <= late_after;
+  if (contact_resumed && now >= machine.delivery.retry_at && may_probe(machine))
     send_direct(machine, {}, {}, kProbeTimeout);
-  if (time_since_contact(machine) <= late)
-    return schedule_check(machine,
-                          back ? now + kResendInterval : machine.last_contact_at + late + kAfterThreshold);
-  // The reply to an empty list of commands is its heartbeat.
+  if (time_since_contact(machine) <= late_after)
+    return schedule_check(machine, contact_resumed
+                                       ? now + kResendInterval
+                                       : machine.last_contact_at + late_after + kThresholdCheckDelay);
+  // The worker replies to a call without commands with its heartbeat.
   if ((now >= machine.delivery.retry_at || liveness_sweep_.in_progress(now)) && may_probe(machine))
     send_direct(machine, {}, {}, kProbeTimeout);
   schedule_check(machine,
                  time_since_contact(machine) > unresponsive_threshold()
                      ? now + kResendInterval / 2
                      : std::min(now + kResendInterval / 2,
-                                machine.last_contact_at + unresponsive_threshold() + kAfterThreshold));
+                                machine.last_contact_at + unresponsive_threshold() + kThresholdCheckDelay));
 }
 
 }  // namespace wingtrail::workers
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// Workers' heartbeats: which of them count, and what they say of incarnations and tasks.
+/// @file
+/// Processing of heartbeats: discards outdated ones, and updates the machine's incarnation, lease and tasks.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -11,51 +11,52 @@
 
 namespace wingtrail::workers {
 namespace {
-// By then heartbeats that were delayed by a network partition have arrived after its end.
+// Heartbeats that a network partition has delayed arrive within this time after its end.
 constexpr Seconds kDelayedHeartbeatWindow = 1.0;
-constexpr Seconds kNeverContacted = -1e9;
 }  // namespace
 
-std::optional<wire::Value> WorkerManager::handle_heartbeat(const wire::Heartbeat& report,
+std::optional<wire::Value> WorkerManager::handle_heartbeat(const wire::Heartbeat& heartbeat,
                                                            CommandsInReply commands_in_reply) {
   if (!active_)
     return std::nullopt;
-  if (report.fencing_token > leadership_.fencing_token()) {
+  if (heartbeat.fencing_token > leadership_.fencing_token()) {
     events_.on_superseded();
     return std::nullopt;
   }
-  Machine& machine = add_machine(report.host, report.address, report.type, report.zone, report.spot);
+  Machine& machine =
+      add_machine(heartbeat.host, heartbeat.address, heartbeat.type, heartbeat.zone, heartbeat.spot);
   if (machine.gone)
     return std::nullopt;
-  // The worker's reply to a command has overtaken it. There is nothing new in it, but the worker still waits
-  // for the reply, and would turn to another node without it.
-  if (machine.has_incarnation && report.incarnation == machine.incarnation &&
-      report.sequence <= machine.sequence) {
+  // The worker's reply to a direct call, which includes a newer heartbeat, has overtaken this heartbeat.
+  // There is nothing new in it, but without an answer the worker would switch to another controller.
+  if (machine.has_incarnation && heartbeat.incarnation == machine.incarnation &&
+      heartbeat.sequence <= machine.sequence) {
     machine.lease_expires_at = worker_lease_expiry(out_.now());
     return wire::heartbeat_reply(leadership_.fencing_token(), {});
   }
-  if (!is_newer(machine, report))
+  if (!is_newer(machine, heartbeat))
     return std::nullopt;
   const bool new_incarnation = !machine.has_incarnation;
-  machine.address = report.address;
-  // A heartbeat that was delayed by a network partition arrives at its end, when the worker does not wait for
-  // the reply any more.
+  machine.address = heartbeat.address;
+  // A heartbeat that a network partition delayed arrives at the end of the partition, when the worker no
+  // longer waits for the reply, so it does not update last_heartbeat_at.
   if (zones_.flap_count(machine.zone) == 0 ||
       out_.now() > zones_.returned_at(machine.zone) + kDelayedHeartbeatWindow)
     machine.last_heartbeat_at = out_.now();
-  apply_heartbeat(machine, report, HeartbeatSource::worker);
+  apply_heartbeat(machine, heartbeat, HeartbeatSource::worker);
   if (!active_)
     return std::nullopt;
   machine.lease_expires_at = worker_lease_expiry(out_.now());
   add_to_inventory(machine);
   if (machine.unreachable)
     schedule_check(machine, out_.now());
-  // Until the worker has our token, an earlier leader's commands could still take effect. It is in the reply,
-  // so the worker has the time to confirm it with its next heartbeat before it is called for that.
+  // Until the worker has this leader's fencing token, an earlier leader's commands could still take effect.
+  // The reply carries the token; a direct call follows only if no heartbeat confirms it within
+  // kResendInterval.
   if (!machine.fenced) {
     machine.delivery.last_sent_at = out_.now();
     schedule_check(machine, out_.now() + kResendInterval);
-  } else if (new_incarnation && report.fencing_token < leadership_.fencing_token()) {
+  } else if (new_incarnation && heartbeat.fencing_token < leadership_.fencing_token()) {
     schedule_check(machine, out_.now() + kResendInterval);
   }
   if (!machine.fenced || !machine.in_inventory || commands_in_reply == CommandsInReply::withheld)
@@ -65,27 +66,30 @@
                                build_commands(machine, Delivery::heartbeat_reply));
 }
 
-// Whether the heartbeat is newer than what is known of its machine. Heartbeats are ordered by incarnation and
-// sequence number. One of an incarnation that is over, by its lease or by a newer one, proves nothing.
-bool WorkerManager::is_newer(const Machine& machine, const wire::Heartbeat& report) {
+// Whether the heartbeat is newer than the newest one received from the machine, by incarnation and sequence
+// number. A heartbeat of an incarnation that is over (its lease has expired, or a newer incarnation is known)
+// proves nothing and is never newer.
+bool WorkerManager::is_newer(const Machine& machine, const wire::Heartbeat& heartbeat) {
   if (!machine.has_incarnation && machine.incarnation > 0)
-    return report.incarnation > machine.incarnation;
-  return std::pair(report.incarnation, report.sequence) > std::pair(machine.incarnation, machine.sequence);
+    return heartbeat.incarnation > machine.incarnation;
+  return std::pair(heartbeat.incarnation, heartbeat.sequence) >
+         std::pair(machine.incarnation, machine.sequence);
 }
 
-void WorkerManager::apply_heartbeat(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source) {
+void WorkerManager::apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat,
+                                    HeartbeatSource source) {
   const bool had_incarnation = machine.has_incarnation;
-  note_contact(machine, report, source);
+  record_contact(machine, heartbeat, source);
   if (!had_incarnation)
     schedule_check(machine, out_.now() + kLateHeartbeatFactor * settings_.heartbeat_interval_s);
-  const bool capacity_freed = reconcile_tasks(machine, report, source);
+  const bool capacity_freed = reconcile_tasks(machine, heartbeat, source);
   update_idle_since(machine);
   mark_changed(machine);
   if (!notify_ended(machine))
     return;
-  // Only now that everything on the machine is known: once it is fenced, tasks may start elsewhere, and one
-  // that runs here must not be among them.
-  if (report.fencing_token == leadership_.fencing_token())
+  // The machine is fenced only after all its tasks are recorded: fencing allows pending tasks to start
+  // elsewhere, and a task that runs on this machine must not be started a second time.
+  if (heartbeat.fencing_token == leadership_.fencing_token())
     mark_fenced(machine);
   if (!had_incarnation)
     events_.on_available(machine);
@@ -93,47 +97,51 @@
     events_.on_capacity_freed(machine);
 }
 
-// Takes in what contact as such says of the machine: its incarnation, its lease, and that it is responsive.
-void WorkerManager::note_contact(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source) {
-  // A new incarnation: the worker has killed everything of the earlier one.
-  if (machine.has_incarnation && report.incarnation > machine.incarnation)
+// Updates the machine's incarnation, lease, liveness and preemption notice.
+void WorkerManager::record_contact(Machine& machine, const wire::Heartbeat& heartbeat,
+                                   HeartbeatSource source) {
+  // A worker that begins a new incarnation has killed all tasks of the previous one.
+  if (machine.has_incarnation && heartbeat.incarnation > machine.incarnation)
     end_incarnation(machine);
-  if (source == HeartbeatSource::command_reply && report.incarnation != machine.incarnation)
+  if (source == HeartbeatSource::command_reply && heartbeat.incarnation != machine.incarnation)
     machine.last_heartbeat_at = kNeverContacted;
-  // An incarnation that is new here began before this message, and none of its heartbeats was answered after
-  // it, so its lease lasts at most this long. With the expiry of the incarnation before, this one would be
-  // declared over while it lives.
-  if (report.incarnation != machine.incarnation)
+  // An incarnation that is first seen now began before this message, and none of its heartbeats has been
+  // answered after it, so its lease has certainly expired at the time computed here. With the lease expiry of
+  // the previous incarnation, the new one would be declared over while its worker is alive.
+  if (heartbeat.incarnation != machine.incarnation)
     machine.lease_expires_at = std::max(machine.lease_expires_at, worker_lease_expiry(out_.now()));
   machine.has_incarnation = true;
-  machine.incarnation = report.incarnation;
-  machine.sequence = report.sequence;
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence = heartbeat.sequence;
   machine.last_contact_at = out_.now();
   machine.delivery.failed_calls = 0;
   machine.delivery.unanswered_since = ports::kNever;
   if (zones_.on_contact(machine.zone, out_.now()))
-    probe_returned_zone(machine.zone);
-  update_expected(machine);
-  machine.preemption_at =
-      report.preemption_in_s ? std::optional<Seconds>(out_.now() + *report.preemption_in_s) : std::nullopt;
+    probe_recovering_zone(machine.zone);
+  update_heartbeat_expected(machine);
+  machine.preemption_at = heartbeat.preemption_in_s
+                              ? std::optional<Seconds>(out_.now() + *heartbeat.preemption_in_s)
+                              : std::nullopt;
   unresponsive_machines_.erase(machine.index);
 }
 
-// Takes in what the heartbeat says of each task; returns whether resources were freed.
-bool WorkerManager::reconcile_tasks(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source) {
+// Updates the machine's allocations from the tasks that the heartbeat lists. Returns whether resources were
+// freed.
+bool WorkerManager::reconcile_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
+                                    HeartbeatSource source) {
   const std::size_t known = machine.allocations.size();
   std::vector<bool> listed(known, false);
   bool capacity_freed = false;
-  // A worker has one heartbeat under way at a time: this one proves that it has acted on the reply to the one
-  // before, or never will.
+  // A worker sends its next heartbeat only after it has processed the reply to the previous one or has given
+  // up waiting for it. So no start in an earlier reply can take effect any more.
   if (source == HeartbeatSource::worker) {
     for (Allocation& allocation : machine.allocations) {
       allocation.start_in_reply_until = 0;
       allocation.start_in_reply_unconfirmed = false;
     }
   }
-  std::size_t hint = 0;  // heartbeats list tasks in the order in which they were started
-  for (const wire::TaskStatus& status : report.tasks) {
+  std::size_t hint = 0;  // heartbeats list tasks in the order of their starts, as `allocations` does
+  for (const wire::TaskStatus& status : heartbeat.tasks) {
     const std::optional<std::size_t> found = find_allocation(machine, status, known, hint);
     if (!found) {
       adopt_task(machine, status);
@@ -141,13 +149,13 @@
     }
     hint = *found + 1;
     listed[*found] = true;
-    const bool counted = machine.allocations[*found].occupies_machine;
+    const bool occupied = machine.allocations[*found].occupies_machine;
     update_allocation(machine, machine.allocations[*found], status);
-    capacity_freed |= counted && !machine.allocations[*found].occupies_machine;
+    capacity_freed |= occupied && !machine.allocations[*found].occupies_machine;
   }
   for (std::size_t i = known; i-- > 0;) {
-    // A start that may still arrive is not listed, and stays uncertain. Anything else that was listed before
-    // and is not now was forgotten by the worker.
+    // A task in phase `requested` has never been listed, and its start may still take effect. Any other task
+    // that is not listed any more has been forgotten by the worker.
     if (listed[i] || machine.allocations[i].phase == Allocation::Phase::requested)
       continue;
     capacity_freed |= machine.allocations[i].occupies_machine;
@@ -156,8 +164,8 @@
   return capacity_freed;
 }
 
-// The position of the allocation that the entry is about, among the first `known`; the search begins at
-// `hint`.
+// Returns the position of the allocation that the listed task refers to. Searches the first `known`
+// allocations, beginning at `hint`.
 std::optional<std::size_t> WorkerManager::find_allocation(const Machine& machine,
                                                           const wire::TaskStatus& status, std::size_t known,
                                                           std::size_t hint) {
@@ -179,9 +187,9 @@
   }
 }
 
-// Reports the allocations that have ended. The receivers start other tasks at once, perhaps on this machine,
-// which would invalidate references into its allocations; so this happens only after the whole heartbeat has
-// been taken in. False: the leadership has ended.
+// Calls on_task_exited for the allocations that have ended. The callbacks may start other tasks at once,
+// perhaps on this machine, which invalidates references to its allocations. So they are called only after the
+// whole heartbeat has been processed. Returns false if the leadership has ended.
 bool WorkerManager::notify_ended(Machine& machine) {
   const std::uint64_t term = term_;
   for (const Allocation& allocation : std::exchange(ended_allocations_, {})) {
@@ -192,7 +200,7 @@
   return true;
 }
 
-// Adds a task that the heartbeat lists and that is not known on the machine.
+// Adds an allocation for a task that the heartbeat lists and that is not known on the machine.
 void WorkerManager::adopt_task(Machine& machine, const wire::TaskStatus& status) {
   Allocation allocation;
   allocation.task = status.task;
@@ -211,18 +219,18 @@
   jobs::Job* job = registry_.find(status.ref);
   const bool known = job && job->is_open() && status.task < job->tasks.size();
   const bool pending = known && job->tasks[status.task].state == jobs::TaskState::pending;
-  // Every other one begins as a stray instance. One that has exited ends as such in update_allocation(), so
-  // that its result counts wherever the task is placed.
+  // The allocation is first recorded as a stray instance. If the task has completed, update_allocation()
+  // counts its result, whichever machine the task is placed on.
   machine.allocations.push_back(std::move(allocation));
   Allocation& added = machine.allocations.back();
   add_stray(machine, added);
   if (pending) {
     adopt_stray_instance(*job, status.task);
     if (job->cancelling)
-      stop_task(machine, added, 0);  // first seen after its job's cancellation began
+      stop_task(machine, added, 0);  // cancel_job() did not know this instance
   } else if (!exited && !(known && placement_uncertain(job->tasks[status.task]))) {
-    // The task is done, its job is over, or it is certainly placed on another machine, which the protocol
-    // forbids: this instance is stopped.
+    // The task is done, its job is over or unknown, or the task is certainly placed on another machine. A
+    // task must not run twice, so this instance is stopped.
     if (!job || !job->is_open())
       spdlog::info("workers: stopping task of finished or unknown job host={} task={}", machine.host,
                    added.name);
@@ -244,7 +252,7 @@
     if (!ran && allocation.phase == Allocation::Phase::running && job) {
       allocation.running_since = out_.now();
       registry_.set_task_running(*job, allocation.task, true);
-      touch_image(machine, job->image);
+      record_image_use(machine, job->image);
     }
     return;
   }
@@ -253,8 +261,8 @@
   allocation.phase = Allocation::Phase::exited;
   allocation.cause = status.cause;
   release_allocation(machine, allocation);
-  // A result counts even if the job is being cancelled, since it may have crossed with the stop; and even if
-  // the task is placed on another machine: without it, the task would have to run again.
+  // A result counts even if the job is being cancelled, since the task may have completed before the stop
+  // arrived. It also counts if the task is placed on another machine: otherwise the task would run again.
   if (status.cause == wire::ExitCause::done) {
     jobs::Job* job_with_result = job ? job : registry_.find(status.ref);
     if (job_with_result && job_with_result->is_open() && !job_with_result->is_service() &&
--- a/src/workers/liveness_sweep.hpp
+++ b/src/workers/liveness_sweep.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// A round of probes to all machines, after one of them has failed to answer.
+/// @file
+/// A round of probes to all machines after one of them has not answered a call.
 #pragma once
 
 #include <deque>
@@ -9,24 +9,25 @@
 
 namespace wingtrail::workers {
 
-/// The state of the liveness sweep. Machines seldom fail alone, and waiting until each should have sent its
-/// next heartbeat would cost its replicas seconds. So when an on-demand machine does not answer a call, all
-/// machines are probed once; those that have answered since need no probe.
+/// The queue of machines to probe in a liveness sweep. Machines seldom fail individually, and waiting until
+/// the next heartbeat of each machine is late would leave replicas on failed machines down for seconds. So
+/// when an on-demand machine does not answer a call, all machines are probed once, except those with contact
+/// since.
 class LivenessSweep {
  public:
-  /// Another machine has failed to answer. True: the caller must enqueue all machines, as a new sweep begins.
-  /// False: the sweep that has begun a moment ago goes on for longer.
+  /// Called when a machine has not answered a call. Returns true if a new sweep begins, for which the caller
+  /// must enqueue all machines; false if the current sweep has only been extended.
   bool begin_or_extend(Seconds now);
-  /// Adds a machine to the probes that remain.
+  /// Appends a machine to the queue.
   void enqueue(MachineIndex machine) {
     remaining_.push_back(machine);
   }
-  /// Removes and returns the next machine to probe. There must be one.
+  /// Removes and returns the next machine to probe. The queue must not be empty.
   MachineIndex pop_next();
   bool has_remaining() const {
     return !remaining_.empty();
   }
-  /// Whether a machine failed to answer so recently that others are likely to have failed with it.
+  /// Whether a machine has not answered a call so recently that others are likely to have failed, too.
   bool in_progress(Seconds now) const {
     return now < ends_at_;
   }
--- a/src/workers/machine.hpp
+++ b/src/workers/machine.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// A machine as the leader knows it.
+/// @file
+/// The leader's record of a machine.
 #pragma once
 
 #include <algorithm>
@@ -24,103 +24,109 @@
 using jobs::ZoneIndex;
 using ports::Seconds;
 
-/// Whether a machine does its work: judged by the failures and run times of its tasks.
+/// Value of `Machine::last_contact_at` and `last_heartbeat_at` before the first contact, in s. Far enough in
+/// the past to count as unresponsive.
+inline constexpr Seconds kNeverContacted = -1e9;
+
+/// A machine's health, judged by the failures and run times of its tasks.
 enum class Health : std::uint8_t { healthy, suspect, unhealthy };
 
-/// The state of the direct calls to a worker.
+/// The state of the delivery of commands to a worker. Times are seconds of this controller's clock.
 struct CommandDelivery {
   bool call_in_flight = false;
   bool has_new_commands = false;  ///< There is a command that has never been sent.
   bool queued = false;            ///< The machine is in a command queue.
-  Seconds retry_at = 0;           ///< No call before this time: the last one failed.
-  Seconds last_sent_at = 0;       ///< When commands or our token last went out, by call or in a reply.
+  Seconds retry_at = 0;           ///< No direct call before this time, as the last one failed.
+  Seconds last_sent_at = 0;       ///< When commands or the token were last sent, by a call or in a reply.
   Seconds last_call_at = 0;       ///< When the last direct call was sent.
   int failed_calls = 0;           ///< Calls without an answer since the last contact.
   Seconds unanswered_since = ports::kNever;  ///< When the first of these was sent.
 };
 
-/// Where the PlacementIndex holds a machine. Only the index writes it, except `stale`.
+/// A machine's position in the PlacementIndex. Only the index writes it, except `stale`.
 struct IndexPosition {
-  bool stale = false;              ///< The machine has changed since.
-  PoolIndex pool;                  ///< kNoIndex: it accepts no tasks.
-  double free_cores = 0;           ///< Its free cores then.
-  std::vector<ImageIndex> images;  ///< Its images then.
+  bool stale = false;              ///< The machine has changed since the index was updated.
+  PoolIndex pool;                  ///< kNoIndex if the machine accepted no tasks at the last update.
+  double free_cores = 0;           ///< The machine's free cores at the last update.
+  std::vector<ImageIndex> images;  ///< The machine's cached images at the last update.
 };
 
-/// What UnreconciledMachines has counted of a machine, to subtract it again. Only that class writes it.
+/// The values that UnreconciledMachines has added to its totals for a machine, so that it can subtract them
+/// again. Only that class writes it.
 struct UnreconciledAccount {
-  bool counted = false;           ///< Counted as a machine that may hold tasks this leader does not know.
-  bool counted_unfenced = false;  ///< Counted in its group as not fenced.
-  double cpus = 0, gpus = 0;      ///< Capacity as counted.
+  bool counted = false;           ///< Counted as a machine that may run tasks this leader does not know.
+  bool counted_unfenced = false;  ///< Counted as unfenced in its group.
+  double cpus = 0, gpus = 0;      ///< The capacity that was added.
 };
 
-/// A machine that the leader knows. Times are those of this node's clock, in seconds.
+/// The leader's record of a machine. Times are seconds of this controller's clock.
 struct Machine {
   // ---- identity and capacity
   MachineIndex index = kNoIndex;  ///< Position in WorkerManager::machines().
-  std::string host;               ///< Its unique name.
-  std::string address;            ///< Where the worker accepts commands; empty: not known yet.
+  std::string host;               ///< Unique name of the machine.
+  std::string address;            ///< Address at which the worker accepts commands; empty if not known yet.
   MachineTypeIndex type;
   ZoneIndex zone;
   bool spot = false;
-  bool short_only = false;                   ///< In Hawk's partition for short tasks; refuses long ones.
-  double cpus = 0, gpus = 0, memory_gb = 0;  ///< Capacity; 0: its type is not in the catalog yet.
+  bool short_only = false;                   ///< In the short partition (as in Hawk); accepts no long tasks.
+  double cpus = 0, gpus = 0, memory_gb = 0;  ///< Capacity; 0 if its type is not in the catalog yet.
 
   // ---- life of the machine
-  bool in_inventory = false;             ///< In the persisted inventory, where the next leader finds it.
+  bool in_inventory = false;             ///< Its inventory record is persisted, so the next leader finds it.
   bool inventory_write_pending = false;  ///< Its inventory record is being written.
-  bool gone = false;                     ///< Returned or preempted. The entry stays, as indices refer to it.
-  bool being_returned = false;           ///< Its return to the cloud is requested.
-  bool draining = false;                 ///< It gets no new tasks, and is returned when idle.
+  bool gone = false;            ///< Returned or preempted. The record stays because indices refer to it.
+  bool being_returned = false;  ///< Its return to the cloud has been requested.
+  bool draining = false;        ///< It accepts no new tasks, and is returned when idle.
   Seconds first_seen_at = 0;
   Seconds rented_at = 0;
-  Seconds idle_since = 0;                ///< 0: it is busy.
-  std::optional<Seconds> preemption_at;  ///< When the cloud has announced to take it.
+  Seconds idle_since = 0;                ///< 0 while it is busy.
+  std::optional<Seconds> preemption_at;  ///< When it will be preempted, from the spot preemption notice.
 
   // ---- incarnation and lease (see allocation.hpp)
-  bool has_incarnation = false;   ///< Its worker is up: it has reported, and its lease has not run out since.
+  bool has_incarnation = false;   ///< Its worker is up: there was a heartbeat, and its lease has not expired.
   bool fenced = false;            ///< No command of an earlier leader can take effect any more.
-  std::uint64_t incarnation = 0;  ///< The newest one known, over or not.
-  std::uint64_t sequence = 0;     ///< Of the newest heartbeat of this incarnation.
-  Seconds lease_expires_at = 0;   ///< No lease that this node granted lasts longer.
-  Seconds last_contact_at = -1e9;    ///< The last heartbeat or answered command.
-  Seconds last_heartbeat_at = -1e9;  ///< The last heartbeat that the worker sent by itself.
+  std::uint64_t incarnation = 0;  ///< The newest incarnation known, which may be over.
+  std::uint64_t sequence = 0;     ///< Sequence number of the newest heartbeat of this incarnation.
+  Seconds lease_expires_at = 0;   ///< When the lease as granted by this controller has certainly expired.
+  Seconds last_contact_at = kNeverContacted;  ///< When the last heartbeat or reply to a direct call arrived.
+  Seconds last_heartbeat_at =
+      kNeverContacted;  ///< When the last heartbeat arrived that the worker sent on its own.
 
   // ---- liveness
   bool unreachable = false;               ///< It did not answer the last direct call.
-  bool expected_to_report = false;        ///< Counted among those of its zone that send heartbeats.
-  Seconds next_check_at = ports::kNever;  ///< When its next deadline is due.
+  bool expected_to_report = false;        ///< Counted among the machines of its zone that send heartbeats.
+  Seconds next_check_at = ports::kNever;  ///< Time of the next check in the CheckSchedule.
   CommandDelivery delivery;
 
   // ---- tasks
   std::vector<Allocation> allocations;
-  wire::Resources used;         ///< By allocations with a job, and reserved for tasks that move here.
-  int unsized_allocations = 0;  ///< Allocations that occupy it with unknown resources: stray instances.
-  std::vector<std::pair<ImageIndex, Seconds>> images;  ///< In its cache as far as known, with the last use.
+  wire::Resources used;         ///< Used by allocations with a job, or reserved for tasks that migrate here.
+  int unsized_allocations = 0;  ///< Number of stray instances on it; their resources are not known.
+  std::vector<std::pair<ImageIndex, Seconds>> images;  ///< Presumed content of its cache, with last use.
 
   // ---- health
   Health health = Health::healthy;
-  Seconds avoid_until = 0;            ///< It gets no new tasks before.
+  Seconds avoid_until = 0;            ///< It gets no new tasks before this time.
   std::vector<JobIndex> failed_jobs;  ///< Jobs that failed on it since the last success.
-  double observed_slowdown = 1;       ///< Run times here relative to the jobs' means.
-  int slowdown_samples = 0;           ///< Number of run times in it.
-  double slowdown = 1;                ///< The same, 1 until there are enough samples.
+  double observed_slowdown = 1;       ///< Run times on it relative to the jobs' mean run times.
+  int slowdown_samples = 0;           ///< Number of run times in observed_slowdown.
+  double slowdown = 1;                ///< observed_slowdown, but 1 until there are enough samples.
 
-  // ---- bookkeeping of other classes
+  // ---- written by other classes: PlacementIndex, UnreconciledMachines
   IndexPosition index_position;
   UnreconciledAccount unreconciled;
 
-  /// Whether any allocation occupies it.
+  /// Whether any allocation occupies the machine.
   bool busy() const {
     return std::any_of(allocations.begin(), allocations.end(),
                        [](const Allocation& allocation) { return allocation.occupies_machine; });
   }
-  /// Whether the image is in its cache, as far as known.
+  /// Whether the image is presumed to be in the machine's cache.
   bool has_image(ImageIndex image) const {
     return std::any_of(images.begin(), images.end(),
                        [image](const auto& cached) { return cached.first == image; });
   }
-  /// Whether that much is free.
+  /// Whether the machine's free capacity is sufficient for `need`.
   bool fits(const wire::Resources& need) const {
     constexpr double kRoundingTolerance = 1e-6;
     return used.cpus + need.cpus <= cpus + kRoundingTolerance &&
--- a/src/workers/placement_index.cpp
+++ b/src/workers/placement_index.cpp
@@ -4,7 +4,7 @@
 
 namespace wingtrail::workers {
 namespace {
-constexpr double kMinFreeCores = 1e-6;  // fewer count as none: rounding errors of sums
+constexpr double kMinFreeCores = 1e-6;  // fewer free cores are a rounding error and count as none
 }
 
 PoolIndex PlacementIndex::pool_of(const Machine& machine) {
--- a/src/workers/placement_index.hpp
+++ b/src/workers/placement_index.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// An index of the machines that take tasks.
+/// @file
+/// An index of the machines that accept tasks.
 #pragma once
 
 #include <deque>
@@ -17,30 +17,30 @@
 using jobs::PoolIndex;
 using jobs::ZoneIndex;
 
-/// Finds machines that take tasks without iterating over all machines: by type, zone, kind and partition, and
-/// within these by cached image, each ordered by free cores.
+/// Finds machines that accept tasks without iterating over all machines: by type, zone, kind (on demand or
+/// spot) and partition, and within these by cached image, each ordered by free cores.
 class PlacementIndex {
  public:
-  /// The machines of a pool, or those of them that have a certain image.
+  /// The machines of a pool, or the machines of a pool that have a certain image in their cache.
   struct Group {
-    std::vector<MachineIndex> members;                        // sorted; every machine that takes tasks
-    std::set<std::pair<double, MachineIndex>> by_free_cores;  // those with free cores, the fullest first
+    std::vector<MachineIndex> members;  // in ascending order; includes machines without free cores
+    std::set<std::pair<double, MachineIndex>> by_free_cores;  // only with free cores, the fewest first
   };
-  /// The machines of one type, zone, kind and partition.
+  /// The machines of one type, zone, kind and partition (short partition or not).
   struct Pool {
     MachineTypeIndex type;
     ZoneIndex zone;
     bool spot = false, short_only = false;
     Group all_machines;
     std::unordered_map<ImageIndex, Group> by_image;
-    /// Null if no machine of the pool has had the image.
+    /// The machines with the image in their cache; null if no machine of the pool has ever had it.
     const Group* group_with_image(ImageIndex image) const {
       auto it = by_image.find(image);
       return it == by_image.end() ? nullptr : &it->second;
     }
   };
 
-  /// Brings the index up to date with the machine, and notes its position in the machine.
+  /// Updates the machine's entries, and records its position in `Machine::index_position`.
   void update(Machine& machine, bool accepts_tasks);
   const std::deque<Pool>& pools() const {
     return pools_;
@@ -55,7 +55,9 @@
   static void erase(Group& group, MachineIndex index, double free);
   static void move(Group& group, MachineIndex index, double from, double to);
 
-  std::deque<Pool> pools_;  // few: types x zones x kinds x partitions; references stay valid
+  // Contains at most types x zones x kinds x partitions pools, so it is searched linearly. A deque, so that
+  // references stay valid as it grows.
+  std::deque<Pool> pools_;
 };
 
 }  // namespace wingtrail::workers
--- a/src/workers/reconciliation.cpp
+++ b/src/workers/reconciliation.cpp
@@ -1,19 +1,21 @@
-/// \file
-/// Reconciliation after a take-over: machines become fenced one by one, and what they show becomes certain.
+/// @file
+/// Reconciliation after a failover: machines are fenced one by one, and the tasks that a fenced machine lists
+/// are certainly placed there.
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::workers {
 
-// The worker has our fencing token, so no command of an earlier leader can take effect any more.
+// Called when the worker has confirmed this leader's fencing token, so that no command of an earlier leader
+// can take effect on the machine any more.
 void WorkerManager::mark_fenced(Machine& machine) {
   if (machine.fenced)
     return;
   machine.fenced = true;
-  update_expected(machine);
+  update_heartbeat_expected(machine);
   update_unreconciled(machine);
   mark_changed(machine);
-  // What it shows is certain now. Stray instances of the same tasks on other machines were left alone until
-  // now, since each could have been the only one.
+  // The machine's tasks are certain now, so stray instances of the same tasks on other machines are stopped.
+  // Until now each of them could have been the only instance.
   if (!strays_.empty()) {
     for (const Allocation& allocation : machine.allocations) {
       if (const jobs::Job* job = registry_.job_at(allocation.job); job && allocation.occupies_machine)
--- a/src/workers/resources.hpp
+++ b/src/workers/resources.hpp
@@ -1,12 +1,12 @@
-/// \file
-/// Sums of resources.
+/// @file
+/// Arithmetic on resources.
 #pragma once
 
 #include "wire/job_messages.hpp"
 
 namespace wingtrail::workers {
 
-/// Adds `amount`, times `sign`, to `sum`; a sign of -1 takes it away.
+/// Adds `amount` to `sum` if `sign` is 1, subtracts it if `sign` is -1.
 inline void add_resources(wire::Resources& sum, const wire::Resources& amount, double sign) {
   sum.cpus += sign * amount.cpus;
   sum.gpus += sign * amount.gpus;
--- a/src/workers/spot_preemption_rate.hpp
+++ b/src/workers/spot_preemption_rate.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// An estimate of how often spot machines are preempted.
 #pragma once
 
@@ -6,7 +6,8 @@
 
 namespace wingtrail::workers {
 
-/// Preemptions per second of a spot machine's time, over all leaderships of this process.
+/// Estimates the preemptions per second of a spot machine's uptime, from the observations during all
+/// leaderships of this process.
 class SpotPreemptionRate {
  public:
   void observe_time(ports::Seconds machine_seconds) {
@@ -15,12 +16,13 @@
   void observe_preemption() {
     ++preemptions_;
   }
+  /// The estimate, in preemptions per second of a machine's uptime.
   double per_second() const {
     return (preemptions_ + 1) / (machine_seconds_ + kPriorSeconds);
   }
 
  private:
-  /// The prior: as if one machine had been preempted in an hour.
+  /// The prior is one preemption within this uptime.
   static constexpr ports::Seconds kPriorSeconds = 3600;
   double preemptions_ = 0;
   ports::Seconds machine_seconds_ = 0;
--- a/src/workers/stray_instances.hpp
+++ b/src/workers/stray_instances.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Stray instances of tasks.
+/// @file
+/// The index of stray instances: tasks that run on another machine than the one they are placed on.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,21 @@
 
 namespace wingtrail::workers {
 
-/// A machine that shows a task which is placed on another machine, or whose job is over or unknown.
+/// An instance of a task on a machine, while the task is placed on another machine, done, or of a job that is
+/// over or unknown.
 struct StrayInstance {
   MachineIndex machine;
   std::uint32_t task;
 };
 
-/// All stray instances, by job. A task has one placement at a time; every other machine that shows it holds a
-/// stray instance, which is stopped, or becomes the placement when the task has none any more.
+/// All stray instances, by job. A task has at most one placement at a time. On every other machine that lists
+/// the task there is a stray instance, which is either stopped, or becomes the placement once the task has no
+/// other.
 class StrayInstances {
  public:
-  /// Records that the allocation, which occupies the machine, is a stray instance.
+  /// Records that the allocation is a stray instance. The allocation must occupy the machine.
   void add(const Machine& machine, const Allocation& allocation);
-  /// Removes what `add` recorded; there must be such an entry.
+  /// Removes the entry that `add` recorded for the allocation. There must be one.
   void remove(const Machine& machine, const Allocation& allocation);
   void clear() {
     by_job_.clear();
@@ -41,7 +43,7 @@
   bool contains(const std::string& job_ref, std::uint32_t task) const {
     return machine_with(job_ref, task).has_value();
   }
-  /// The machine with the task's oldest stray instance.
+  /// The machine with the task's oldest stray instance; none if the task has no stray instance.
   std::optional<MachineIndex> machine_with(const std::string& job_ref, std::uint32_t task) const;
   /// The job's stray instances, the oldest first. Valid until the next `add` or `remove`.
   const std::vector<StrayInstance>& of_job(const std::string& job_ref) const;
--- a/src/workers/unreconciled_machines.cpp
+++ b/src/workers/unreconciled_machines.cpp
@@ -6,7 +6,7 @@
 
 namespace wingtrail::workers {
 namespace {
-constexpr Seconds kAtOnce = 1e-3;  // reconciled_after() is never 0 once all are reconciled
+constexpr Seconds kMinReconciledAfter = 1e-3;  // as reconciled_after() of 0 means: not yet
 }
 
 void UnreconciledMachines::begin_leadership(Seconds now) {
@@ -20,7 +20,7 @@
   leading_ = false;
   groups_.clear();
   count_ = 0;
-  of_unknown_capacity_ = 0;
+  unknown_capacity_count_ = 0;
   capacity_ = {};
 }
 
@@ -43,7 +43,7 @@
   const bool unreconciled = !machine.gone && (!machine.fenced || machine.unsized_allocations > 0);
   if (account.counted) {
     --count_;
-    of_unknown_capacity_ -= account.cpus <= 0 ? 1 : 0;
+    unknown_capacity_count_ -= account.cpus <= 0 ? 1 : 0;
     capacity_.cpus -= account.cpus;
     capacity_.gpus -= account.gpus;
   }
@@ -52,17 +52,17 @@
     account.cpus = machine.cpus;
     account.gpus = machine.gpus;
     ++count_;
-    of_unknown_capacity_ += account.cpus <= 0 ? 1 : 0;
+    unknown_capacity_count_ += account.cpus <= 0 ? 1 : 0;
     capacity_.cpus += account.cpus;
     capacity_.gpus += account.gpus;
   } else if (count_ == 0 && leading_ && reconciled_after_ == 0) {
-    reconciled_after_ = std::max(kAtOnce, now - leadership_began_at_);
+    reconciled_after_ = std::max(kMinReconciledAfter, now - leadership_began_at_);
     spdlog::info("workers: all machines reconciled after_s={:.2f}", reconciled_after_);
   }
 }
 
 std::optional<wire::Resources> UnreconciledMachines::resources() const {
-  if (of_unknown_capacity_ > 0)
+  if (unknown_capacity_count_ > 0)
     return std::nullopt;
   if (count_ == 0)
     return wire::Resources{};
--- a/src/workers/unreconciled_machines.hpp
+++ b/src/workers/unreconciled_machines.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// The account of machines that may hold tasks which this leader does not know.
+/// @file
+/// Counts the machines that may run tasks which this leader does not know.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace wingtrail::workers {
 
-/// The unfenced machines of one type, zone and kind.
+/// The number of unfenced machines of one type, zone and kind (on demand or spot).
 struct UnreconciledGroup {
   MachineTypeIndex type;
   ZoneIndex zone;
@@ -18,16 +18,17 @@
   int unfenced = 0;
 };
 
-/// After a take-over, machines of the inventory may run tasks of earlier leaders. A machine is reconciled
-/// once it is gone, or once it is fenced and the resources of all its tasks are known. This class keeps the
-/// sums over the machines that are not reconciled.
+/// Keeps the number and the total capacity of the machines that are not reconciled. After a failover,
+/// machines of the inventory may run tasks of earlier leaders. A machine is reconciled once it is gone, or
+/// once it is fenced and the resources of all its tasks are known.
 class UnreconciledMachines {
  public:
-  /// Begins a leadership without any machine.
+  /// Begins a leadership without any machines.
   void begin_leadership(Seconds now);
+  /// Ends the leadership and removes all machines.
   void clear();
-  /// Brings the sums up to date with the machine. To be called whenever `gone`, `fenced`,
-  /// `unsized_allocations` or the capacity has changed.
+  /// Updates the totals. To be called whenever the machine's `gone`, `fenced`, `unsized_allocations` or
+  /// capacity has changed.
   void update(Machine& machine, Seconds now);
 
   bool empty() const {
@@ -36,9 +37,10 @@
   const std::vector<UnreconciledGroup>& groups() const {
     return groups_;
   }
-  /// The most that unknown tasks can use; none if the capacity of one of the machines is not known.
+  /// The upper limit of the resources that unknown tasks can use: the total capacity of the machines that are
+  /// not reconciled. None if the capacity of one of them is not known.
   std::optional<wire::Resources> resources() const;
-  /// How long after the take-over the last machine was reconciled, in seconds; 0: there still are some.
+  /// How long after the failover the last machine was reconciled, in s; 0 while some are not.
   Seconds reconciled_after() const {
     return reconciled_after_;
   }
@@ -51,7 +53,7 @@
   Seconds reconciled_after_ = 0;
   std::vector<UnreconciledGroup> groups_;
   int count_ = 0;
-  int of_unknown_capacity_ = 0;
+  int unknown_capacity_count_ = 0;
   wire::Resources capacity_;
 };
 
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// The table of machines: what is known of each, from the beginning of a leadership to its end.
+/// @file
+/// The table of machines and their inventory records, from the beginning of a leadership to its end.
 #include "workers/worker_manager.hpp"
 
 #include <spdlog/spdlog.h>
@@ -11,9 +11,10 @@
 
 namespace wingtrail::workers {
 namespace {
-// Relative: both clocks may be off by 0.05 %, in opposite directions.
+// As a share of elapsed time: the controller's and the worker's clock may each be off by 0.05 %, in opposite
+// directions.
 constexpr double kMaxClockDrift = 0.001;
-// A worker acts on the end of its lease within the steps of its own timers.
+// A worker notices the end of its lease with a delay, as its timers advance in steps.
 constexpr Seconds kWorkerTimerMargin = 0.5;
 }  // namespace
 
@@ -36,13 +37,13 @@
   end_leadership();
   active_ = true;
   unreconciled_.begin_leadership(out_.now());
-  // Whatever an earlier leader granted was granted before this moment.
+  // All worker leases of earlier leaders were granted before this moment.
   inherited_leases_end_at_ = worker_lease_expiry(out_.now());
   zones_.begin_leadership(out_.now());
 }
 
-Seconds WorkerManager::worker_lease_expiry(Seconds from) const {
-  return from + settings_.worker_lease_s * (1 + kMaxClockDrift) + kWorkerTimerMargin;
+Seconds WorkerManager::worker_lease_expiry(Seconds renewed_at) const {
+  return renewed_at + settings_.worker_lease_s * (1 + kMaxClockDrift) + kWorkerTimerMargin;
 }
 
 void WorkerManager::end_leadership() {
@@ -54,9 +55,9 @@
   zone_probe_at_.clear();
   by_host_.clear();
   placement_index_.clear();
-  index_stale_.clear();
+  stale_index_entries_.clear();
   command_queue_.clear();
-  token_queue_.clear();
+  fencing_queue_.clear();
   liveness_sweep_.clear();
   checks_.clear();
   unreconciled_.clear();
@@ -85,8 +86,8 @@
 }
 
 Machine* WorkerManager::find(const std::string& host) {
-  auto it = by_host_.find(host);
-  return it == by_host_.end() ? nullptr : &machines_[it->second];
+  const auto entry = by_host_.find(host);
+  return entry == by_host_.end() ? nullptr : &machines_[entry->second];
 }
 
 Machine& WorkerManager::add_machine(const std::string& host, const std::string& address,
@@ -115,13 +116,13 @@
   live_machines_.push_back(machine.index);
   zones_.add_member(machine.zone, 1);
   machines_.push_back(std::move(machine));
-  // It is not in the inventory, so no leader has ever sent it a command.
+  // A machine that is not in the machine inventory has never received a command from any leader.
   machines_.back().fenced = true;
   return machines_.back();
 }
 
-// What the next leader needs to know of a machine before its first heartbeat: where it is, and which images
-// it has cached, since a replica that moves to a machine without its image is down for the whole fetch.
+// Contains what the next leader needs to know of a machine before its first heartbeat: its location and its
+// cached images. A replica that migrates to a machine without its image is down until the image is fetched.
 wire::Value WorkerManager::inventory_record(MachineIndex index) const {
   const Machine& machine = machines_[index];
   wire::Value images = wire::Value::array();
@@ -136,11 +137,11 @@
 }
 
 Machine& WorkerManager::add_from_inventory(const wire::Value& record) {
-  const auto field = [&record](const char* key) {
+  const auto text_field = [&record](const char* key) {
     return wire::text(record, key).value_or("");
   };
-  Machine& machine = add_machine(field("host"), field("addr"), field("type"), field("zone"),
-                                 wire::flag(record, "spot").value_or(false));
+  Machine& machine = add_machine(text_field("host"), text_field("addr"), text_field("type"),
+                                 text_field("zone"), wire::flag(record, "spot").value_or(false));
   machine.in_inventory = true;
   machine.fenced = false;
   if (const wire::Value* images = wire::find(record, "images"); images && images->is_array()) {
@@ -151,7 +152,7 @@
   }
   machine.lease_expires_at = inherited_leases_end_at_;
   machine.last_contact_at = out_.now();
-  update_expected(machine);
+  update_heartbeat_expected(machine);
   update_unreconciled(machine);
   queue_call(machine);
   schedule_check(machine, inherited_leases_end_at_);
@@ -183,9 +184,10 @@
          !zones_.is_unresponsive(machine.zone, out_.now()) && !lease_near_expiry(machine);
 }
 
-// Whether an idle worker is about to lose its lease. It may answer calls and still be looking for the leader
-// (a node that renews leases by delegation refuses it), and commands do not renew its lease: tasks started on
-// idle machines the moment their zone is back would be killed seconds later, when the leases expire.
+// Whether an idle worker's lease may be about to expire. Direct calls do not renew a worker's lease, and a
+// worker that answers them may still be searching for the leader, because delegated lease renewal does not
+// cover idle workers. Tasks started on such machines the moment their zone is reachable again would be killed
+// seconds later, when the leases expire.
 bool WorkerManager::lease_near_expiry(const Machine& machine) const {
   return settings_.tunables.zone_tracking && !machine.busy() &&
          out_.now() - machine.last_heartbeat_at >
@@ -197,7 +199,7 @@
   if (machine.index_position.stale)
     return;
   machine.index_position.stale = true;
-  index_stale_.push_back(machine.index);
+  stale_index_entries_.push_back(machine.index);
 }
 
 void WorkerManager::avoid_until(Machine& machine, Seconds until) {
@@ -207,7 +209,7 @@
 }
 
 const PlacementIndex& WorkerManager::placement_index() {
-  for (const MachineIndex index : std::exchange(index_stale_, {})) {
+  for (const MachineIndex index : std::exchange(stale_index_entries_, {})) {
     Machine& machine = machines_[index];
     machine.index_position.stale = false;
     placement_index_.update(machine, accepts_tasks(machine));
@@ -230,8 +232,8 @@
 void WorkerManager::mark_gone(Machine& machine) {
   if (machine.gone)
     return;
-  // One that is returned as unresponsive counts as preempted: most that become unresponsive without a notice
-  // were.
+  // A spot machine that is returned because it is unresponsive counts as preempted: most spot machines that
+  // become unresponsive without a preemption notice have been preempted.
   if (machine.spot && machine.has_incarnation &&
       (machine.preemption_at || !machine.being_returned ||
        time_since_contact(machine) > unresponsive_threshold()))
@@ -240,19 +242,21 @@
   zones_.add_member(machine.zone, -1);
   machine.gone = true;
   machine.fenced = true;
-  update_expected(machine);
+  update_heartbeat_expected(machine);
   update_unreconciled(machine);
   unresponsive_machines_.erase(machine.index);
-  const auto it = std::lower_bound(live_machines_.begin(), live_machines_.end(), machine.index);
-  if (it != live_machines_.end() && *it == machine.index)
-    live_machines_.erase(it);
+  const auto position = std::lower_bound(live_machines_.begin(), live_machines_.end(), machine.index);
+  if (position != live_machines_.end() && *position == machine.index)
+    live_machines_.erase(position);
   if (machine.in_inventory)
     state_writer_.remove_machine(machine.index);
   machine.in_inventory = false;
   events_.on_machine_gone(machine);
 }
 
-void WorkerManager::touch_image(Machine& machine, ImageIndex image) {
+// Records that the machine has the image in its cache and uses it now, and predicts which images the worker
+// evicts for it.
+void WorkerManager::record_image_use(Machine& machine, ImageIndex image) {
   for (auto& cached_image : machine.images) {
     if (cached_image.first == image) {
       cached_image.second = out_.now();
@@ -261,8 +265,8 @@
   }
   machine.images.emplace_back(image, out_.now());
   mark_changed(machine);
-  // The worker evicts the least recently used. Image sizes come with the jobs; a wrong estimate costs a
-  // fetch.
+  // The worker evicts the least recently used images. Image sizes come from the job specifications; a wrong
+  // prediction costs one fetch of an image.
   double cached_gb = 0;
   for (const auto& cached_image : machine.images)
     cached_gb += registry_.image_gb(cached_image.first);
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -1,10 +1,11 @@
-/// \file
-/// The workers as the leader knows them: their incarnations and leases, the tasks on them, and the commands
-/// under way to them.
+/// @file
+/// The leader's records of all workers: their incarnations and leases, the tasks on them, and the commands in
+/// flight to them.
 ///
-/// The implementation is split by topic: worker_manager.cpp (the table of machines), heartbeats.cpp (what
-/// workers report), allocations.cpp (placements and stray instances), commands.cpp (commands and their
-/// replies), deadlines.cpp (leases, probes, resending) and reconciliation.cpp (fencing after a take-over).
+/// The implementation is split by topic: worker_manager.cpp (the table of machines), heartbeats.cpp
+/// (processing of heartbeats), allocations.cpp (placements and stray instances), commands.cpp (commands and
+/// their replies), deadlines.cpp (leases, probes, resending) and reconciliation.cpp (fencing after a
+/// failover).
 #pragma once
 
 #include <deque>
@@ -40,29 +41,33 @@
 using jobs::TeamIndex;
 using jobs::ZoneIndex;
 
-/// The leader's view of all workers. It exists for as long as the process; everything in it that belongs to a
-/// leadership is dropped at its end. References to machines stay valid until then.
+/// Tracks all workers while this controller leads. The object lives as long as the process; end_leadership()
+/// discards the machines and everything else that was learned during the leadership, and invalidates
+/// references to machines. All times are seconds of this controller's clock.
 class WorkerManager {
  public:
-  /// Called on changes. The callbacks may call back into the manager, and may end the leadership.
+  /// Callbacks on changes. They may call back into the manager, and may end the leadership.
   struct Events {
-    std::function<void(Machine&)> on_available;       ///< The machine can take tasks.
-    std::function<void(Machine&)> on_capacity_freed;  ///< An allocation on it has ended.
-    std::function<void(Machine&)> on_machine_gone;    ///< The machine is gone, with all that was on it.
-    /// A task has ended; the allocation's `cause` says how. The allocation is valid during the call only.
+    /// The machine may have begun to accept tasks: its worker is up, its inventory record is persisted, or it
+    /// has been fenced.
+    std::function<void(Machine&)> on_available;
+    std::function<void(Machine&)> on_capacity_freed;  ///< An allocation on the machine has ended.
+    std::function<void(Machine&)> on_machine_gone;    ///< The machine and all its allocations are gone.
+    /// A task has ended; the allocation's `cause` is its exit cause. The allocation is valid only during the
+    /// call.
     std::function<void(Machine&, const Allocation&)> on_task_exited;
     std::function<void()> on_superseded;  ///< A worker has seen a higher fencing token.
   };
-  /// The current leadership, as far as workers are concerned.
+  /// What the manager needs to know of the current leadership.
   struct LeadershipView {
     std::function<std::uint64_t()> fencing_token;
-    /// When this node's own authority ends, unless it is renewed.
+    /// When this controller's leader lease expires unless it is renewed.
     std::function<Seconds()> lease_expires_at;
-    /// When a worker's lease certainly ends that this node renewed until the given time: other nodes may have
-    /// renewed it since, by delegation.
+    /// When a worker's lease has certainly expired, given the latest expiry that this controller granted.
+    /// Later than that if other controllers may have renewed the lease by delegation.
     std::function<Seconds(Seconds)> worker_lease_expiry;
-    /// Whether attempts are to state that under this leadership a cancellation is reported to users only once
-    /// the job's tasks are gone.
+    /// Whether new attempts are marked with delegation::kStrictCancellationFlag: under such a leadership a
+    /// cancellation is reported to users only once the job's tasks are gone.
     std::function<bool()> strict_cancellations;
   };
   using UnreconciledGroup = workers::UnreconciledGroup;
@@ -72,84 +77,91 @@
 
   // ---- leadership
 
+  /// Starts a leadership without any machines.
   void begin_leadership();
+  /// Discards all machines and commands, and ignores replies that arrive later.
   void end_leadership();
   /// Sets or updates the capacities of machine types.
   void set_catalog(const std::vector<wire::MachineType>& catalog);
 
   // ---- the table of machines
 
-  /// Adds a machine that an earlier leader recorded in the inventory. It may run tasks of that leader.
+  /// Adds a machine from the machine inventory of an earlier leader. It may run tasks of that leader, so it
+  /// starts out unfenced and unreconciled.
   Machine& add_from_inventory(const wire::Value& record);
-  /// Adds a machine that no leader has sent commands to; returns the known one if there is one of the name.
+  /// Adds a machine to which no leader has sent commands yet, or returns the known machine of that name.
   Machine& add_machine(const std::string& host, const std::string& address, const std::string& type,
                        const std::string& zone, bool spot);
-  /// The machine of that name, gone or not; null if it is not known.
+  /// The machine of that name, including machines that are gone; null if it is not known.
   Machine* find(const std::string& host);
   Machine& machine_at(MachineIndex index) {
     return machines_[index];
   }
-  /// All machines of this leadership, gone ones included, by index.
+  /// All machines known under this leadership, by index, including machines that are gone.
   const std::deque<Machine>& machines() const {
     return machines_;
   }
-  /// The machines that are not gone, in the order of their index.
+  /// The machines that are not gone, in ascending order of their index.
   const std::vector<MachineIndex>& live_machines() const {
     return live_machines_;
   }
-  /// Machines that should send heartbeats and have not for too long.
+  /// The machines from which heartbeats are expected and that have been without contact for too long.
   const std::set<MachineIndex>& unresponsive_machines() const {
     return unresponsive_machines_;
   }
-  /// The machine has been returned or preempted: ends its incarnation and removes it from the inventory.
+  /// Handles the return or preemption of the machine: ends its incarnation and removes it from the machine
+  /// inventory.
   void mark_gone(Machine& machine);
-  /// The machine's record in the persisted inventory.
+  /// Builds the machine's record for the machine inventory.
   wire::Value inventory_record(MachineIndex index) const;
-  /// That record has been written.
+  /// Called when the machine's inventory record has been persisted; from then on it may accept tasks.
   void on_inventory_written(MachineIndex index);
 
   // ---- heartbeats
 
-  /// Whether the reply to a heartbeat may hold commands. A leader past its authority replies without any.
+  /// Whether the reply to a heartbeat may contain commands. A leader whose lease has expired sends none.
   enum class CommandsInReply : std::uint8_t { allowed, withheld };
-  /// Takes in a heartbeat. Returns the reply's body, or nothing if the heartbeat must not be answered: the
-  /// leadership is over, the machine is gone, or the heartbeat is of an incarnation that is over.
-  std::optional<wire::Value> handle_heartbeat(const wire::Heartbeat& report,
+  /// Processes a heartbeat. Returns the body of the reply, or nothing if the heartbeat must not be answered:
+  /// the leadership is over, the machine is gone, or the heartbeat belongs to an incarnation that is over.
+  std::optional<wire::Value> handle_heartbeat(const wire::Heartbeat& heartbeat,
                                               CommandsInReply commands_in_reply = CommandsInReply::allowed);
 
   // ---- tasks
 
-  /// Places the task on the machine, and queues its start.
+  /// Places the task on the machine and queues its start. Always returns true.
   bool start_task(Machine& machine, jobs::Job& job, std::uint32_t task);
-  /// Queues a stop, unless one with as short a grace period has been requested already.
+  /// Queues a stop, unless one with the same or a shorter grace period has been requested already.
   void stop_task(Machine& machine, Allocation& allocation, double grace_s);
-  /// Reserves resources on the machine for a task that moves there (sign 1), or releases them (-1).
+  /// Reserves resources on the machine for a task that migrates to it (sign 1), or releases them (-1).
   void reserve_resources(Machine& machine, const wire::Resources& need, double sign);
-  /// Stops all instances of the job's tasks at once, stray ones included.
+  /// Stops all instances of the job's tasks without a grace period, including stray instances.
   void cancel_job(jobs::Job& job);
-  /// The ends of these tasks are persisted, so their workers need not report them any longer.
+  /// Called when the completions of these tasks have been persisted. Their workers receive an acknowledgement
+  /// and then stop listing the tasks in their heartbeats.
   void acknowledge_ends(const std::vector<jobs::StateWriter::CompletedTask>& ended);
-  /// What the team's allocations use.
+  /// The resources that the team's allocations occupy.
   const wire::Resources& team_usage(TeamIndex team) const {
     return team_usage_[team];
   }
 
   // ---- placement
 
-  /// Whether the machine takes new tasks now.
+  /// Whether the machine accepts new tasks now.
   bool accepts_tasks(const Machine& machine) const;
-  /// The machine gets no new tasks before that time.
+  /// Places no new tasks on the machine before that time.
   void avoid_until(Machine& machine, Seconds until);
-  /// Something has changed that decides whether, or which, tasks the machine takes.
+  /// Marks the machine's entry in the placement index as stale. To be called after every change to the
+  /// machine's free capacity, cached images or ability to accept tasks.
   void mark_changed(Machine& machine);
-  /// The index of the machines that take tasks, brought up to date.
+  /// Updates the stale entries and returns the index of the machines that accept tasks.
   const PlacementIndex& placement_index();
 
-  // ---- progress
+  // ---- periodic work
 
-  /// Sends queued commands and probes, as far as the limit on concurrent calls allows.
+  /// Sends queued commands and probes, up to the limit on concurrent calls.
   void flush_commands();
-  /// Does what is due by now: checks leases, probes machines whose heartbeats are late, resends commands.
+  /// Performs the checks that are due: ends expired leases, probes machines whose heartbeats are late, and
+  /// resends unconfirmed commands.
   void tick();
 
   // ---- liveness
@@ -157,11 +169,12 @@
   const zones::ZoneTracker& zones() const {
     return zones_;
   }
-  /// When every lease of a zone out of reach has certainly expired, if there is no contact before.
+  /// When every worker lease in an unreachable zone has certainly expired, if there is no contact before.
   Seconds zone_leases_expire_at(ZoneIndex zone) const {
     return leadership_.worker_lease_expiry(worker_lease_expiry(zones_.last_contact_at(zone)));
   }
-  /// Whether nothing is heard of the machine while other machines of its zone are heard.
+  /// Whether the machine does not respond although there is contact with other machines of its zone, so that
+  /// the machine itself has failed and not the network to the zone.
   bool lost_alone(const Machine& machine) const {
     return zones_.machine_lost_alone(machine.zone, machine.address.empty()
                                                        ? machine.last_contact_at + unresponsive_threshold()
@@ -170,25 +183,25 @@
   Seconds time_since_contact(const Machine& machine) const {
     return out_.now() - machine.last_contact_at;
   }
-  /// A machine without contact for longer than this is unresponsive.
+  /// A machine without contact for longer than this, in s, is unresponsive.
   Seconds unresponsive_threshold() const {
     return settings_.tunables.silent_heartbeats * settings_.heartbeat_interval_s;
   }
 
-  // ---- reconciliation: what an earlier leader may have left
+  // ---- reconciliation: tasks that an earlier leader may have started
 
-  /// Whether every task that an earlier leader may have started is known.
+  /// Whether every task that an earlier leader may have started is known, on every machine.
   bool reconciled() const {
     return unreconciled_.empty();
   }
   const std::vector<UnreconciledGroup>& unreconciled_groups() const {
     return unreconciled_.groups();
   }
-  /// The most that unknown tasks can use; none if not even that is known.
+  /// The upper limit of the resources that unknown tasks can use; none if that limit is not known either.
   std::optional<wire::Resources> unreconciled_resources() const {
     return unreconciled_.resources();
   }
-  /// Seconds from the take-over until all machines were reconciled; 0: not yet.
+  /// Seconds from the failover until all machines were reconciled; 0 if they are not yet.
   Seconds reconciled_after() const {
     return unreconciled_.reconciled_after();
   }
@@ -196,21 +209,22 @@
   bool has_stray_instance(const std::string& job_ref) const {
     return strays_.contains(job_ref);
   }
-  /// Whether there is a stray instance of the task.
+  /// Whether there is a stray instance of this task.
   bool has_stray_instance(const std::string& job_ref, std::uint32_t task) const {
     return strays_.contains(job_ref, task);
   }
-  /// Places each pending task of the job that has a stray instance where that is. For jobs whose record is
-  /// read only now; no pending task of any other job has a stray instance.
+  /// Places each pending task of the job that has a stray instance on the machine with that instance. Needed
+  /// only for a job whose record is read after heartbeats have listed its tasks: for all other jobs a stray
+  /// instance is adopted as soon as its task becomes pending.
   void adopt_stray_instances(jobs::Job& job);
 
   // ---- statistics
 
-  /// How often a spot machine is preempted, per second of its time, as observed so far.
+  /// Estimated preemptions per second of a spot machine's uptime.
   double spot_preemption_rate() const {
     return spot_preemption_rate_.per_second();
   }
-  /// That much time has passed for every spot machine that is up.
+  /// Adds that much uptime to the estimate for every spot machine that is up.
   void observe_spot_time(Seconds elapsed);
   std::uint64_t commands_sent() const {
     return commands_sent_;
@@ -226,22 +240,23 @@
   }
 
  private:
-  /// A heartbeat that the worker sent by itself, or the one in its reply to a direct command. Only the former
-  /// shows that it has acted on the reply to the heartbeat before, or never will.
+  /// Whether a worker sent the heartbeat on its own, or as part of its reply to a direct call. Only a
+  /// heartbeat sent on its own proves that the worker has acted on the reply to its previous heartbeat or
+  /// never will.
   enum class HeartbeatSource : std::uint8_t { worker, command_reply };
 
   // ---- worker_manager.cpp
   void add_to_inventory(Machine& machine);
-  void touch_image(Machine& machine, ImageIndex image);
+  void record_image_use(Machine& machine, ImageIndex image);
   bool lease_near_expiry(const Machine& machine) const;
-  /// When a worker's lease has certainly expired that was granted or renewed at `from` at the latest.
-  Seconds worker_lease_expiry(Seconds from) const;
+  /// When a worker's lease that was last renewed at `renewed_at` or earlier has certainly expired.
+  Seconds worker_lease_expiry(Seconds renewed_at) const;
 
   // ---- heartbeats.cpp
-  static bool is_newer(const Machine& machine, const wire::Heartbeat& report);
-  void apply_heartbeat(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source);
-  void note_contact(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source);
-  bool reconcile_tasks(Machine& machine, const wire::Heartbeat& report, HeartbeatSource source);
+  static bool is_newer(const Machine& machine, const wire::Heartbeat& heartbeat);
+  void apply_heartbeat(Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatSource source);
+  void record_contact(Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatSource source);
+  bool reconcile_tasks(Machine& machine, const wire::Heartbeat& heartbeat, HeartbeatSource source);
   static std::optional<std::size_t> find_allocation(const Machine& machine, const wire::TaskStatus& status,
                                                     std::size_t known, std::size_t hint);
   void update_idle_since(Machine& machine);
@@ -253,7 +268,7 @@
   void add_stray(Machine& machine, const Allocation& allocation);
   void remove_stray(Machine& machine, const Allocation& allocation);
   void stop_strays(const std::string& job_ref, std::optional<std::uint32_t> task = std::nullopt);
-  Allocation* stray_on(MachineIndex machine, const std::string& job_ref, std::uint32_t task);
+  Allocation* find_stray(MachineIndex machine, const std::string& job_ref, std::uint32_t task);
   bool placement_uncertain(const jobs::Task& task) const;
   bool adopt_stray_instance(jobs::Job& job, std::uint32_t task);
   void unplace_task(jobs::Job& job, std::uint32_t task, const Machine& machine);
@@ -281,15 +296,15 @@
   bool has_commands(const Machine& machine) const;
 
   // ---- deadlines.cpp
-  void update_expected(Machine& machine);
-  void probe_returned_zone(ZoneIndex zone);
+  void update_heartbeat_expected(Machine& machine);
+  void probe_recovering_zone(ZoneIndex zone);
   void schedule_check(Machine& machine, Seconds at);
   void check_machine(Machine& machine);
   void check_lease(Machine& machine);
   void probe_unreachable_zone(Machine& machine);
   void resend_commands(Machine& machine);
   bool may_probe(const Machine& machine) const;
-  void suspect_if_unresponsive(Machine& machine);
+  void mark_if_unresponsive(Machine& machine);
   void probe_if_late(Machine& machine);
   void start_liveness_sweep();
   void continue_liveness_sweep();
@@ -298,9 +313,10 @@
   void mark_fenced(Machine& machine);
   void update_unreconciled(Machine& machine);
 
-  /// Until a command without a reply is sent again.
+  /// After this time a command that the worker has not confirmed is sent again.
   static constexpr Seconds kResendInterval = 1.0;
-  /// A heartbeat is late after this many intervals; a worker's timer may be late by a quarter of one.
+  /// A heartbeat is late after this many heartbeat intervals. A worker's timer may be late by a quarter of an
+  /// interval.
   static constexpr double kLateHeartbeatFactor = 1.3;
 
   ports::Outbox& out_;
@@ -310,32 +326,32 @@
   LeadershipView leadership_;
   Events events_;
 
-  bool active_ = false;     // whether this node leads
-  std::uint64_t term_ = 0;  // counts leaderships: callbacks of an earlier one are recognized by it
-  Seconds inherited_leases_end_at_ = 0;  // when all leases that earlier leaders granted have expired
+  bool active_ = false;                  // whether this controller leads
+  std::uint64_t term_ = 0;               // counts leaderships; callbacks of an earlier term are ignored
+  Seconds inherited_leases_end_at_ = 0;  // when all worker leases that earlier leaders granted have expired
   std::uint64_t attempt_counter_ = 0;
 
-  std::vector<wire::MachineType> catalog_;  // by type index; name empty: unknown
-  std::deque<Machine> machines_;            // references stay valid as it grows
+  std::vector<wire::MachineType> catalog_;  // by type index; the name of an unknown type is empty
+  std::deque<Machine> machines_;            // a deque, so that references stay valid as it grows
   std::vector<MachineIndex> live_machines_;
   std::set<MachineIndex> unresponsive_machines_;
   std::unordered_map<std::string, MachineIndex> by_host_;
   PlacementIndex placement_index_;
-  std::vector<MachineIndex> index_stale_;  // machines that have changed since the index was updated
+  std::vector<MachineIndex> stale_index_entries_;  // machines that changed since the index was updated
 
-  std::vector<Allocation> ended_allocations_;  // by the heartbeat that is being taken in
-  std::vector<wire::Resources> team_usage_;
+  std::vector<Allocation> ended_allocations_;  // ended by the heartbeat that is being processed
+  std::vector<wire::Resources> team_usage_;    // by team index
   StrayInstances strays_;
   UnreconciledMachines unreconciled_;
 
   zones::ZoneTracker zones_;
-  std::vector<Seconds> zone_probe_at_;  // by zone out of reach: when to probe one of its machines again
+  std::vector<Seconds> zone_probe_at_;  // by zone index: earliest time of the next probe while unreachable
   CheckSchedule checks_;
   LivenessSweep liveness_sweep_;
   SpotPreemptionRate spot_preemption_rate_;
 
-  std::deque<MachineIndex> command_queue_;  // fenced machines to be called
-  std::deque<MachineIndex> token_queue_;    // machines to be fenced; served after the others
+  std::deque<MachineIndex> command_queue_;  // fenced machines with commands to send
+  std::deque<MachineIndex> fencing_queue_;  // machines to be fenced; served after command_queue_
   int calls_in_flight_ = 0;
 
   std::uint64_t commands_sent_ = 0;
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -62,7 +62,7 @@
   cp "$work/pristine/$2" "$file"
 }
 
-mutant "fenced before the heartbeat is read" workers/heartbeats.cpp 's/std::vector<bool> listed\(/if (report.fencing_token == leadership_.fencing_token()) mark_fenced(machine);\n  std::vector<bool> listed(/'
+mutant "fenced before the heartbeat is read" workers/heartbeats.cpp 's/std::vector<bool> listed\(/if (heartbeat.fencing_token == leadership_.fencing_token()) mark_fenced(machine);\n  std::vector<bool> listed(/'
 mutant "no waiting after a failover" workers/unreconciled_machines.hpp 's/return count_ == 0;/return true;/'
 mutant "half the lease is enough" workers/worker_manager.cpp 's/settings_\.worker_lease_s \* \(1 \+ kMaxClockDrift\) \+ kWorkerTimerMargin/settings_.worker_lease_s * 0.5/'
 mutant "a leader acts past its lease" leadership/leader_election.cpp 's/return sent \+ settings_\.tunables\.leader_lease_s/return sent + 8 * settings_.tunables.leader_lease_s/'
@@ -79,7 +79,7 @@
 mutant "unknown to the leader is 404" controller/job_queries.cpp 's/    return answer_fresh\(origin, ref, ReplyDetail::progress\);/    return with_.responder.respond(origin, 404);/'
 mutant "done one task early" controller/leadership.cpp 's/job\.done_tasks < job\.spec\.tasks\)/job.done_tasks + 1 < job.spec.tasks)/'
 mutant "cancelled tasks are left alone" controller/job_cancellation.cpp 's/with_\.workers\.cancel_job\(job\);//'
-mutant "older heartbeats are taken for new" workers/heartbeats.cpp 's/if \(machine\.has_incarnation && report\.incarnation == machine\.incarnation &&\s+report\.sequence <= machine\.sequence\)/if (false)/; s/  if \(!is_newer\(machine, report\)\)\n    return std::nullopt;\n//'
+mutant "older heartbeats are taken for new" workers/heartbeats.cpp 's/if \(machine\.has_incarnation && heartbeat\.incarnation == machine\.incarnation &&\s+heartbeat\.sequence <= machine\.sequence\)/if (false)/; s/  if \(!is_newer\(machine, heartbeat\)\)\n    return std::nullopt;\n//'
 mutant "names of rental requests are used again" autoscaling/rental_requests.cpp 's/"r-" \+ std::to_string\(leadership_\.fencing_token\(\)\) \+ "-" \+/"r-" +/'
 mutant "absent is taken for done" jobs/dependency_graph.cpp 's/if \(!known && !dependency\)\s+unknown_\.push_back\(ref\);/if (!known \&\& !dependency) continue;/'
 mutant "one dependency is enough" jobs/dependency_graph.cpp 's/if \(!job->is_held\(\) && job->is_open\(\)\)\s+ready_/if (job->unmet_dependencies = 0; job->is_open()) ready_/'
@@ -170,7 +170,7 @@
 mutant "strays: none is stopped once the placement is certain" workers/reconciliation.cpp 's/stop_strays\(job->spec\.ref, allocation\.task\);/(void)0;/'
 mutant "strays: a cancellation leaves them alone" workers/commands.cpp 's/  stop_strays\(job\.spec\.ref\);\n//'
 mutant "strays: zones go by the placed tasks alone" filters/reconciled_filter.cpp 's/if \(\(job\.spec\.same_zone \|\| job\.spec\.spread_zones\)/if (false/'
-mutant "heartbeats: an incarnation that is over is believed" workers/heartbeats.cpp 's/if \(!machine\.has_incarnation && machine\.incarnation > 0\)\s+return report\.incarnation > machine\.incarnation;/if (!machine.has_incarnation) return true;/'
+mutant "heartbeats: an incarnation that is over is believed" workers/heartbeats.cpp 's/if \(!machine\.has_incarnation && machine\.incarnation > 0\)\s+return heartbeat\.incarnation > machine\.incarnation;/if (!machine.has_incarnation) return true;/'
 mutant "backlog: kinds of records have a fixed order" jobs/write_shares.cpp 's/start\(kind\) < start\(\*first\)/false/'
 mutant "backlog: the newest cancellation first" jobs/final_state_queue.cpp 's/job\.record_order = decided_at;/job.record_order = kind == RecordKind::cancelled ? -decided_at : decided_at;/'
 mutant "backlog: a leader that can write has recorded all" controller/controller.cpp 's/out_\.now\(\) - std::max\(0\.0, f\.final_state_lag_s\)/out_.now()/'
