--- a/src/filters/cell_filter.hpp
+++ b/src/filters/cell_filter.hpp
@@ -1,5 +1,6 @@
-/// \file
-/// The filter that gives a cell's own work precedence over work that other cells have offloaded to it.
+/// @file
+/// The filter that gives jobs submitted in this cell precedence over foreign jobs, which other cells have
+/// offloaded to this cell.
 #pragma once
 
 #include <vector>
@@ -9,8 +10,9 @@
 namespace wingtrail::filters {
 
 /// Refuses a job that is selected to be offloaded to another cell, since a job that has begun cannot be
-/// offloaded. Refuses a job that another cell offloaded to this one while own work of the same team waits: it
-/// counts within the team's quota here and must not delay the team's own jobs.
+/// offloaded. Also refuses a foreign job (offloaded to this cell by another one) while a job that the same
+/// team submitted here waits: foreign jobs count against the team's quota in this cell and must not delay
+/// the jobs submitted here.
 class CellFilter : public Filter {
  public:
   std::string_view name() const override {
@@ -18,9 +20,9 @@
   }
   bool admits(const Job& job) const override;
 
-  /// Forgets which teams have own work waiting; called at the beginning of each scheduling pass.
+  /// Begins a scheduling pass, in which no job is known to wait yet.
   void begin_pass();
-  /// Records in the current pass that own work of the team waits.
+  /// Records that a job that the team submitted in this cell waits in the current pass.
   void note_own_work_waiting(TeamIndex team);
 
  private:
--- a/src/filters/failure_filter.hpp
+++ b/src/filters/failure_filter.hpp
@@ -1,14 +1,14 @@
-/// \file
-/// The filter that delays and diverts the restart of tasks that failed.
+/// @file
+/// The filter that delays the restart of failed tasks and keeps them off the machines on which they failed.
 #pragma once
 
 #include "filters/filter.hpp"
 
 namespace wingtrail::filters {
 
-/// Refuses a job while the back-off after its last failure lasts, and any machine on which it has failed
-/// before: a fault of the job must not occupy the cluster with restarts, and a fault of the machine must not
-/// fail the job again.
+/// Refuses a job until the back-off after its last failure is over, so that a fault of the job does not
+/// occupy the cluster with restarts. Refuses the machines on which the job has failed before, so that a
+/// fault of a machine does not fail the job again.
 class FailureFilter : public Filter {
  public:
   explicit FailureFilter(const ports::Outbox& out) : out_(out) {}
--- a/src/filters/filter.hpp
+++ b/src/filters/filter.hpp
@@ -1,5 +1,6 @@
-/// \file
-/// The interface of the filters: each filter is one rule that may prevent the placement of a pending task.
+/// @file
+/// The interface of placement filters. Each filter is one rule that may prevent the placement of
+/// a pending task.
 #pragma once
 
 #include <string_view>
@@ -25,11 +26,11 @@
   Filter& operator=(const Filter&) = delete;
   virtual ~Filter() = default;
 
-  /// The filter's name: one word, the value of a metric label and the reason that operators see for a job
-  /// that waits.
+  /// The filter's name, one word. It is the value of a metric label, and the reason that operators see for
+  /// a waiting job.
   virtual std::string_view name() const = 0;
 
-  /// Whether the job's next task may start at all, on whichever machine.
+  /// Whether the job's next task may start at all, regardless of the machine.
   virtual bool admits(const Job& /*job*/) const {
     return true;
   }
--- a/src/filters/filter_chain.hpp
+++ b/src/filters/filter_chain.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// The chain of all filters that a task has to pass before it is placed.
+/// @file
+/// The chain of all filters that must admit a task before it is placed.
 #pragma once
 
 #include <functional>
@@ -16,25 +16,27 @@
 
 namespace wingtrail::filters {
 
-/// All filters, the cheapest first. The first one that refuses a job is the reason why the job waits, for the
-/// scheduler and for operators alike.
+/// All filters, ordered by the cost of their checks, the cheapest first. The first filter that refuses a job
+/// is reported to operators as the reason why the job waits.
 class FilterChain {
  public:
-  /// `fencing_token` returns the token of the current leadership. The references must outlive the chain.
+  /// @param fencing_token returns the token of the current leadership
+  /// All references must outlive the chain.
   FilterChain(const ports::Outbox& out, const settings::Settings& settings,
               const workers::WorkerManager& workers, const balancing::LoadSnapshot& load,
               std::function<std::uint64_t()> fencing_token);
 
-  /// Whether the job's next task may start on some machine, if one has the resources.
+  /// Whether no filter refuses the job's next task regardless of the machine. Whether it may start on a
+  /// certain machine is decided by the overload with a machine.
   bool admits(const Job& job) const {
     return !first_refusal(job);
   }
   /// Whether the job's next task may start on this machine, given that `admits(job)` holds.
   bool admits(const Machine& machine, const Job& job) const;
-  /// The first filter that refuses the job on every machine; null if none does.
+  /// The first filter that refuses the job regardless of the machine; null if there is none.
   const Filter* first_refusal(const Job& job) const;
-  /// Why the job waits: the name of the first filter that refuses it, of the quota filter, or "room" if it
-  /// waits for free resources only.
+  /// Why the job waits: the name of the first filter that refuses it, or the name of the quota filter if the
+  /// team's quota is used up, or "room" if the job only waits for free capacity.
   std::string_view waiting_reason(const Job& job) const;
 
   const ReconciledFilter& reconciled() const {
@@ -49,7 +51,7 @@
   const QuotaFilter& quota() const {
     return *quota_;
   }
-  /// All filters in their order, for the metrics.
+  /// All filters in the order of the chain, for metrics.
   const std::vector<std::unique_ptr<Filter>>& filters() const {
     return filters_;
   }
@@ -65,7 +67,7 @@
   }
 
   std::vector<std::unique_ptr<Filter>> filters_;
-  // Members of filters_ that others need by their own type.
+  // Filters in filters_ that the accessors above return by their concrete type.
   const ReconciledFilter* reconciled_ = nullptr;
   const ZoneFilter* zones_ = nullptr;
   CellFilter* cells_ = nullptr;
--- a/src/filters/quota_filter.cpp
+++ b/src/filters/quota_filter.cpp
@@ -6,15 +6,15 @@
 
 namespace wingtrail::filters {
 namespace {
-constexpr double kRoundingTolerance = 1e-6;      // cores or GPUs
-constexpr Seconds kTaskEndDelay = 3;             // until a task that ends has freed its resources here
-constexpr double kMaxServiceReservation = 0.05;  // share of the team's quota
+constexpr double kRoundingTolerance = 1e-6;      // in cores or GPUs
+constexpr Seconds kTaskEndDelay = 3;             // from a task's end until its resources are released here
+constexpr double kMaxServiceReservation = 0.05;  // as a share of the team's quota
 }  // namespace
 
-// The cores of the team's quota that are reserved for services, from the point of view of this job. A service
-// that is submitted while its team's job arrays use the whole quota would wait for one of their tasks to end
-// and then fetch its image wherever that is. So job arrays leave as much as services are expected to need
-// until tasks have ended for them.
+// Returns how many cores of the team's quota this job must leave to services; 0 for a service. A service that
+// is submitted while its team's job arrays use the whole quota would wait for one of their tasks to end, and
+// then for its image to be fetched on that task's machine. So job arrays leave as many cores as new services
+// are expected to need within kTaskEndDelay; after that time, ending tasks have released cores for them.
 double QuotaFilter::reserved_for_services(const Job& job) const {
   if (!settings_.tunables.load_balancing || job.is_service())
     return 0;
@@ -26,8 +26,8 @@
   const settings::Team& team = settings_.teams[job.team];
   if (team.cpus_max <= 0 && team.gpus_max <= 0)
     return true;
-  // Until every machine is reconciled, an earlier leader's tasks may use quota that is not known here: at
-  // most all that these machines have.
+  // Until every machine is reconciled, unknown tasks of an earlier leader may count against the quota, with
+  // at most the capacity of the machines that are not reconciled.
   const auto unknown = workers_.unreconciled_resources();
   if (!unknown)
     return false;
--- a/src/filters/quota_filter.hpp
+++ b/src/filters/quota_filter.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The filter for the teams' quotas.
 #pragma once
 
@@ -9,9 +9,9 @@
 
 namespace wingtrail::filters {
 
-/// Refuses a task that would take its team beyond its quota of CPUs or GPUs. Resources that tasks of an
-/// earlier leader may still use on machines that are not reconciled count at their maximum, against every
-/// team; while not even that maximum is known, teams with a quota start nothing.
+/// Refuses a task that would exceed its team's quota of CPUs or GPUs. Tasks of an earlier leader on machines
+/// that are not reconciled may belong to any team, so the whole capacity of these machines counts against
+/// every team. While that capacity is not known, no task of a team with a quota starts.
 class QuotaFilter : public Filter {
  public:
   QuotaFilter(const ports::Outbox& out, const settings::Settings& settings,
@@ -23,7 +23,7 @@
   bool admits(const Machine& /*machine*/, const Job& job) const override {
     return admits_tasks(job, 1);
   }
-  /// Whether the team's quota allows that many more tasks of the job at once.
+  /// Whether the team's quota allows `tasks` more tasks of the job to run at the same time.
   bool admits_tasks(const Job& job, double tasks) const;
 
  private:
--- a/src/filters/reconciled_filter.cpp
+++ b/src/filters/reconciled_filter.cpp
@@ -12,15 +12,16 @@
     : workers_(workers), fencing_token_(std::move(fencing_token)) {}
 
 bool ReconciledFilter::admits(const Job& job) const {
-  // WorkerManager adopts a stray instance as soon as its task is pending, so there should be none here. If
-  // there is one all the same, the task must not start beside it.
+  // WorkerManager adopts a stray instance as soon as its task becomes pending, so a pending task should have
+  // none. If it has one nevertheless, the task must not be started a second time.
   if (!job.pending_tasks.empty() && workers_.has_stray_instance(job.spec.ref, job.pending_tasks.back()))
     return false;
-  // The zones of the placed tasks decide in which zone the next one may start. While there is a stray
-  // instance, it is not certain which of the two machines really runs the task, hence not in which zone.
+  // The zones of the placed tasks decide in which zone the next task may start. While a task has a stray
+  // instance, it is not certain which of the two machines runs it, and so in which zone.
   if ((job.spec.same_zone || job.spec.spread_zones) && workers_.has_stray_instance(job.spec.ref))
     return false;
-  // Jobs that were created under this leadership cannot have been started by an earlier one.
+  // A job that was created under this leadership cannot have been started by an earlier leader. Fencing
+  // tokens are revisions of the state service, so a later creation revision is higher.
   if (job.created_revision > fencing_token_() || workers_.reconciled())
     return true;
   return std::none_of(workers_.unreconciled_groups().begin(), workers_.unreconciled_groups().end(),
--- a/src/filters/reconciled_filter.hpp
+++ b/src/filters/reconciled_filter.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The filter that prevents a second start of tasks that an earlier leader may have started.
 #pragma once
 
@@ -10,11 +10,12 @@
 
 namespace wingtrail::filters {
 
-/// Refuses a job that an earlier leader may have started where this leader has not reconciled yet: as long as
-/// a machine that the job allows is not fenced, or a stray instance of the task is known.
+/// Refuses a job whose next task may already run unknown to this leader: the job was created under an
+/// earlier leader and may be placed on a machine that is not fenced yet, or there is a stray instance of the
+/// task. Also refuses a job with rules on zones while any of its tasks has a stray instance.
 class ReconciledFilter : public Filter {
  public:
-  /// `fencing_token` returns the token of the current leadership.
+  /// @param fencing_token returns the token of the current leadership
   ReconciledFilter(const workers::WorkerManager& workers, std::function<std::uint64_t()> fencing_token);
   std::string_view name() const override {
     return "accounted";
--- a/src/workers/allocation.hpp
+++ b/src/workers/allocation.hpp
@@ -2,9 +2,9 @@
 /// A task on a machine, and the evidence that none of its start commands can still take effect.
 ///
 /// The leader sends commands to a worker by direct calls, or in the replies to the worker's heartbeats.
-/// Either message may be lost or delayed, so the worker may act on a start at any time until there is proof
-/// that it will not. Starting the task elsewhere before that could run it twice. The following counts as
-/// proof:
+/// Either message may be lost or delayed, so the worker may act on a start at any time until there is
+/// proof that it will not. Starting the task elsewhere before that could run it twice. The following
+/// counts as proof:
 ///  - Heartbeat: a worker has one heartbeat in flight at a time. When it sends the next one, it has acted on
 ///    the reply to the previous one, or never will. So the next heartbeat that the worker sends on its own
 ///    confirms or rules out a start that was sent in a reply. Elapsed time alone proves nothing: the worker
@@ -62,13 +62,12 @@
   bool start_call_in_flight = false;
   /// Until when the worker may receive a start of this attempt that was sent in the reply to a heartbeat.
   Seconds start_in_reply_until = 0;
-  /// A start of this attempt was sent in the reply to a heartbeat, and the worker has sent no heartbeat
-  /// since.
+  /// A start of this attempt was sent in the reply to a heartbeat. Reset by the worker's next heartbeat.
   bool start_in_reply_unconfirmed = false;
-  /// A direct call with a start of this attempt was delivered but not answered, so the start may still
-  /// arrive. The worker ignores it as long as it remembers the attempt. So the attempt must not be
-  /// acknowledged: by the worker protocol, a start that arrives after the command `reap` starts the attempt
-  /// again.
+  /// A direct call with a start of this attempt was delivered but not answered, so the start may
+  /// still arrive. The worker ignores it as long as it remembers the attempt. So the attempt must not
+  /// be acknowledged: by the worker protocol, a start that arrives after the command `reap` starts
+  /// the attempt again.
   bool late_start_possible = false;
 
   /// Whether the worker may be commanded to forget the exited task: its completion is persisted, or it ended
@@ -81,8 +80,8 @@
   bool belongs_to(const std::string& ref) const {
     return name.size() > ref.size() && name[ref.size()] == '/' && name.compare(0, ref.size(), ref) == 0;
   }
-  /// Whether the task ends as soon as its stop arrives. A start that follows the stop in the same message can
-  /// use the task's resources, so they count as free.
+  /// Whether the task ends as soon as its stop arrives. A start that follows the stop in the same message
+  /// can use the task's resources, so they count as free.
   bool stops_immediately() const {
     return stop_requested && grace_s == 0;
   }
--- a/src/workers/allocations.cpp
+++ b/src/workers/allocations.cpp
@@ -47,17 +47,17 @@
   }
 }
 
-// Called when the task is not on its machine any more. If another machine lists the task, it is placed there:
-// an outdated heartbeat that reached a new leader first may have placed the task on a machine that had it
-// before. If the task became pending instead, it would be started a second time while the other machine still
-// runs it.
+// Called when the task is not on its machine any more. If another machine lists the task, it is placed
+// there: an outdated heartbeat that reached a new leader first may have placed the task on a machine that
+// had it before. If the task became pending instead, it would be started a second time while the other
+// machine still runs it.
 void WorkerManager::unplace_task(jobs::Job& job, std::uint32_t task, const Machine& machine) {
   registry_.unplace_task(job, task, machine.zone);
   adopt_stray_instance(job, task);
 }
 
-// Places a pending task on a machine with a stray instance of it. Returns false if there is none or the job
-// is over.
+// Places a pending task on a machine with a stray instance of it. Returns false if there is none or the
+// job is over.
 bool WorkerManager::adopt_stray_instance(jobs::Job& job, std::uint32_t task) {
   const std::optional<MachineIndex> stray = strays_.machine_with(job.spec.ref, task);
   if (!stray || !job.is_open())
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -17,8 +17,8 @@
 constexpr Seconds kCommandTimeout = 2.0;
 // Shorter than kCommandTimeout: a fencing call starts no task, so a missing reply leaves nothing uncertain.
 constexpr Seconds kFencingTimeout = 1.0;
-// A call without a reply for this long is overdue: a worker replies within milliseconds, and a lost packet is
-// usually retransmitted sooner.
+// A call without a reply for this long is overdue: a worker replies within milliseconds, and a lost packet
+// is usually retransmitted sooner.
 constexpr Seconds kOverdueCallDelay = 0.75;
 // By the worker protocol, a worker stops waiting for the reply to its heartbeat after 4 s. The other 0.5 s
 // cover the drift and the timer steps of both clocks.
@@ -84,13 +84,13 @@
   stop_strays(job.spec.ref);
 }
 
-// Drops allocations that are to stop and whose start has certainly not reached the worker, so that no command
-// is needed for them.
+// Drops allocations that are to stop and whose start has certainly not reached the worker, so that no
+// command is needed for them.
 void WorkerManager::drop_unsent_starts(Machine& machine) {
   for (std::size_t i = machine.allocations.size(); i-- > 0;) {
     const Allocation& allocation = machine.allocations[i];
-    // Elapsed time alone does not prove that a start had no effect: the worker may have acted on the reply to
-    // its heartbeat and become unresponsive afterwards. Dropping such a task would let it run twice.
+    // Elapsed time alone does not prove that a start had no effect: the worker may have acted on the reply
+    // to its heartbeat and become unresponsive afterwards. Dropping such a task would let it run twice.
     if (allocation.stop_requested && allocation.certainly_not_started(out_.now()))
       drop_allocation(machine, i);
   }
@@ -238,9 +238,9 @@
   });
 }
 
-// Starts a liveness sweep if the call just sent is overdue although there is contact with the machine's zone.
-// Waiting for the call to time out would delay the sweep, as a call with commands has a longer timeout than a
-// probe.
+// Starts a liveness sweep if the call just sent is overdue although there is contact with the machine's
+// zone. Waiting for the call to time out would delay the sweep, as a call with commands has a longer timeout
+// than a probe.
 void WorkerManager::sweep_if_overdue(const Machine& machine) {
   const Seconds called_at = machine.delivery.last_call_at;
   out_.after(kOverdueCallDelay, [this, index = machine.index, term = term_, called_at] {
@@ -285,8 +285,8 @@
   }
 }
 
-// Processes a worker's reply to a direct call, which contains its heartbeat. Returns false if the leadership
-// is over.
+// Processes a worker's reply to a direct call, which contains its heartbeat. Returns false if the
+// leadership is over.
 bool WorkerManager::apply_commands_reply(Machine& machine, const ports::Reply& reply) {
   if (machine.unreachable)
     mark_changed(machine);
--- a/src/workers/deadlines.cpp
+++ b/src/workers/deadlines.cpp
@@ -28,8 +28,8 @@
   zones_.set_expected(machine.zone, expected ? 1 : -1);
 }
 
-// Called when the zone is reachable again: probes all its machines at once instead of waiting for their
-// heartbeats.
+// Called when the zone is reachable again: probes all its machines at once instead of waiting
+// for their heartbeats.
 void WorkerManager::probe_recovering_zone(ZoneIndex zone) {
   spdlog::info("workers: zone reachable again zone={}", registry_.zones[zone]);
   for (const MachineIndex index : live_machines_) {
@@ -53,8 +53,8 @@
 
 void WorkerManager::tick() {
   const Seconds now = out_.now();
-  // A leader whose own lease has expired must not judge the workers' leases: another leader may be renewing
-  // them.
+  // A leader whose own lease has expired must not judge the workers' leases: another leader may
+  // be renewing them.
   if (!active_ || now >= leadership_.lease_expires_at())
     return;
   while (Machine* machine = checks_.pop_due(machines_, now)) {
@@ -119,8 +119,8 @@
   const Seconds now = out_.now();
   if (now < machine.lease_expires_at || (!machine.has_incarnation && machine.fenced))
     return;
-  // Another controller may have renewed the lease by delegation. Only a report of that controller, or the end
-  // of its delegation, rules this out.
+  // Another controller may have renewed the lease by delegation. Only a report of that controller, or the
+  // end of its delegation, rules this out.
   if (now < leadership_.worker_lease_expiry(machine.lease_expires_at))
     return schedule_check(machine, now + kResendInterval);
   // No controller can have renewed the lease since, so the worker has killed all its tasks.
@@ -136,8 +136,8 @@
   update_unreconciled(machine);
 }
 
-// Probes one machine of an unreachable zone at a time. When one answers, probe_recovering_zone() probes them
-// all.
+// Probes one machine of an unreachable zone at a time. When one answers, probe_recovering_zone()
+// probes them all.
 void WorkerManager::probe_unreachable_zone(Machine& machine) {
   const Seconds now = out_.now();
   if (zone_probe_at_.size() <= machine.zone)
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -50,9 +50,9 @@
   add_to_inventory(machine);
   if (machine.unreachable)
     schedule_check(machine, out_.now());
-  // Until the worker has this leader's fencing token, an earlier leader's commands could still take effect.
-  // The reply carries the token; a direct call follows only if no heartbeat confirms it within
-  // kResendInterval.
+  // Until the worker has this leader's fencing token, an earlier leader's commands could still
+  // take effect. The reply carries the token; a direct call follows only if no heartbeat confirms
+  // it within kResendInterval.
   if (!machine.fenced) {
     machine.delivery.last_sent_at = out_.now();
     schedule_check(machine, out_.now() + kResendInterval);
@@ -67,8 +67,8 @@
 }
 
 // Whether the heartbeat is newer than the newest one received from the machine, by incarnation and sequence
-// number. A heartbeat of an incarnation that is over (its lease has expired, or a newer incarnation is known)
-// proves nothing and is never newer.
+// number. A heartbeat of an incarnation that is over (its lease has expired, or a newer incarnation is
+// known) proves nothing and is never newer.
 bool WorkerManager::is_newer(const Machine& machine, const wire::Heartbeat& heartbeat) {
   if (!machine.has_incarnation && machine.incarnation > 0)
     return heartbeat.incarnation > machine.incarnation;
@@ -106,8 +106,8 @@
   if (source == HeartbeatSource::command_reply && heartbeat.incarnation != machine.incarnation)
     machine.last_heartbeat_at = kNeverContacted;
   // An incarnation that is first seen now began before this message, and none of its heartbeats has been
-  // answered after it, so its lease has certainly expired at the time computed here. With the lease expiry of
-  // the previous incarnation, the new one would be declared over while its worker is alive.
+  // answered after it, so its lease has certainly expired at the time computed here. With the lease expiry
+  // of the previous incarnation, the new one would be declared over while its worker is alive.
   if (heartbeat.incarnation != machine.incarnation)
     machine.lease_expires_at = std::max(machine.lease_expires_at, worker_lease_expiry(out_.now()));
   machine.has_incarnation = true;
@@ -125,8 +125,8 @@
   unresponsive_machines_.erase(machine.index);
 }
 
-// Updates the machine's allocations from the tasks that the heartbeat lists. Returns whether resources were
-// freed.
+// Updates the machine's allocations from the tasks that the heartbeat lists. Returns whether
+// resources were freed.
 bool WorkerManager::reconcile_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
                                     HeartbeatSource source) {
   const std::size_t known = machine.allocations.size();
@@ -188,8 +188,8 @@
 }
 
 // Calls on_task_exited for the allocations that have ended. The callbacks may start other tasks at once,
-// perhaps on this machine, which invalidates references to its allocations. So they are called only after the
-// whole heartbeat has been processed. Returns false if the leadership has ended.
+// perhaps on this machine, which invalidates references to its allocations. So they are called only after
+// the whole heartbeat has been processed. Returns false if the leadership has ended.
 bool WorkerManager::notify_ended(Machine& machine) {
   const std::uint64_t term = term_;
   for (const Allocation& allocation : std::exchange(ended_allocations_, {})) {
--- a/src/workers/liveness_sweep.hpp
+++ b/src/workers/liveness_sweep.hpp
@@ -9,10 +9,10 @@
 
 namespace wingtrail::workers {
 
-/// The queue of machines to probe in a liveness sweep. Machines seldom fail individually, and waiting until
-/// the next heartbeat of each machine is late would leave replicas on failed machines down for seconds. So
-/// when an on-demand machine does not answer a call, all machines are probed once, except those with contact
-/// since.
+/// The queue of machines to probe in a liveness sweep. Machines seldom fail individually, and waiting
+/// until the next heartbeat of each machine is late would leave replicas on failed machines down for
+/// seconds. So when an on-demand machine does not answer a call, all machines are probed once, except
+/// those with contact since.
 class LivenessSweep {
  public:
   /// Called when a machine has not answered a call. Returns true if a new sweep begins, for which the caller
--- a/src/workers/reconciliation.cpp
+++ b/src/workers/reconciliation.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reconciliation after a failover: machines are fenced one by one, and the tasks that a fenced machine lists
-/// are certainly placed there.
+/// Reconciliation after a failover: machines are fenced one by one, and the tasks that a fenced machine
+/// lists are certainly placed there.
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::workers {
--- a/src/workers/stray_instances.hpp
+++ b/src/workers/stray_instances.hpp
@@ -12,16 +12,16 @@
 
 namespace wingtrail::workers {
 
-/// An instance of a task on a machine, while the task is placed on another machine, done, or of a job that is
-/// over or unknown.
+/// An instance of a task on a machine, while the task is placed on another machine, done, or of a job that
+/// is over or unknown.
 struct StrayInstance {
   MachineIndex machine;
   std::uint32_t task;
 };
 
-/// All stray instances, by job. A task has at most one placement at a time. On every other machine that lists
-/// the task there is a stray instance, which is either stopped, or becomes the placement once the task has no
-/// other.
+/// All stray instances, by job. A task has at most one placement at a time. On every other machine that
+/// lists the task there is a stray instance, which is either stopped, or becomes the placement once the task
+/// has no other.
 class StrayInstances {
  public:
   /// Records that the allocation is a stray instance. The allocation must occupy the machine.
--- a/src/workers/unreconciled_machines.hpp
+++ b/src/workers/unreconciled_machines.hpp
@@ -37,8 +37,8 @@
   const std::vector<UnreconciledGroup>& groups() const {
     return groups_;
   }
-  /// The upper limit of the resources that unknown tasks can use: the total capacity of the machines that are
-  /// not reconciled. None if the capacity of one of them is not known.
+  /// The upper limit of the resources that unknown tasks can use: the total capacity of the machines that
+  /// are not reconciled. None if the capacity of one of them is not known.
   std::optional<wire::Resources> resources() const;
   /// How long after the failover the last machine was reconciled, in s; 0 while some are not.
   Seconds reconciled_after() const {
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -11,8 +11,8 @@
 
 namespace wingtrail::workers {
 namespace {
-// As a share of elapsed time: the controller's and the worker's clock may each be off by 0.05 %, in opposite
-// directions.
+// As a share of elapsed time: the controller's and the worker's clock may each be off by 0.05 %,
+// in opposite directions.
 constexpr double kMaxClockDrift = 0.001;
 // A worker notices the end of its lease with a delay, as its timers advance in steps.
 constexpr Seconds kWorkerTimerMargin = 0.5;
@@ -186,8 +186,8 @@
 
 // Whether an idle worker's lease may be about to expire. Direct calls do not renew a worker's lease, and a
 // worker that answers them may still be searching for the leader, because delegated lease renewal does not
-// cover idle workers. Tasks started on such machines the moment their zone is reachable again would be killed
-// seconds later, when the leases expire.
+// cover idle workers. Tasks started on such machines the moment their zone is reachable again would be
+// killed seconds later, when the leases expire.
 bool WorkerManager::lease_near_expiry(const Machine& machine) const {
   return settings_.tunables.zone_tracking && !machine.busy() &&
          out_.now() - machine.last_heartbeat_at >
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// The leader's records of all workers: their incarnations and leases, the tasks on them, and the commands in
-/// flight to them.
+/// The leader's records of all workers: their incarnations and leases, the tasks on them, and the commands
+/// in flight to them.
 ///
 /// The implementation is split by topic: worker_manager.cpp (the table of machines), heartbeats.cpp
-/// (processing of heartbeats), allocations.cpp (placements and stray instances), commands.cpp (commands and
-/// their replies), deadlines.cpp (leases, probes, resending) and reconciliation.cpp (fencing after a
-/// failover).
+/// (processing of heartbeats), allocations.cpp (placements and stray instances), commands.cpp
+/// (commands and their replies), deadlines.cpp (leases, probes, resending) and reconciliation.cpp
+/// (fencing after a failover).
 #pragma once
 
 #include <deque>
@@ -48,13 +48,13 @@
  public:
   /// Callbacks on changes. They may call back into the manager, and may end the leadership.
   struct Events {
-    /// The machine may have begun to accept tasks: its worker is up, its inventory record is persisted, or it
-    /// has been fenced.
+    /// The machine may have begun to accept tasks: its worker is up, its inventory record is persisted, or
+    /// it has been fenced.
     std::function<void(Machine&)> on_available;
     std::function<void(Machine&)> on_capacity_freed;  ///< An allocation on the machine has ended.
     std::function<void(Machine&)> on_machine_gone;    ///< The machine and all its allocations are gone.
-    /// A task has ended; the allocation's `cause` is its exit cause. The allocation is valid only during the
-    /// call.
+    /// A task has ended; the allocation's `cause` is its exit cause. The allocation is valid only
+    /// during the call.
     std::function<void(Machine&, const Allocation&)> on_task_exited;
     std::function<void()> on_superseded;  ///< A worker has seen a higher fencing token.
   };
@@ -109,8 +109,8 @@
   const std::set<MachineIndex>& unresponsive_machines() const {
     return unresponsive_machines_;
   }
-  /// Handles the return or preemption of the machine: ends its incarnation and removes it from the machine
-  /// inventory.
+  /// Handles the return or preemption of the machine: ends its incarnation and removes it from
+  /// the machine inventory.
   void mark_gone(Machine& machine);
   /// Builds the machine's record for the machine inventory.
   wire::Value inventory_record(MachineIndex index) const;
@@ -136,8 +136,8 @@
   void reserve_resources(Machine& machine, const wire::Resources& need, double sign);
   /// Stops all instances of the job's tasks without a grace period, including stray instances.
   void cancel_job(jobs::Job& job);
-  /// Called when the completions of these tasks have been persisted. Their workers receive an acknowledgement
-  /// and then stop listing the tasks in their heartbeats.
+  /// Called when the completions of these tasks have been persisted. Their workers receive an
+  /// acknowledgement and then stop listing the tasks in their heartbeats.
   void acknowledge_ends(const std::vector<jobs::StateWriter::CompletedTask>& ended);
   /// The resources that the team's allocations occupy.
   const wire::Resources& team_usage(TeamIndex team) const {
@@ -241,8 +241,8 @@
 
  private:
   /// Whether a worker sent the heartbeat on its own, or as part of its reply to a direct call. Only a
-  /// heartbeat sent on its own proves that the worker has acted on the reply to its previous heartbeat or
-  /// never will.
+  /// heartbeat sent on its own proves that the worker has acted on the reply to its previous heartbeat
+  /// or never will.
   enum class HeartbeatSource : std::uint8_t { worker, command_reply };
 
   // ---- worker_manager.cpp
@@ -315,8 +315,8 @@
 
   /// After this time a command that the worker has not confirmed is sent again.
   static constexpr Seconds kResendInterval = 1.0;
-  /// A heartbeat is late after this many heartbeat intervals. A worker's timer may be late by a quarter of an
-  /// interval.
+  /// A heartbeat is late after this many heartbeat intervals. A worker's timer may be late by a quarter
+  /// of an interval.
   static constexpr double kLateHeartbeatFactor = 1.3;
 
   ports::Outbox& out_;
--- a/src/zones/zone_tracker.cpp
+++ b/src/zones/zone_tracker.cpp
@@ -4,7 +4,7 @@
 
 namespace wingtrail::zones {
 namespace {
-constexpr int kMaxDoublings = 10;  // of the recovery time; keeps the factor within an int
+constexpr int kMaxDoublings = 10;  // of the recovery time; keeps the factor 2^n within the range of int
 }
 
 std::string_view name(ZoneState state) {
@@ -46,24 +46,25 @@
   contacted.lost_at = -1;
   if (!track_loss_)
     return true;
-  // After two heartbeat intervals it is known what is left of the zone. If it became unreachable again before
-  // it had been stable for as long as the recovery before took, it recovers for twice as long, up to a lease.
-  const Seconds shortest = 2 * heartbeat_interval_s_;
-  const Seconds previous =
-      std::min(worker_lease_s_, shortest * (1 << std::min(contacted.flaps, kMaxDoublings)));
-  const bool flapping = contacted.flaps > 0 && now < contacted.stable_at + previous;
+  // Within two heartbeat intervals every machine that still runs has sent a heartbeat. If the zone becomes
+  // reachable again within required_stable_time after its last recovery, this recovery takes twice as long,
+  // up to the duration of a lease.
+  const Seconds min_recovery = 2 * heartbeat_interval_s_;
+  const Seconds required_stable_time =
+      std::min(worker_lease_s_, min_recovery * (1 << std::min(contacted.flaps, kMaxDoublings)));
+  const bool flapping = contacted.flaps > 0 && now < contacted.stable_at + required_stable_time;
   contacted.flaps = flapping ? contacted.flaps + 1 : 1;
-  contacted.stable_at = now + std::min(std::max(worker_lease_s_, shortest),
-                                       shortest * (1 << std::min(contacted.flaps - 1, kMaxDoublings)));
+  contacted.stable_at = now + std::min(std::max(worker_lease_s_, min_recovery),
+                                       min_recovery * (1 << std::min(contacted.flaps - 1, kMaxDoublings)));
   return true;
 }
 
 void ZoneTracker::set_expected(std::size_t zone, int change) {
-  zone_at(zone).workers += change;
+  zone_at(zone).expected_workers += change;
 }
 
 void ZoneTracker::on_lease_expired(std::size_t zone, Seconds now) {
-  // In a reachable zone only that machine has failed.
+  // In a reachable zone, the expiry shows only that this one machine has failed.
   if (track_loss_ && !is_lost(zone) && is_unreachable(zone, now))
     zone_at(zone).lost_at = now;
 }
@@ -88,11 +89,11 @@
   return false;
 }
 
-bool ZoneTracker::no_contact_for(std::size_t zone, Seconds now, Seconds least, double heartbeats) const {
-  if (zone >= zones_.size() || zones_[zone].workers == 0)
+bool ZoneTracker::no_contact_for(std::size_t zone, Seconds now, Seconds min_time, double heartbeats) const {
+  if (zone >= zones_.size() || zones_[zone].expected_workers == 0)
     return false;
   return now - zones_[zone].last_contact_at >
-         std::max(least, heartbeats * heartbeat_interval_s_ / zones_[zone].workers);
+         std::max(min_time, heartbeats * heartbeat_interval_s_ / zones_[zone].expected_workers);
 }
 
 int replica_loss_rank(std::uint32_t replicas, std::uint32_t left) {
--- a/tests/worker_manager_test.cpp
+++ b/tests/worker_manager_test.cpp
@@ -1,6 +1,7 @@
-/// \file
-/// Reconciliation after a take-over: from the workers' heartbeats, which machine a task is on, whether it may
-/// run anywhere else, and whether it is done. The tests play the workers.
+/// @file
+/// Tests of the reconciliation after a failover: the leader concludes from the workers' heartbeats which
+/// machine a task is placed on, whether it may run on another machine as well, and whether it is done. The
+/// tests send the heartbeats in place of the workers.
 #include "workers/worker_manager.hpp"
 
 #include <gtest/gtest.h>
@@ -40,9 +41,9 @@
                               [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
                                 workers_.acknowledge_ends(ended);
                               },
-                              [this](jobs::MachineIndex ix) { workers_.on_inventory_written(ix); },
-                              [this](jobs::MachineIndex ix) {
-                                return workers_.inventory_record(ix);
+                              [this](jobs::MachineIndex index) { workers_.on_inventory_written(index); },
+                              [this](jobs::MachineIndex index) {
+                                return workers_.inventory_record(index);
                               }});
     state_writer_.begin_leadership();
     workers_.begin_leadership();
@@ -61,13 +62,13 @@
     return settings;
   }
 
-  // A machine that an earlier leader recorded in the inventory.
+  // Adds a machine that an earlier leader recorded in the machine inventory.
   Machine& machine_from_inventory(const std::string& host) {
     return workers_.add_from_inventory(
         {{"host", host}, {"addr", host + ":1"}, {"type", "small"}, {"zone", "z0"}, {"spot", false}});
   }
 
-  // A job of an earlier leadership.
+  // Adds a job that was submitted under an earlier leader.
   jobs::Job& earlier_job(const std::string& ref, std::uint32_t tasks = 1) {
     wire::JobSpec spec;
     spec.ref = ref;
@@ -78,7 +79,7 @@
     return registry_.add(spec, kEarlierToken, 0);
   }
 
-  struct ShownTask {
+  struct ListedTask {
     std::string ref;
     std::uint64_t attempt = kOldAttempt;
     wire::TaskPhase phase = wire::TaskPhase::running;
@@ -88,7 +89,7 @@
 
   static wire::Heartbeat heartbeat_of(const std::string& host, std::uint64_t incarnation,
                                       std::uint64_t sequence, std::uint64_t token,
-                                      const std::vector<ShownTask>& tasks) {
+                                      const std::vector<ListedTask>& tasks) {
     wire::Heartbeat heartbeat;
     heartbeat.host = host;
     heartbeat.address = host + ":1";
@@ -97,7 +98,7 @@
     heartbeat.incarnation = incarnation;
     heartbeat.sequence = sequence;
     heartbeat.fencing_token = token;
-    for (const ShownTask& task : tasks) {
+    for (const ListedTask& task : tasks) {
       wire::TaskStatus status;
       status.ref = task.ref;
       status.task = task.index;
@@ -109,18 +110,18 @@
     return heartbeat;
   }
 
-  // A heartbeat that was sent under an earlier leadership.
+  // Delivers a heartbeat that carries an earlier leader's fencing token.
   void heartbeat_with_earlier_token(const std::string& host, std::uint64_t sequence,
-                                    const std::vector<ShownTask>& tasks, std::uint64_t incarnation = 1) {
+                                    const std::vector<ListedTask>& tasks, std::uint64_t incarnation = 1) {
     workers_.handle_heartbeat(heartbeat_of(host, incarnation, sequence, kEarlierToken, tasks));
   }
-  // A heartbeat of a worker that has this leader's token.
+  // Delivers a heartbeat that carries this leader's fencing token.
   void heartbeat_with_token(const std::string& host, std::uint64_t sequence,
-                            const std::vector<ShownTask>& tasks, std::uint64_t incarnation = 1) {
+                            const std::vector<ListedTask>& tasks, std::uint64_t incarnation = 1) {
     workers_.handle_heartbeat(heartbeat_of(host, incarnation, sequence, kToken, tasks));
   }
 
-  // Whether the filter lets the task start now.
+  // Whether the task is pending and the ReconciledFilter admits its job now.
   bool may_start(const jobs::Job& job, std::uint32_t task = 0) {
     const filters::ReconciledFilter filter(workers_, [] { return kToken; });
     return job.tasks[task].state == jobs::TaskState::pending && filter.admits(job);
@@ -149,197 +150,222 @@
   std::vector<wire::ExitCause> exits_;
 };
 
-// Given a task that was moved from m to n under an earlier leader, and an old heartbeat of m that arrives
-// first and places the task on m: when m reports that it has nothing, the task is placed on n.
-TEST_F(WorkerManagerTest, TaskPlacedByAnOldHeartbeatIsAdoptedWhereItRuns) {
-  Machine& m = machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+// Guards against a second start of a task that runs on machine B. The task migrated from machine A to machine
+// B under an earlier leader. A delayed heartbeat of machine A arrives first, so the task is placed on machine
+// A. When a heartbeat of machine A no longer lists the task, it must be placed on machine B.
+TEST_F(WorkerManagerTest, TaskPlacedByADelayedHeartbeatIsAdoptedWhereItRuns) {
+  Machine& machine_a = machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  ASSERT_EQ(job.tasks[0].machine, m.index);
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  EXPECT_TRUE(workers_.has_stray_instance("req-1")) << "a cancellation cannot be completed either";
-  heartbeat_with_token("m", 12, {});
-  ASSERT_TRUE(workers_.reconciled() || n.unsized_allocations > 0);
-  EXPECT_FALSE(may_start(job)) << "n still runs it";
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  ASSERT_EQ(job.tasks[0].machine, machine_a.index);
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  EXPECT_TRUE(workers_.has_stray_instance("req-1"))
+      << "expected a stray instance on machine B, which also prevents the completion of a cancellation";
+  heartbeat_with_token("machine-a", 12, {});
+  ASSERT_TRUE(workers_.reconciled() || machine_b.unsized_allocations > 0);
+  EXPECT_FALSE(may_start(job)) << "expected no second start while machine B still runs the task";
   EXPECT_EQ(job.placed_tasks, 1U);
-  EXPECT_EQ(job.tasks[0].machine, n.index);
-  EXPECT_EQ(n.unsized_allocations, 0);
-  EXPECT_DOUBLE_EQ(n.used.cpus, 2);
-  EXPECT_DOUBLE_EQ(m.used.cpus, 0);
+  EXPECT_EQ(job.tasks[0].machine, machine_b.index);
+  EXPECT_EQ(machine_b.unsized_allocations, 0);
+  EXPECT_DOUBLE_EQ(machine_b.used.cpus, 2);
+  EXPECT_DOUBLE_EQ(machine_a.used.cpus, 0);
   EXPECT_DOUBLE_EQ(workers_.team_usage(jobs::TeamIndex(0)).cpus, 2);
   EXPECT_TRUE(workers_.reconciled());
 }
 
-// Until m is fenced, the stray instance on n is not stopped: it may be the only instance.
+// Guards against stopping the only instance of a task: as long as machine A is not fenced, the placement on
+// machine A may be outdated, so the stray instance on machine B must not be stopped.
 TEST_F(WorkerManagerTest, StrayInstanceIsNotStoppedWhileThePlacementIsUncertain) {
-  machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+  machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  ASSERT_NE(allocation_on(n, kNewAttempt), nullptr);
-  EXPECT_FALSE(allocation_on(n, kNewAttempt)->stop_requested);
-  heartbeat_with_token("m", 12, {});
-  EXPECT_FALSE(allocation_on(n, kNewAttempt)->stop_requested) << "it was the only one";
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  ASSERT_NE(allocation_on(machine_b, kNewAttempt), nullptr);
+  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->stop_requested);
+  heartbeat_with_token("machine-a", 12, {});
+  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->stop_requested)
+      << "expected the only remaining instance not to be stopped";
 }
 
-// If both machines run the task, one instance is stopped, and nothing starts before it has ended.
+// Guards against two running instances: if both machines run the task, one instance is stopped, and the task
+// is not started again before both have ended.
 TEST_F(WorkerManagerTest, OfTwoRunningInstancesOneIsStopped) {
-  Machine& m = machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+  Machine& machine_a = machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  heartbeat_with_token("m", 12, {{"req-1", kOldAttempt}});
-  EXPECT_TRUE(allocation_on(n, kNewAttempt)->stop_requested);
-  EXPECT_FALSE(allocation_on(m, kOldAttempt)->stop_requested);
-  // The instance that was not stopped ends first: the task is placed where the other one is.
-  heartbeat_with_token("m", 13, {{"req-1", kOldAttempt, wire::TaskPhase::exited, wire::ExitCause::error}});
-  EXPECT_FALSE(may_start(job)) << "n has yet to say that it has stopped";
-  EXPECT_EQ(job.tasks[0].machine, n.index);
-  heartbeat_with_token("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  heartbeat_with_token("machine-a", 12, {{"req-1", kOldAttempt}});
+  EXPECT_TRUE(allocation_on(machine_b, kNewAttempt)->stop_requested);
+  EXPECT_FALSE(allocation_on(machine_a, kOldAttempt)->stop_requested);
+  // The instance that was not stopped ends first, so the task is placed on the machine with the other
+  // instance.
+  heartbeat_with_token("machine-a", 13,
+                       {{"req-1", kOldAttempt, wire::TaskPhase::exited, wire::ExitCause::error}});
+  EXPECT_FALSE(may_start(job))
+      << "expected no start before a heartbeat of machine B lists the task as exited";
+  EXPECT_EQ(job.tasks[0].machine, machine_b.index);
+  heartbeat_with_token("machine-b", 10,
+                       {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
   EXPECT_TRUE(may_start(job));
   EXPECT_DOUBLE_EQ(workers_.team_usage(jobs::TeamIndex(0)).cpus, 0);
 }
 
-// That a machine is gone proves nothing of another machine that shows the task.
+// Guards against a second start after one of two machines that list the task is gone: the other machine may
+// still run it.
 TEST_F(WorkerManagerTest, StrayInstanceIsAdoptedWhenThePlacedMachineIsGone) {
-  Machine& m = machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+  Machine& machine_a = machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  workers_.mark_gone(m);
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  workers_.mark_gone(machine_a);
   EXPECT_FALSE(may_start(job));
-  EXPECT_EQ(job.tasks[0].machine, n.index);
-  workers_.mark_gone(n);
+  EXPECT_EQ(job.tasks[0].machine, machine_b.index);
+  workers_.mark_gone(machine_b);
   EXPECT_TRUE(may_start(job));
 }
 
-TEST_F(WorkerManagerTest, AllThreeInstancesOfATaskAreWaitedFor) {
-  Machine& m = machine_from_inventory("m");
-  machine_from_inventory("n");
-  machine_from_inventory("o");
+// Guards against a start while any of three instances of a task may still run.
+TEST_F(WorkerManagerTest, TaskStartsOnlyAfterAllThreeInstancesHaveEnded) {
+  Machine& machine_a = machine_from_inventory("machine-a");
+  machine_from_inventory("machine-b");
+  machine_from_inventory("machine-c");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  heartbeat_with_token("o", 9, {{"req-1", kNewAttempt + 1}});
-  workers_.mark_gone(m);
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  heartbeat_with_token("machine-c", 9, {{"req-1", kNewAttempt + 1}});
+  workers_.mark_gone(machine_a);
   EXPECT_FALSE(may_start(job));
-  heartbeat_with_token("n", 10, {});
+  heartbeat_with_token("machine-b", 10, {});
   EXPECT_FALSE(may_start(job));
   EXPECT_TRUE(job.placed_tasks == 1);
-  heartbeat_with_token("o", 10, {});
+  heartbeat_with_token("machine-c", 10, {});
   EXPECT_TRUE(may_start(job));
 }
 
-// The machine that runs the task has completed it: that counts, wherever the task is placed.
-TEST_F(WorkerManagerTest, CompletionCountsThoughAnOldHeartbeatPlacedTheTaskElsewhere) {
-  Machine& m = machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+// Guards against the loss of a result: a completion counts even if a delayed heartbeat has placed the task on
+// another machine.
+TEST_F(WorkerManagerTest, CompletionCountsThoughADelayedHeartbeatPlacedTheTaskElsewhere) {
+  Machine& machine_a = machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1", 2);
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9,
+                       {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_FALSE(allocation_on(n, kNewAttempt)->end_persisted) << "not before it is persisted";
+  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->end_persisted)
+      << "expected no acknowledgement before the completion is persisted";
   EXPECT_EQ(exits_, std::vector<wire::ExitCause>{wire::ExitCause::done});
   EXPECT_EQ(job.placed_tasks, 0U);
-  EXPECT_TRUE(workers_.has_stray_instance("req-1")) << "m may have it";
+  EXPECT_TRUE(workers_.has_stray_instance("req-1"))
+      << "expected a stray instance on machine A, which may still run the task";
   EXPECT_DOUBLE_EQ(workers_.team_usage(jobs::TeamIndex(0)).cpus, 0);
-  heartbeat_with_token("m", 12, {});
+  heartbeat_with_token("machine-a", 12, {});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
   EXPECT_EQ(job.done_tasks, 1U);
-  EXPECT_EQ(m.unsized_allocations, 0);
+  EXPECT_EQ(machine_a.unsized_allocations, 0);
   EXPECT_FALSE(workers_.has_stray_instance("req-1"));
 }
 
-// The same if a stray instance completes that was seen running before.
+// Guards against the loss of a result: the completion of a stray instance counts that an earlier heartbeat
+// listed as running.
 TEST_F(WorkerManagerTest, CompletionOfAStrayInstanceCounts) {
-  Machine& m = machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+  Machine& machine_a = machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  heartbeat_with_token("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  heartbeat_with_token("machine-b", 10,
+                       {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_FALSE(allocation_on(n, kNewAttempt)->end_persisted);
-  EXPECT_TRUE(allocation_on(m, kOldAttempt)->stop_requested) << "what it does is of no use any more";
-  heartbeat_with_token("m", 12, {});
+  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->end_persisted);
+  EXPECT_TRUE(allocation_on(machine_a, kOldAttempt)->stop_requested)
+      << "expected the other instance of a done task to be stopped";
+  heartbeat_with_token("machine-a", 12, {});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
   EXPECT_EQ(job.done_tasks, 1U);
   EXPECT_FALSE(may_start(job));
 }
 
-// A cancelled job is gone only when no instance is left, and each is stopped.
+// Guards against a cancellation that leaves a stray instance running: each instance is stopped, and the job's
+// tasks are gone only when no instance is left.
 TEST_F(WorkerManagerTest, CancellationStopsEveryStrayInstance) {
-  machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+  machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  ASSERT_FALSE(allocation_on(n, kNewAttempt)->stop_requested);
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  ASSERT_FALSE(allocation_on(machine_b, kNewAttempt)->stop_requested);
   job.cancelling = true;
   workers_.cancel_job(job);
-  EXPECT_TRUE(allocation_on(n, kNewAttempt)->stop_requested);
-  heartbeat_with_token("m", 12, {});
+  EXPECT_TRUE(allocation_on(machine_b, kNewAttempt)->stop_requested);
+  heartbeat_with_token("machine-a", 12, {});
   EXPECT_TRUE(job.placed_tasks > 0 || workers_.has_stray_instance("req-1"));
-  heartbeat_with_token("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
+  heartbeat_with_token("machine-b", 10,
+                       {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
   EXPECT_EQ(job.placed_tasks, 0U);
   EXPECT_FALSE(workers_.has_stray_instance("req-1"));
 }
 
-// Other tasks must not be placed by the zone of a placement that may be wrong.
+// Guards against a violation of a job's rules on zones: while a task has a stray instance, its zone is not
+// certain, so the job's other tasks must not start by it.
 TEST_F(WorkerManagerTest, ZonesOfTasksAreUncertainBesideAStrayInstance) {
-  machine_from_inventory("m");
-  Machine& n = machine_from_inventory("n");
+  machine_from_inventory("machine-a");
+  Machine& machine_b = machine_from_inventory("machine-b");
   jobs::Job& job = earlier_job("req-1", 3);
   job.spec.spread_zones = true;
-  heartbeat_with_earlier_token("m", 5, {{"req-1", kOldAttempt}});
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  heartbeat_with_token("m", 12, {{"req-1", kOldAttempt}});  // both have it
-  EXPECT_EQ(n.unsized_allocations, 1);
+  heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  heartbeat_with_token("machine-a", 12, {{"req-1", kOldAttempt}});  // both machines run the task
+  EXPECT_EQ(machine_b.unsized_allocations, 1);
   EXPECT_FALSE(may_start(job, 1));
   job.spec.spread_zones = false;
   job.spec.same_zone = true;
   EXPECT_FALSE(may_start(job, 1));
   job.spec.same_zone = false;
-  EXPECT_TRUE(may_start(job, 1)) << "task 1 itself is nowhere";
+  EXPECT_TRUE(may_start(job, 1)) << "expected task 1, which has no instance, to start without rules on zones";
 }
 
-// The job's record is read only after a heartbeat has shown its task.
+// Guards against a second start if a heartbeat lists a task before its job's record has been read.
 TEST_F(WorkerManagerTest, JobReadLateAdoptsItsStrayInstance) {
-  Machine& n = machine_from_inventory("n");
-  heartbeat_with_token("n", 9, {{"req-1", kNewAttempt}});
-  EXPECT_TRUE(allocation_on(n, kNewAttempt)->stop_requested) << "its job is not known";
+  Machine& machine_b = machine_from_inventory("machine-b");
+  heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
+  EXPECT_TRUE(allocation_on(machine_b, kNewAttempt)->stop_requested)
+      << "expected a task of an unknown job to be stopped";
   jobs::Job& job = earlier_job("req-1");
   workers_.adopt_stray_instances(job);
   EXPECT_FALSE(may_start(job));
-  heartbeat_with_token("n", 10, {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
+  heartbeat_with_token("machine-b", 10,
+                       {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::stopped}});
   EXPECT_TRUE(may_start(job));
 }
 
-// A heartbeat of an incarnation that is over places nothing and renews no lease.
+// Guards against conclusions from a heartbeat of an incarnation that is over: it must place no task and renew
+// no lease.
 TEST_F(WorkerManagerTest, HeartbeatOfAnIncarnationThatIsOverProvesNothing) {
-  Machine& m = machine_from_inventory("m");
+  Machine& machine_a = machine_from_inventory("machine-a");
   jobs::Job& job = earlier_job("req-1");
-  heartbeat_with_token("m", 9, {{"req-1", kOldAttempt}}, 3);
+  heartbeat_with_token("machine-a", 9, {{"req-1", kOldAttempt}}, 3);
   ASSERT_EQ(job.placed_tasks, 1U);
   for (int i = 0; i < 60; ++i)
-    advance(0.5);  // without contact for longer than its lease
-  ASSERT_FALSE(m.has_incarnation);
+    advance(0.5);  // 30 s without contact, longer than the lease of 20 s
+  ASSERT_FALSE(machine_a.has_incarnation);
   ASSERT_EQ(job.placed_tasks, 0U);
-  const Seconds lease = m.lease_expires_at;
-  heartbeat_with_token("m", 10, {{"req-1", kOldAttempt}}, 3);
-  EXPECT_EQ(job.placed_tasks, 0U) << "a late heartbeat of the incarnation whose lease has expired";
-  heartbeat_with_earlier_token("m", 200, {{"req-1", kOldAttempt}}, 2);
+  const Seconds lease_before = machine_a.lease_expires_at;
+  heartbeat_with_token("machine-a", 10, {{"req-1", kOldAttempt}}, 3);
+  EXPECT_EQ(job.placed_tasks, 0U)
+      << "expected no placement by a late heartbeat of an incarnation whose lease has expired";
+  heartbeat_with_earlier_token("machine-a", 200, {{"req-1", kOldAttempt}}, 2);
   EXPECT_EQ(job.placed_tasks, 0U);
-  EXPECT_FALSE(m.has_incarnation);
-  EXPECT_EQ(m.incarnation, 3U);
-  EXPECT_EQ(m.lease_expires_at, lease);
-  heartbeat_with_token("m", 11, {}, 4);
-  EXPECT_TRUE(m.has_incarnation);
-  EXPECT_EQ(m.incarnation, 4U);
+  EXPECT_FALSE(machine_a.has_incarnation);
+  EXPECT_EQ(machine_a.incarnation, 3U);
+  EXPECT_EQ(machine_a.lease_expires_at, lease_before);
+  heartbeat_with_token("machine-a", 11, {}, 4);
+  EXPECT_TRUE(machine_a.has_incarnation);
+  EXPECT_EQ(machine_a.incarnation, 4U);
 }
 
 }  // namespace
