--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -45,7 +45,7 @@
   capacity_.clear();
   draining_machines_.clear();
   faulty_machines_.clear();
-  never_reported_.clear();
+  never_started_machines_.clear();
   excess_since_ = 0;
   smooth_flexible_ = smooth_ordinary_ = -1;
 }
@@ -90,7 +90,7 @@
     returns_.schedule(lost, "silent");
   }
   returns_.schedule(std::exchange(faulty_machines_, {}), "faulty");
-  returns_.schedule(std::exchange(never_reported_, {}), "never came up");
+  returns_.schedule(std::exchange(never_started_machines_, {}), "never came up");
 }
 
 // Whether the machine is, or will soon be, of use to new work.
@@ -128,7 +128,7 @@
 void Autoscaler::update_capacity() {
   draining_machines_.clear();
   faulty_machines_.clear();
-  never_reported_.clear();
+  never_started_machines_.clear();
   capacity_.begin_update(registry_.zones.size());
   std::vector<double> retained;  // share by zone
   for (ZoneIndex zone{0}; zone < registry_.zones.size(); ++zone)
@@ -164,7 +164,7 @@
   if (!machine.has_incarnation && machine.fenced && !counts_as_capacity(machine) &&
       (!zone_unreachable(machine.zone) || zone_abandoned(machine.zone)) &&
       out_.now() > workers_.zones().returned_at(machine.zone) + 2 * settings_.heartbeat_interval_s)
-    never_reported_.push_back(machine.index);
+    never_started_machines_.push_back(machine.index);
 }
 
 }  // namespace wingtrail::autoscaling
--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -71,7 +71,7 @@
   // Replicas that may still begin to migrate now, and that are migrating or waiting for it.
   struct ReplicaMigrations {
     int allowed = 0;
-    int most_in_progress = 0;
+    int max_in_progress = 0;
     int in_progress = 0;
   };
   void continue_draining(Excess& excess, ReplicaMigrations& migrations);
@@ -99,7 +99,7 @@
   MachineListing listing_;
   PoolCapacity capacity_;
   // As of the last walk over the machines.
-  std::vector<MachineIndex> draining_machines_, faulty_machines_, never_reported_;
+  std::vector<MachineIndex> draining_machines_, faulty_machines_, never_started_machines_;
   // By job that only some machines may run: when machines were last requested for it.
   std::map<JobIndex, Seconds> restricted_job_requested_at_;
   bool active_ = false;
--- a/src/autoscaling/rental_requests.cpp
+++ b/src/autoscaling/rental_requests.cpp
@@ -21,7 +21,7 @@
   refused_until_.clear();
 }
 
-bool RentalRequests::recently_refused(const Pool& pool) const {
+bool RentalRequests::is_unavailable(const Pool& pool) const {
   const auto until = refused_until_.find(pool);
   if (workers_.zones().is_unreachable(pool.zone, out_.now())) {
     const auto in_same_zone = [&pool](const Request& request) {
@@ -37,7 +37,7 @@
 int RentalRequests::add(const Pool& pool, int count, const char* reason) {
   // Of a zone that is lost with all its machines, one is requested to find out whether it is back.
   if (workers_.zones().is_unreachable(pool.zone, out_.now())) {
-    if (recently_refused(pool))
+    if (is_unavailable(pool))
       return 0;
     count = 1;
   }
--- a/src/autoscaling/rental_requests.hpp
+++ b/src/autoscaling/rental_requests.hpp
@@ -41,7 +41,7 @@
   void clear();
   /// Whether nothing should be requested of the pool now: it refused lately, or its zone is lost and
   /// something is requested there already.
-  bool recently_refused(const Pool& pool) const;
+  bool is_unavailable(const Pool& pool) const;
   /// Adds a request; returns the number of machines in it, which may be fewer. `reason` goes to the log.
   int add(const Pool& pool, int count, const char* reason);
   /// Sends what is due.
--- a/src/autoscaling/scale_in.cpp
+++ b/src/autoscaling/scale_in.cpp
@@ -27,7 +27,7 @@
   ReplicaMigrations migrations;
   migrations.allowed = std::max(
       1, static_cast<int>(settings_.tunables.replica_migration_rate * static_cast<double>(demand.replicas)));
-  migrations.most_in_progress = 2 * migrations.allowed;
+  migrations.max_in_progress = 2 * migrations.allowed;
   continue_draining(excess, migrations);
   if (excess.total <= 0) {
     excess_since_ = 0;
@@ -91,7 +91,7 @@
         continue;
       const int replicas = replica_count(*machine);
       if (replicas > 0 && migrations.in_progress > 0 &&
-          migrations.in_progress + replicas > migrations.most_in_progress)
+          migrations.in_progress + replicas > migrations.max_in_progress)
         continue;
       migrations.in_progress += replicas;
       machine->draining = true;
--- a/src/autoscaling/scale_out.cpp
+++ b/src/autoscaling/scale_out.cpp
@@ -34,8 +34,7 @@
   for (const bool spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(spot)) {
       for (const Pool& pool : tier)
-        cores +=
-            rentals_.recently_refused(pool) ? 0 : kMaxMachinesPerRequest * catalog_.type(pool.type)->cpus;
+        cores += rentals_.is_unavailable(pool) ? 0 : kMaxMachinesPerRequest * catalog_.type(pool.type)->cpus;
     }
   }
   return cores;
@@ -46,7 +45,7 @@
   for (const auto& tier : catalog_.price_tiers(spot)) {
     std::vector<Pool> open;
     for (const Pool& pool : tier) {
-      if (!rentals_.recently_refused(pool) && (zone == jobs::kNoIndex || zone == pool.zone))
+      if (!rentals_.is_unavailable(pool) && (zone == jobs::kNoIndex || zone == pool.zone))
         open.push_back(pool);
     }
     // Spreading over zones limits what a zone can take away: the one with the fewest cores comes first.
@@ -201,7 +200,7 @@
     for (const auto& tier : catalog_.price_tiers(as_spot)) {
       for (const Pool& pool : tier) {
         const double each = tasks_per_machine(catalog_.type(pool.type), job);
-        if (rentals_.recently_refused(pool) || each < 1 ||
+        if (rentals_.is_unavailable(pool) || each < 1 ||
             !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
           continue;
         const double lacking =
@@ -220,7 +219,7 @@
     for (const auto& tier : catalog_.price_tiers(as_spot)) {
       for (const Pool& pool : tier) {
         const wire::MachineType* t = catalog_.type(pool.type);
-        if (rentals_.recently_refused(pool) || !t ||
+        if (rentals_.is_unavailable(pool) || !t ||
             !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
           continue;
         const wire::Resources& n = job.spec.task_resources;
--- a/src/balancing/load_snapshot.cpp
+++ b/src/balancing/load_snapshot.cpp
@@ -50,7 +50,7 @@
   cores_by_zone_[zone] += cores;
 }
 
-void LoadSnapshot::on_ended(const Job& job) {
+void LoadSnapshot::on_job_over(const Job& job) {
   if (job.final_phase == wire::Phase::done || (job.is_service() && job.running_tasks > 0))
     ++loads_[{job.team, job.job_class}].served_jobs;
 }
--- a/src/balancing/load_snapshot.hpp
+++ b/src/balancing/load_snapshot.hpp
@@ -59,7 +59,7 @@
   void on_arrival(const Job& job, double core_s, Seconds now);
   /// Tasks were placed in the zone; a negative number: they left it.
   void on_placed(const Job& job, ZoneIndex zone, int tasks);
-  void on_ended(const Job& job);
+  void on_job_over(const Job& job);
   /// Begins a new count of waiting jobs; `add_waiting` follows for each of them.
   void begin_waiting_update();
   /// `reason` must outlive the snapshot. `late`: every deadline has passed.
--- a/src/balancing/migrations.cpp
+++ b/src/balancing/migrations.cpp
@@ -25,7 +25,7 @@
   if (migrations_.size() >= max_in_progress)
     return false;
   const auto it = last_migration_at_.find(key(job, task));
-  return it == last_migration_at_.end() || now - it->second > kRestBetweenMigrations;
+  return it == last_migration_at_.end() || now - it->second > kMigrationCooldown;
 }
 
 void Migrations::begin(const Migration& migration) {
@@ -46,7 +46,7 @@
   return taken;
 }
 
-std::optional<Migration> Migrations::on_task_gone(JobIndex job, std::uint32_t task) {
+std::optional<Migration> Migrations::take_of_task(JobIndex job, std::uint32_t task) {
   const auto taken = take([&](const Migration& m) { return m.job == job && m.task == task; });
   if (taken.empty())
     return std::nullopt;
@@ -59,7 +59,7 @@
 }
 
 std::vector<Migration> Migrations::take_expired(Seconds now) {
-  std::erase_if(last_migration_at_, [now](const auto& l) { return now - l.second > kRestBetweenMigrations; });
+  std::erase_if(last_migration_at_, [now](const auto& l) { return now - l.second > kMigrationCooldown; });
   return take([now](const Migration& m) { return now - m.began_at > kMigrationTimeout; });
 }
 
--- a/src/balancing/migrations.hpp
+++ b/src/balancing/migrations.hpp
@@ -43,7 +43,7 @@
     double lost_work_s = 0;
   };
   /// A task is not migrated again within this time, so no two migrations undo each other.
-  static constexpr Seconds kRestBetweenMigrations = 120;
+  static constexpr Seconds kMigrationCooldown = 120;
   static constexpr Seconds kMigrationTimeout = 15;
 
   void clear();
@@ -52,7 +52,7 @@
   void begin(const Migration& migration);
   /// The task is proved to have ended where it was: returns its migration, which is no longer in progress;
   /// nothing: it is not migrating.
-  std::optional<Migration> on_task_gone(JobIndex job, std::uint32_t task);
+  std::optional<Migration> take_of_task(JobIndex job, std::uint32_t task);
   /// Counts a migration that is over. `started`: the task was started at the target.
   void on_finished(const Migration& migration, bool started);
   /// Removes and returns the migrations that took too long, or whose target is the machine.
--- a/src/balancing/speed_estimator.cpp
+++ b/src/balancing/speed_estimator.cpp
@@ -15,7 +15,7 @@
 constexpr double kMaxLogLikelihood = 600;  // guards `exp` against overflow
 
 /// The logarithm of the likelihood ratio at which a machine counts as slow.
-double alarm_level() {
+double alarm_threshold() {
   return -std::log(SpeedEstimator::kFalseAlarmRate);
 }
 
@@ -50,7 +50,7 @@
   LogLikelihoods total{};
   for (const JobEvidence& evidence : machine.by_job) {
     for (std::size_t i = 0; i < kHypotheses; ++i)
-      total[i] += std::min(kMaxJobShare * alarm_level(), evidence.completed[i] + evidence.running[i]);
+      total[i] += std::min(kMaxJobShare * alarm_threshold(), evidence.completed[i] + evidence.running[i]);
   }
   return total;
 }
@@ -103,7 +103,7 @@
     by_job.running[i] += std::log(tail_probability((log_ratio - std::log(kSlowdowns[i])) / total_deviation) /
                                   tail_probability(log_ratio / total_deviation));
   }
-  if (!observed.slow && log_likelihood_ratio(total_evidence(observed)) > alarm_level())
+  if (!observed.slow && log_likelihood_ratio(total_evidence(observed)) > alarm_threshold())
     observed.slow = true;
 }
 
@@ -126,7 +126,7 @@
   return mean / sum;
 }
 
-void SpeedEstimator::forget(std::size_t machine) {
+void SpeedEstimator::remove_machine(std::size_t machine) {
   if (machine < machines_.size())
     machines_[machine] = {};
 }
--- a/src/balancing/speed_estimator.hpp
+++ b/src/balancing/speed_estimator.hpp
@@ -39,7 +39,7 @@
   /// How many times as long tasks take there; 1 unless it is slow.
   double slowdown(std::size_t machine) const;
   /// The machine is gone.
-  void forget(std::size_t machine);
+  void remove_machine(std::size_t machine);
 
  private:
   static constexpr std::size_t kHypotheses = 3;
--- a/src/scheduling/placement.cpp
+++ b/src/scheduling/placement.cpp
@@ -95,7 +95,7 @@
 // The cost, in seconds, of placing the service's next task on this machine. Its image should be where
 // later replicas can start at once: beside work that can be preempted. A machine full of services has no such
 // capacity, however many images it holds, and takes more of them with it when it is lost.
-double Scheduler::crowding(const Machine& machine, const Job& job) const {
+double Scheduler::service_placement_cost(const Machine& machine, const Job& job) const {
   constexpr Seconds kFullCost = 4;  // of a machine full of services, against one without any
   double service_cores = 0;
   for (const Allocation& allocation : machine.allocations) {
@@ -121,7 +121,7 @@
     ++machines_examined_;
     if (!can_start_on(machine, job))
       return;
-    const double cost = crowding(machine, job);
+    const double cost = service_placement_cost(machine, job);
     if (!best || cost < best_cost) {
       best = &machine;
       best_cost = cost;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -54,7 +54,7 @@
       after.used.gpus -= machine.allocations[s].resources.gpus;
       after.used.memory_gb -= machine.allocations[s].resources.memory_gb;
       cost += 1 + age(s);
-      lost_s += balancing_enabled_ && stop_loses_nothing(machine.allocations[s]) ? 0 : age(s);
+      lost_s += balancing_enabled_ && can_restart_in_time(machine.allocations[s]) ? 0 : age(s);
       victims.push_back(s);
     }
     if (lost_s > most_lost_s || victims.empty() || !after.fits(job.spec.task_resources))
@@ -65,7 +65,7 @@
 }
 
 // Whether the task's job meets the same deadlines if the task has to run once more from now on.
-bool Scheduler::stop_loses_nothing(const Allocation& allocation) const {
+bool Scheduler::can_restart_in_time(const Allocation& allocation) const {
   const Job* job = registry_.job_at(allocation.job);
   if (!job || allocation.running_since <= 0)
     return true;
--- a/src/scheduling/reservation_queues.cpp
+++ b/src/scheduling/reservation_queues.cpp
@@ -23,7 +23,7 @@
   return queues_[machine];
 }
 
-void ReservationQueues::note_nonempty(MachineIndex machine) {
+void ReservationQueues::list_machine(MachineIndex machine) {
   if (is_listed_[machine])
     return;
   is_listed_[machine] = true;
@@ -32,7 +32,7 @@
 
 void ReservationQueues::add(MachineIndex machine, JobIndex job, std::uint32_t tasks) {
   queue_of(machine).push_back({job, tasks});
-  note_nonempty(machine);
+  list_machine(machine);
   reserved_[job] += tasks;
 }
 
@@ -45,24 +45,24 @@
   return queue_of(machine);
 }
 
-void ReservationQueues::cancel(JobIndex job, std::uint32_t tasks) {
+void ReservationQueues::subtract_reserved(JobIndex job, std::uint32_t tasks) {
   const auto it = reserved_.find(job);
   if (it != reserved_.end())
     it->second -= std::min(it->second, tasks);
 }
 
-void ReservationQueues::drop_over(MachineIndex machine, const JobPredicate& is_over) {
+void ReservationQueues::drop_obsolete(MachineIndex machine, const JobPredicate& is_over) {
   std::erase_if(queue_of(machine), [&](const Reservation& reservation) {
     const bool over = is_over(reservation.job);
     if (over)
-      cancel(reservation.job, reservation.tasks);
+      subtract_reserved(reservation.job, reservation.tasks);
     return over;
   });
 }
 
-void ReservationQueues::use_one(MachineIndex machine, std::size_t position) {
+void ReservationQueues::consume_task(MachineIndex machine, std::size_t position) {
   auto& queue = queue_of(machine);
-  cancel(queue[position].job, 1);
+  subtract_reserved(queue[position].job, 1);
   if (--queue[position].tasks == 0)
     queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(position));
 }
@@ -71,10 +71,10 @@
   if (queues_.size() <= machine)
     return;
   for (const Reservation& reservation : std::exchange(queues_[machine], {}))
-    cancel(reservation.job, reservation.tasks);
+    subtract_reserved(reservation.job, reservation.tasks);
 }
 
-void ReservationQueues::forget_job(JobIndex job) {
+void ReservationQueues::remove_job(JobIndex job) {
   reserved_.erase(job);
 }
 
@@ -97,7 +97,7 @@
       const Reservation stolen = queue[position];
       queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(position));
       queue_of(thief).push_back(stolen);
-      note_nonempty(thief);
+      list_machine(thief);
       return true;
     }
   }
--- a/src/scheduling/reservation_queues.hpp
+++ b/src/scheduling/reservation_queues.hpp
@@ -31,19 +31,19 @@
   /// The machine's queue, those that came first at the front.
   const std::vector<Reservation>& queue(jobs::MachineIndex machine);
   /// Drops the machine's reservations of jobs for which `is_over` holds.
-  void drop_over(jobs::MachineIndex machine, const JobPredicate& is_over);
+  void drop_obsolete(jobs::MachineIndex machine, const JobPredicate& is_over);
   /// A task was started from the reservation at `position` of the machine's queue.
-  void use_one(jobs::MachineIndex machine, std::size_t position);
+  void consume_task(jobs::MachineIndex machine, std::size_t position);
   void drop_machine(jobs::MachineIndex machine);
-  void forget_job(jobs::JobIndex job);
+  void remove_job(jobs::JobIndex job);
   /// Looks at up to `attempts` machines with reservations, drawn from `rng`, and moves the first reservation
   /// for which `can_start` holds to the thief's queue; false: there is none.
   bool steal(jobs::MachineIndex thief, int attempts, pcg32& rng, const JobPredicate& can_start);
 
  private:
   std::vector<Reservation>& queue_of(jobs::MachineIndex machine);
-  void note_nonempty(jobs::MachineIndex machine);
-  void cancel(jobs::JobIndex job, std::uint32_t tasks);
+  void list_machine(jobs::MachineIndex machine);
+  void subtract_reserved(jobs::JobIndex job, std::uint32_t tasks);
 
   std::vector<std::vector<Reservation>> queues_;  ///< by machine
   /// Machines with reservations, and some whose queue has become empty since; `is_listed_` by machine.
--- a/src/scheduling/reservations.cpp
+++ b/src/scheduling/reservations.cpp
@@ -128,7 +128,7 @@
       return true;
     }
   }
-  reservations_.drop_over(machine.index, [this](JobIndex index) {
+  reservations_.drop_obsolete(machine.index, [this](JobIndex index) {
     const Job* job = registry_.job_at(index);
     return !job || !job->is_open() || job->pending_tasks.empty();
   });
@@ -146,7 +146,7 @@
     return false;
   start_task(machine, *first);
   if (reservation)
-    reservations_.use_one(machine.index, *reservation);
+    reservations_.consume_task(machine.index, *reservation);
   return true;
 }
 
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -103,7 +103,7 @@
 }
 
 void Scheduler::on_machine_gone(Machine& machine) {
-  speeds_.forget(machine.index);
+  speeds_.remove_machine(machine.index);
   for (const balancing::Migration& migration : migrations_.take_of_machine(machine.index)) {
     abandon_migration(migration);
     migrations_.on_finished(migration, false);
@@ -112,8 +112,8 @@
 }
 
 void Scheduler::on_job_over(const Job& job) {
-  load_.on_ended(job);
-  reservations_.forget_job(job.index);
+  load_.on_job_over(job);
+  reservations_.remove_job(job.index);
   estimates_.on_job_over(job);
 }
 
@@ -132,7 +132,7 @@
     job->not_before = out_.now() + kRefusalBackoff;
   }
   workers_.mark_changed(machine);
-  if (const auto migration = migrations_.on_task_gone(job->index, allocation.task))
+  if (const auto migration = migrations_.take_of_task(job->index, allocation.task))
     migrations_.on_finished(*migration, finish_migration(*migration));
   on_job_ready(*job);
 }
@@ -199,10 +199,10 @@
 void Scheduler::run_pass() {
   failed_preemptions_.fill(0);
   zones_unstable_ = workers_.zones().any_unstable(out_.now());
-  const bool once_a_second = out_.now() - last_second_ >= 1;
+  const bool once_a_second = out_.now() - last_update_at_ >= 1;
   if (once_a_second) {
-    workers_.observe_spot_time(std::min(2.0, out_.now() - last_second_));
-    last_second_ = out_.now();
+    workers_.observe_spot_time(std::min(2.0, out_.now() - last_update_at_));
+    last_update_at_ = out_.now();
     update_short_partition(workers_, settings_.tunables.short_partition);
   }
   std::erase_if(waiting_jobs_, [this](JobIndex index) {
@@ -213,7 +213,7 @@
     return over;
   });
   if (settings_.cells.enabled())
-    note_own_waiting_work();
+    record_own_waiting_work();
   std::vector<Job*> short_jobs = classify_waiting_jobs();
   start_overdue_jobs();
   place_long_jobs();
@@ -229,7 +229,7 @@
 }
 
 // Work of other cells yields to this cell's own work that waits.
-void Scheduler::note_own_waiting_work() {
+void Scheduler::record_own_waiting_work() {
   filters_.cells().begin_pass();
   for (const JobIndex index : waiting_jobs_) {
     const Job& job = *registry_.job_at(index);
--- a/src/scheduling/scheduler.hpp
+++ b/src/scheduling/scheduler.hpp
@@ -125,7 +125,7 @@
   };
   void on_task_completed(Machine& machine, Job& job, const Allocation& allocation);
   void on_task_failed(Machine& machine, Job& job);
-  void note_own_waiting_work();
+  void record_own_waiting_work();
   std::vector<Job*> classify_waiting_jobs();
   void place_long_jobs();
   void place_short_jobs(std::vector<Job*> short_jobs);
@@ -151,7 +151,7 @@
   Machine* least_waiting(const Job& job, bool cached_only = false);
   // The machine with the least share of services, for a service; null: none.
   Machine* least_crowded(const Job& job);
-  double crowding(const Machine& machine, const Job& job) const;
+  double service_placement_cost(const Machine& machine, const Job& job) const;
   Seconds fetch_s(MachineTypeIndex type, const Job& job) const;
   static bool zone_allows_migration(ZoneIndex zone, const Job& job, const Machine& from);
   void update_waiting_load();
@@ -170,7 +170,7 @@
   bool preempt_for_job(Job& job, std::optional<double> saves_s, bool other_cells_only = false);
   void consider_preempting(const PlacementIndex::Group& group, const Job& job, double most_lost_s,
                            bool other_cells_only, PreemptionPlan& best);
-  bool stop_loses_nothing(const Allocation& allocation) const;
+  bool can_restart_in_time(const Allocation& allocation) const;
   void reclaim_guarantees();
   std::size_t reclaim_from(Job& victim, Job& job);
 
@@ -195,7 +195,7 @@
   std::vector<JobIndex> long_jobs_;     // of these the long ones, in the order of the last pass
   std::vector<JobIndex> overdue_jobs_;  // of these the overdue ones, those that wait longest first
   bool zones_unstable_ = false;         // a zone is lost or on its way back, as of this pass
-  Seconds last_second_ = 0;
+  Seconds last_update_at_ = 0;
   // Failed searches for a preemption in this pass, by priority: arrays that find nothing of lower priority to
   // stop must not use up the searches of services.
   std::array<int, 4> failed_preemptions_{};
--- a/tests/load_balancing_test.cpp
+++ b/tests/load_balancing_test.cpp
@@ -108,11 +108,11 @@
     migrations.begin(migration);
   }
   EXPECT_FALSE(migrations.may_begin(jobs::JobIndex(1), 9, 3, 10)) << "limit reached";
-  ASSERT_TRUE(migrations.on_task_gone(jobs::JobIndex(1), 0));
-  EXPECT_FALSE(migrations.on_task_gone(jobs::JobIndex(1), 0)) << "over already";
-  EXPECT_FALSE(migrations.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations / 2))
+  ASSERT_TRUE(migrations.take_of_task(jobs::JobIndex(1), 0));
+  EXPECT_FALSE(migrations.take_of_task(jobs::JobIndex(1), 0)) << "over already";
+  EXPECT_FALSE(migrations.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kMigrationCooldown / 2))
       << "migrated a moment ago";
-  EXPECT_TRUE(migrations.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kRestBetweenMigrations));
+  EXPECT_TRUE(migrations.may_begin(jobs::JobIndex(1), 0, 3, 11 + Migrations::kMigrationCooldown));
   EXPECT_EQ(migrations.take_of_machine(jobs::MachineIndex(5)).size(), 0U);
   EXPECT_EQ(migrations.take_expired(10 + Migrations::kMigrationTimeout).size(), 0U);
   EXPECT_EQ(migrations.take_of_machine(jobs::MachineIndex(4)).size(), 2U);
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -112,7 +112,7 @@
 mutant "spread: a moved task counts as gone before the proof" scheduling/migration.cpp 's/(workers_\.stop_task\(from, allocation, checkpoints [^\n]*\n)/$1  registry_.unplace_task(*job, allocation.task, from.zone);\n/'
 mutant "spread: what is kept for a move is never given up" scheduling/migration.cpp 's/workers_\.reserve_resources\(workers_\.machine_at\(migration\.target\), migration\.resources, -1\);//'
 mutant "spread: moves know no budget" balancing/migrations.cpp 's/if \(migrations_\.size\(\) >= max_in_progress\)\s+return false;//'
-mutant "spread: a task is moved again and again" balancing/migrations.cpp 's/now - it->second > kRestBetweenMigrations;/true;/'
+mutant "spread: a task is moved again and again" balancing/migrations.cpp 's/now - it->second > kMigrationCooldown;/true;/'
 mutant "spread: one job alone blames a machine" balancing/speed_estimator.cpp 's/kMaxJobShare = 0\.45/kMaxJobShare = 1.1/'
 mutant "spread: a long run alone is slow" balancing/speed_estimator.hpp 's/kFalseAlarmRate = 1e-6/kFalseAlarmRate = 0.3/'
 mutant "spread: services crowd where their image is" scheduling/placement.cpp 's/spread_out \? least_crowded\(job\) : //'
