--- a/src/scheduling/demand_forecast.cpp
+++ b/src/scheduling/demand_forecast.cpp
@@ -12,23 +12,25 @@
 using ports::Seconds;
 
 namespace {
-constexpr Seconds kArrivalWindow = 60;  // time constant of the rate of arrival
+constexpr Seconds kArrivalWindow = 60;  // time constant of the decay of the rate of arrival
 }
 
 void DemandForecast::clear() {
   offered_cores_ = 0;
 }
 
-// Capacity that comes free within the time that the job can spare needs no machine: its tasks run one after
-// another. A machine that is rented for it now comes after a boot, so the deadline that counts is the first
-// one it can still meet then; and one that would be of use for less than a boot's time is not worth one.
+// Tasks that can run one after another on the same cores within the time that the job can spare need no
+// additional machines. A machine that is rented now is available only after its boot, so the deadline that
+// counts is the earliest one that the job can still meet then. The divisor is at least the boot time, since a
+// machine that would be used for less than that is not worth renting.
 double DemandForecast::urgent_fraction(const Job& job, Seconds boot_s) const {
-  const double run = std::max(1.0, estimates_.estimated_run_time(job));
-  return std::min(1.0,
-                  run / std::max(boot_s, objectives_.next_deadline(job, boot_s) - out_.now() - run - boot_s));
+  const Seconds run_s = std::max(1.0, estimates_.estimated_run_time(job));
+  const Seconds spare_s = objectives_.next_deadline(job, boot_s) - out_.now() - run_s - boot_s;
+  return std::min(1.0, run_s / std::max(boot_s, spare_s));
 }
 
-// A long array that could not be in time if it had to run a task once more is worth ordinary machines.
+// Whether the job should run on spot machines if it may. A long job array that would miss its next deadline
+// if it had to run a task a second time after a spot preemption should run on ordinary machines.
 bool DemandForecast::prefers_spot(const Job& job) const {
   if (!job.spec.allows_spot)
     return false;
@@ -61,8 +63,9 @@
   return left;
 }
 
-// No machine helps what its team's quota holds back, a job that fails wherever it runs, what may run
-// unobserved on machines that a new leader has yet to hear from, or what no zone within reach may take.
+// Additional machines do not help tasks beyond the team's quota, a job that backs off after failures, a job
+// of which tasks may run unobserved on machines that are not reconciled yet, or tasks that no reachable zone
+// may run.
 double DemandForecast::helpable_waiting_cores(const Job& job, bool zones_unstable,
                                               double within_quota) const {
   const double cores_per_task = job.spec.task_resources.cpus;
@@ -90,14 +93,14 @@
       demand.replicas += job.placed_tasks;
     const double waiting = helpable_waiting_cores(job, zones_unstable, left[job.team]);
     left[job.team] -= waiting;
-    const bool on_spot = prefers_spot(job);
-    (on_spot ? demand.waiting_flexible : demand.waiting_ordinary) += waiting;
+    const bool is_flexible = prefers_spot(job);
+    (is_flexible ? demand.waiting_flexible : demand.waiting_ordinary) += waiting;
     const double urgent = job.spec.allows_spot ? waiting * urgent_fraction(job, boot_s) : waiting;
-    (on_spot ? demand.flexible : demand.ordinary) += urgent;
-    (on_spot ? placed_flexible : demand.ordinary) += placed;
+    (is_flexible ? demand.flexible : demand.ordinary) += urgent;
+    (is_flexible ? placed_flexible : demand.ordinary) += placed;
   });
-  // Machines must also keep up with what arrives while what waits is worked off: after a start, or when
-  // machines were lost, little is placed yet.
+  // While the backlog is worked off, the machines must also keep up with new arrivals. At the beginning of a
+  // leadership and after a loss of machines the placed tasks alone understate that demand.
   demand.flexible += std::max(placed_flexible, offered_cores());
   return demand;
 }
--- a/src/scheduling/demand_forecast.hpp
+++ b/src/scheduling/demand_forecast.hpp
@@ -1,5 +1,6 @@
-/// \file
-/// The cores that running and waiting work needs, by which machines are rented and returned.
+/// @file
+/// Forecast of the cores that running and waiting jobs need, by which the autoscaler rents and
+/// returns machines.
 #pragma once
 
 #include "filters/filter_chain.hpp"
@@ -9,14 +10,17 @@
 
 namespace wingtrail::scheduling {
 
-/// Cores needed, by kind of machine. Ordinary: for work that is better off on ordinary machines. Flexible:
-/// for work that may use spot machines.
+/// Cores needed, by kind of job. Ordinary: jobs that should run on ordinary machines. Flexible: jobs that may
+/// run on spot machines.
 struct Demand {
-  double ordinary = 0, flexible = 0;  ///< in use, and what waiting work needs besides to be in time
-  double waiting_ordinary = 0, waiting_flexible = 0;  ///< all that waits
-  std::size_t replicas = 0;                           ///< of services, that are placed
+  /// Cores of placed tasks, and cores that waiting jobs need in addition to be in time.
+  double ordinary = 0, flexible = 0;
+  /// Cores of all waiting tasks that additional machines would help.
+  double waiting_ordinary = 0, waiting_flexible = 0;
+  std::size_t replicas = 0;  ///< placed replicas of services
 };
 
+/// Computes the demand for machines. References given to the constructor must outlive it.
 class DemandForecast {
  public:
   DemandForecast(const ports::Outbox& out, const settings::Settings& settings, jobs::JobRegistry& registry,
@@ -30,17 +34,20 @@
         estimates_(estimates),
         objectives_(objectives) {}
 
+  /// Discards the rate of arrival.
   void clear();
-  /// The job is new to the service.
+  /// Counts a newly submitted job in the rate of arrival.
   void record_arrival(const jobs::Job& job);
-  /// Walks over all jobs. `boot_s`: seconds that a machine rented now takes to boot.
+  /// The current demand. Visits all jobs. `boot_s`: seconds that a machine rented now takes to boot.
   Demand demand(ports::Seconds boot_s);
-  /// The part of the job's waiting tasks, 0 to 1, that need machines of their own to be in time.
+  /// The share of the job's pending tasks, 0 to 1, that need additional machines to be in time.
   double urgent_fraction(const jobs::Job& job, ports::Seconds boot_s) const;
 
  private:
-  /// Cores of the job that waits that additional machines would help; 0 if none would.
+  /// Cores of the job's pending tasks that additional machines would help to start. `within_quota`: cores
+  /// that the team's quota still allows.
   double helpable_waiting_cores(const jobs::Job& job, bool zones_unstable, double within_quota) const;
+  /// Cores that the quota still allows, by team.
   std::vector<double> quota_left() const;
   bool prefers_spot(const jobs::Job& job) const;
   double offered_cores() const;
@@ -52,7 +59,7 @@
   const filters::FilterChain& filters_;
   const RunTimeEstimates& estimates_;
   const ServiceObjectives& objectives_;
-  /// Cores that flexible work would occupy at its recent rate of arrival, as of `offered_updated_at_`.
+  /// Cores that flexible jobs occupy on average at their recent rate of arrival, as of `offered_updated_at_`.
   double offered_cores_ = 0;
   ports::Seconds offered_updated_at_ = 0;
 };
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -1,4 +1,4 @@
-// Which jobs may start a task, and on which machines.
+// Eligibility: which waiting jobs may start a task, and on which machines.
 #include <algorithm>
 
 #include "scheduling/scheduler.hpp"
@@ -6,17 +6,17 @@
 
 namespace wingtrail::scheduling {
 namespace {
-constexpr double kEps = 1e-6;  // of cores and GPUs: rounding of sums
+constexpr double kEps = 1e-6;  // cores or GPUs: tolerance for rounding errors of sums
 }
 
-// Whether the job's next task would still be within its team's guarantee.
+// Whether the job's next task would still fit into its team's guarantee.
 bool Scheduler::within_guarantee(const Job& job) const {
   if (!job.origin_cell.empty())
-    return false;  // guarantees are for this cell's own work
+    return false;  // a foreign job has no guarantee in this cell
   const settings::Team& team = settings_.teams[job.team];
-  const wire::Resources& use = workers_.team_usage(job.team);
-  return use.cpus + job.spec.task_resources.cpus <= team.cpus + kEps &&
-         use.gpus + job.spec.task_resources.gpus <= team.gpus + kEps;
+  const wire::Resources& usage = workers_.team_usage(job.team);
+  return usage.cpus + job.spec.task_resources.cpus <= team.cpus + kEps &&
+         usage.gpus + job.spec.task_resources.gpus <= team.gpus + kEps;
 }
 
 bool Scheduler::has_startable_task(const Job& job) const {
@@ -34,20 +34,24 @@
   return fast_enough(machine, job) && filters_.admits(machine, job);
 }
 
-// A slow machine takes what can be in time there all the same, and what cannot be in time anywhere.
+// Whether the machine is fast enough for the job. A slow machine runs jobs that meet their next deadline on
+// it, and jobs that are too late for that deadline on any machine.
 bool Scheduler::fast_enough(const Machine& machine, const Job& job) const {
   if (machine.slowdown <= 1 || job.is_service())
     return true;
-  // Past its deadline anywhere: a gang tied to a type and a zone whose only machine is slow would wait for
-  // ever.
-  const Seconds deadline = objectives_.next_deadline(job, 0), run = estimated_run_time(job);
-  return out_.now() + run * machine.slowdown <= deadline || out_.now() + run > deadline;
+  // A job that is too late on any machine is allowed here: a gang restricted to a machine type and a zone
+  // whose only machine is slow would otherwise never start.
+  const Seconds deadline = objectives_.next_deadline(job, 0);
+  const Seconds run_s = estimated_run_time(job);
+  return out_.now() + run_s * machine.slowdown <= deadline || out_.now() + run_s > deadline;
 }
 
-// A job submitted with a mistake is tried again now and then, but nothing is preempted for it: such jobs,
-// retried every minute, could keep a job whose tasks take longer from ever finishing.
+// Whether the job fails on every machine, presumably because it was submitted with a mistake. It is retried
+// after a back-off, but no task is preempted for it: such jobs, retried every minute, could keep a job whose
+// tasks run longer than that from ever finishing.
 bool Scheduler::fails_everywhere(const Job& job) const {
-  return !job.is_service() && !job.has_succeeded && job.error_count >= 3;
+  constexpr unsigned kMinErrors = 3;
+  return !job.is_service() && !job.has_succeeded && job.error_count >= kMinErrors;
 }
 
 }  // namespace wingtrail::scheduling
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -1,4 +1,4 @@
-// Preemption for higher priority, and reclaiming of guaranteed capacity.
+// Preemption of tasks of lower priority, and reclaiming of guaranteed capacity.
 #include <algorithm>
 
 #include "scheduling/scheduler.hpp"
@@ -6,14 +6,16 @@
 
 namespace wingtrail::scheduling {
 namespace {
-constexpr double kEps = 1e-6;  // of cores, GPUs and GB: rounding of sums
+constexpr double kEps = 1e-6;  // cores, GPUs or GB: tolerance for rounding errors of sums
 }
 
+// Samples machines of the group and replaces `best` if stopping tasks of lower priority on one of them costs
+// less. `most_lost_s`: limit on the work in seconds that the preemption may discard.
 void Scheduler::consider_preempting(const PlacementIndex::Group& group, const Job& job, double most_lost_s,
                                     bool other_cells_only, PreemptionPlan& best) {
   if (group.members.empty())
     return;
-  constexpr double kDelayWeight = 5;  // against the seconds of work thrown away
+  constexpr double kDelayWeight = 5;  // of a second of start delay, relative to a second of discarded work
   const Seconds now = out_.now();
   for (int i = 0; i < 2 * settings_.tunables.steal_sample; ++i) {
     Machine& machine =
@@ -21,10 +23,9 @@
     ++machines_examined_;
     if (!can_start_on(machine, job, true))
       continue;
-    // Youngest first: that loses the least work.
     std::vector<std::size_t> candidates;
-    for (std::size_t s = 0; s < machine.allocations.size(); ++s) {
-      const Allocation& allocation = machine.allocations[s];
+    for (std::size_t position = 0; position < machine.allocations.size(); ++position) {
+      const Allocation& allocation = machine.allocations[position];
       const Job* other = registry_.job_at(allocation.job);
       if (!other || !allocation.occupies_machine || allocation.stop_requested ||
           other->effective_priority >= job.effective_priority)
@@ -32,53 +33,63 @@
       if (other_cells_only && other->origin_cell.empty())
         continue;
       if (other->spec.checkpoint_interval_s > 0 && other->spec.checkpoint_cost_s > 0)
-        continue;  // its checkpoint would take too long here
-      candidates.push_back(s);
+        continue;  // writing its checkpoint would delay the start
+      candidates.push_back(position);
     }
-    auto age = [&](std::size_t s) {
-      return machine.allocations[s].running_since > 0 ? now - machine.allocations[s].running_since : 0.0;
+    auto age_s = [&](std::size_t position) {
+      const Seconds running_since = machine.allocations[position].running_since;
+      return running_since > 0 ? now - running_since : 0.0;
     };
+    // The tasks that started last come first, since stopping them discards the least work.
     std::sort(candidates.begin(), candidates.end(),
-              [&](std::size_t a, std::size_t b) { return age(a) < age(b); });
-    Machine after;  // the machine without the victims; only its sizes are set
-    after.cpus = machine.cpus;
-    after.gpus = machine.gpus;
-    after.memory_gb = machine.memory_gb;
-    after.used = machine.used;
+              [&](std::size_t a, std::size_t b) { return age_s(a) < age_s(b); });
+    Machine without_victims;  // only its capacity and usage are set
+    without_victims.cpus = machine.cpus;
+    without_victims.gpus = machine.gpus;
+    without_victims.memory_gb = machine.memory_gb;
+    without_victims.used = machine.used;
     std::vector<std::size_t> victims;
-    double cost = start_delay_s(machine, job) * kDelayWeight, lost_s = 0;
-    for (const std::size_t s : candidates) {
-      if (after.fits(job.spec.task_resources))
+    double cost = start_delay_s(machine, job) * kDelayWeight;
+    double lost_s = 0;
+    for (const std::size_t position : candidates) {
+      if (without_victims.fits(job.spec.task_resources))
         break;
-      after.used.cpus -= machine.allocations[s].resources.cpus;
-      after.used.gpus -= machine.allocations[s].resources.gpus;
-      after.used.memory_gb -= machine.allocations[s].resources.memory_gb;
-      cost += 1 + age(s);
-      lost_s += balancing_enabled_ && can_restart_in_time(machine.allocations[s]) ? 0 : age(s);
-      victims.push_back(s);
+      const Allocation& allocation = machine.allocations[position];
+      without_victims.used.cpus -= allocation.resources.cpus;
+      without_victims.used.gpus -= allocation.resources.gpus;
+      without_victims.used.memory_gb -= allocation.resources.memory_gb;
+      cost += 1 + age_s(position);
+      lost_s += balancing_enabled_ && can_restart_in_time(allocation) ? 0 : age_s(position);
+      victims.push_back(position);
     }
-    if (lost_s > most_lost_s || victims.empty() || !after.fits(job.spec.task_resources))
+    if (lost_s > most_lost_s || victims.empty() || !without_victims.fits(job.spec.task_resources))
       continue;
     if (!best.machine || cost < best.cost)
       best = {&machine, cost, victims};
   }
 }
 
-// Whether the task's job meets the same deadlines if the task has to run once more from now on.
+// Whether the task's job meets the same deadlines if the task is stopped and runs again from the beginning.
+// True for a task that has not run yet.
 bool Scheduler::can_restart_in_time(const Allocation& allocation) const {
   const Job* job = registry_.job_at(allocation.job);
   if (!job || allocation.running_since <= 0)
     return true;
-  constexpr Seconds kRestartDelay = 10;  // until it starts again; on a full fleet some task ends all the time
-  const Seconds run = estimated_run_time(*job), ends = allocation.running_since + run,
-                later = out_.now() + kRestartDelay + run;
-  return objectives_.meets_same_deadlines(*job, ends, later);
+  // Until the task starts again. Even in a fully used cluster tasks end all the time and free capacity.
+  constexpr Seconds kRestartDelay = 10;
+  const Seconds run_s = estimated_run_time(*job);
+  const Seconds undisturbed_end = allocation.running_since + run_s;
+  const Seconds end_after_restart = out_.now() + kRestartDelay + run_s;
+  return objectives_.meets_same_deadlines(*job, undisturbed_end, end_after_restart);
 }
 
-// Stops tasks of lower priority on one machine, and starts a task of the job there.
+// Stops tasks of lower priority on one machine and starts a task of the job there. Returns false if no
+// machine was found.
 bool Scheduler::preempt_for_job(Job& job, std::optional<double> saves_s, bool other_cells_only) {
-  const double most_lost_s = saves_s.value_or(1e9);
-  // When all that runs has as high a priority every search fails; a few in a pass notice when that changes.
+  constexpr Seconds kNoLimit = 1e9;
+  const double most_lost_s = saves_s.value_or(kNoLimit);
+  // While only tasks of the same or a higher priority run, every search fails. The limit on failed searches
+  // saves most of them; the remaining ones notice when that changes.
   int& failed = failed_preemptions_[static_cast<std::size_t>(job.effective_priority)];
   if (failed >= settings_.tunables.steal_sample || !has_startable_task(job) || fails_everywhere(job))
     return false;
@@ -90,9 +101,9 @@
           !filters_.zones().admits_zone(pool.zone, job)) {
         continue;
       }
-      const PlacementIndex::Group* with = pool.group_with_image(job.image);
-      if (cached && with)
-        consider_preempting(*with, job, most_lost_s, other_cells_only, best);
+      const PlacementIndex::Group* group_with_image = pool.group_with_image(job.image);
+      if (cached && group_with_image)
+        consider_preempting(*group_with_image, job, most_lost_s, other_cells_only, best);
       if (!cached)
         consider_preempting(pool.all_machines, job, most_lost_s, other_cells_only, best);
     }
@@ -104,13 +115,14 @@
     return false;
   }
   tasks_preempted_ += best.victims.size();
-  for (const std::size_t s : best.victims)
-    workers_.stop_task(*best.machine, best.machine->allocations[s], 0);
+  for (const std::size_t position : best.victims)
+    workers_.stop_task(*best.machine, best.machine->allocations[position], 0);
   start_task(*best.machine, job);
   return true;
 }
 
-// Stops the victim's youngest tasks on machines that the job can use; returns how many.
+// Stops the victim's tasks that started last, on machines that the job can use, until the job is served or
+// the victim's team is within its guarantee. Returns how many tasks were stopped.
 std::size_t Scheduler::reclaim_from(Job& victim, Job& job) {
   struct Candidate {
     Seconds running_since;
@@ -118,16 +130,17 @@
     std::uint32_t task;
   };
   std::vector<Candidate> candidates;
-  for (std::uint32_t i = 0; i < victim.tasks.size(); ++i) {
-    if (victim.tasks[i].state != jobs::TaskState::placed)
+  for (std::uint32_t task = 0; task < victim.tasks.size(); ++task) {
+    if (victim.tasks[task].state != jobs::TaskState::placed)
       continue;
-    Machine& machine = workers_.machine_at(victim.tasks[i].machine);
+    Machine& machine = workers_.machine_at(victim.tasks[task].machine);
     ++machines_examined_;
     if (!can_start_on(machine, job, true) || machine.fits(job.spec.task_resources))
       continue;
-    for (const Allocation& s : machine.allocations) {
-      if (s.job == victim.index && s.task == i && s.occupies_machine && !s.stop_requested)
-        candidates.push_back({s.running_since, machine.index, i});
+    for (const Allocation& allocation : machine.allocations) {
+      if (allocation.job == victim.index && allocation.task == task && allocation.occupies_machine &&
+          !allocation.stop_requested)
+        candidates.push_back({allocation.running_since, machine.index, task});
     }
   }
   std::sort(candidates.begin(), candidates.end(),
@@ -143,9 +156,10 @@
     if (!can_start_on(machine, job, true))
       continue;
     const bool checkpoints = victim.spec.checkpoint_interval_s > 0;
-    for (Allocation& s : machine.allocations) {
-      if (s.job == victim.index && s.task == candidate.task && s.occupies_machine) {
-        workers_.stop_task(machine, s, checkpoints ? victim.spec.checkpoint_cost_s + 1 : 0);
+    for (Allocation& allocation : machine.allocations) {
+      if (allocation.job == victim.index && allocation.task == candidate.task &&
+          allocation.occupies_machine) {
+        workers_.stop_task(machine, allocation, checkpoints ? victim.spec.checkpoint_cost_s + 1 : 0);
         ++stopped;
         ++tasks_reclaimed_;
         break;
@@ -157,22 +171,25 @@
   return stopped;
 }
 
-// A team below its guarantee gets it from those that run beyond theirs.
+// Stops tasks of teams that use more than their guarantee, so that waiting jobs within their guarantee start.
 void Scheduler::reclaim_guarantees() {
-  // Tasks end all the time, and what comes free goes to those within their guarantee first; stopping one
-  // throws its work away. So a job that can spare the time waits for a part of it.
+  // Tasks end all the time, and the capacity that becomes free goes to jobs within their guarantee first,
+  // whereas stopping a task discards its work. So a job first waits for a share of the time that it can spare
+  // before its next deadline.
   constexpr Seconds kMinPatience = 3;
-  // With little patience the same tasks are stopped again and again, for jobs with most of their time left.
-  const double patience_share = balancing_enabled_ ? 0.4 : 0.1;  // of the time the job can spare
-  // Jobs of teams beyond their guarantee, the one that comes last first.
+  // With a small share the same tasks are stopped again and again, for jobs that have most of their
+  // time left.
+  const double patience_share = balancing_enabled_ ? 0.4 : 0.1;
+  // Jobs of teams that use more than their guarantee, in the reverse order of service.
   std::optional<std::vector<Job*>> victims;
   for (const JobIndex index : std::vector<JobIndex>(waiting_jobs_)) {
     Job* job = registry_.job_at(index);
     if (!job || !within_guarantee(*job) || !has_startable_task(*job) ||
         out_.now() - job->eligible_since < kMinPatience)
       continue;
-    const Seconds spare = objectives_.next_deadline(*job, 0) - job->eligible_since - estimated_run_time(*job);
-    if (!job->is_service() && out_.now() - job->eligible_since < patience_share * spare)
+    const Seconds spare_s =
+        objectives_.next_deadline(*job, 0) - job->eligible_since - estimated_run_time(*job);
+    if (!job->is_service() && out_.now() - job->eligible_since < patience_share * spare_s)
       continue;
     if (fails_everywhere(*job))
       continue;
@@ -188,14 +205,16 @@
       std::sort(victims->begin(), victims->end(),
                 [this](const Job* a, const Job* b) { return precedes(*b, *a); });
     }
-    // Over all machines a task of the job that comes last, and of these the youngest. Going by machine
-    // instead would stop a small job whose tasks share the first machine again and again.
+    // Stops the tasks that started last of the victim that is served last, on whatever machine they run.
+    // Going through the machines one by one instead would repeatedly stop a small job whose tasks share the
+    // first one.
     for (Job* victim : *victims) {
       if (!within_guarantee(*job) || !has_startable_task(*job))
         break;
-      const wire::Resources &has = victim->spec.task_resources, &needs = job->spec.task_resources;
-      if (victim->team == job->team || has.cpus + kEps < needs.cpus || has.gpus + kEps < needs.gpus ||
-          has.memory_gb + kEps < needs.memory_gb)
+      const wire::Resources& available = victim->spec.task_resources;
+      const wire::Resources& required = job->spec.task_resources;
+      if (victim->team == job->team || available.cpus + kEps < required.cpus ||
+          available.gpus + kEps < required.gpus || available.memory_gb + kEps < required.memory_gb)
         continue;
       reclaim_from(*victim, *job);
     }
--- a/src/scheduling/reservation_queues.cpp
+++ b/src/scheduling/reservation_queues.cpp
@@ -51,12 +51,12 @@
     it->second -= std::min(it->second, tasks);
 }
 
-void ReservationQueues::drop_obsolete(MachineIndex machine, const JobPredicate& is_over) {
+void ReservationQueues::drop_obsolete(MachineIndex machine, const JobPredicate& is_obsolete) {
   std::erase_if(queue_of(machine), [&](const Reservation& reservation) {
-    const bool over = is_over(reservation.job);
-    if (over)
+    const bool obsolete = is_obsolete(reservation.job);
+    if (obsolete)
       subtract_reserved(reservation.job, reservation.tasks);
-    return over;
+    return obsolete;
   });
 }
 
--- a/src/scheduling/reservations.cpp
+++ b/src/scheduling/reservations.cpp
@@ -1,4 +1,5 @@
-// Placement of short jobs: reservations with late binding, and stealing; serving of machines with free cores.
+// Placement of short jobs by reservations with late binding and by stealing, and the choice of the next task
+// for a machine with free cores.
 #include <algorithm>
 #include <cmath>
 
@@ -6,10 +7,11 @@
 
 namespace wingtrail::scheduling {
 namespace {
-constexpr double kEps = 1e-6;
+constexpr double kEps = 1e-6;  // cores: tolerance for rounding errors of sums
 }
 
-// How many of the probes fall on which machine, drawn from all machines that the job may use.
+// Draws a machine for each probe from all machines that the job may use. Returns the number of probes
+// by machine.
 std::unordered_map<MachineIndex, std::uint32_t> Scheduler::sample_machines(const Job& job,
                                                                            std::uint32_t probes) {
   std::vector<const std::vector<MachineIndex>*> pools;
@@ -37,6 +39,8 @@
   return sample;
 }
 
+// Adds reservations for that many of the job's tasks to the queues of sampled machines, and serves those of
+// the machines that have free capacity.
 void Scheduler::reserve(Job& job, std::uint32_t tasks) {
   const auto probes = static_cast<std::uint32_t>(std::ceil(tasks * settings_.tunables.reservations_per_task));
   struct Candidate {
@@ -51,8 +55,8 @@
     if (machine.fits(job.spec.task_resources))
       candidates.push_back({start_delay_s(machine, job), index});
   }
-  // All queues are in this process, so the sampled machines are served in the order in which they could
-  // begin.
+  // All queues are in this process, unlike in Hawk, so the sampled machines can be served in the order of
+  // their start delays.
   std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
     return a.start_delay_s != b.start_delay_s ? a.start_delay_s < b.start_delay_s : a.machine < b.machine;
   });
@@ -63,7 +67,7 @@
   }
 }
 
-// The waiting long job that comes first among those that could start here.
+// The waiting long job that is served first among those that can start on the machine; null: none.
 Job* Scheduler::first_long(const Machine& machine) {
   if (machine.short_only)
     return nullptr;
@@ -78,18 +82,21 @@
   return nullptr;
 }
 
-// The order by cost serves the cheapest first, and so the largest arrays never while more arrives than there
-// is capacity for. Each of them costs the others one task this way.
+// The order by cost serves the cheapest jobs first. While more work arrives than there is capacity for, the
+// largest job arrays would therefore never begin. Starting one task of an overdue array ahead of the order
+// delays the other jobs by one task only.
 bool Scheduler::is_overdue(const Job& job) const {
-  constexpr double kStartShare = 1.0 / 3;  // of the time: until capacity comes free and the image is there
+  // The share of begin_within_s that is left for waiting for free capacity and for the image fetch.
+  constexpr double kStartShare = 1.0 / 3;
   return settings_.tunables.begin_within_s > 0 && !job.is_service() && !job.is_gang() &&
          job.origin_cell.empty() && job.placed_tasks == 0 && job.done_tasks == 0 && !fails_everywhere(job) &&
          out_.now() - job.eligible_since > settings_.tunables.begin_within_s * (1 - kStartShare);
 }
 
-// On a full fleet a pass finds no free capacity, so overdue jobs are also tried on what comes free.
+// The overdue job that can start on the machine and has waited longest; null: none. In a fully used cluster a
+// pass finds no free capacity, so overdue jobs are also considered whenever a task ends.
 Job* Scheduler::first_overdue(const Machine& machine) {
-  constexpr int kMaxExamined = 16;  // the others follow when these have begun
+  constexpr int kMaxExamined = 16;  // the others are examined once these have started a task
   int examined = 0;
   for (const JobIndex index : overdue_jobs_) {
     Job* job = registry_.job_at(index);
@@ -104,10 +111,12 @@
   return nullptr;
 }
 
+// Starts one task of each overdue job that finds a machine, longest wait first.
 void Scheduler::start_overdue_jobs() {
   std::sort(overdue_jobs_.begin(), overdue_jobs_.end(), [this](JobIndex a, JobIndex b) {
-    const Job &ja = *registry_.job_at(a), &jb = *registry_.job_at(b);
-    return ja.eligible_since != jb.eligible_since ? ja.eligible_since < jb.eligible_since : a < b;
+    const Seconds since_a = registry_.job_at(a)->eligible_since;
+    const Seconds since_b = registry_.job_at(b)->eligible_since;
+    return since_a != since_b ? since_a < since_b : a < b;
   });
   for (const JobIndex index : overdue_jobs_) {
     Job& job = *registry_.job_at(index);
@@ -118,10 +127,11 @@
   }
 }
 
-// Starts the task that comes first of those that wait for the machine: reserved, long or overdue.
+// Starts the next task on the machine: of a job with a reservation, a long job or an overdue one. Returns
+// false if no task can start.
 bool Scheduler::serve_next(Machine& machine) {
   Job* first = first_long(machine);
-  // Services and long work within a guarantee go before an overdue job.
+  // Services and other long jobs within a guarantee are served before an overdue job.
   if (!first || !within_guarantee(*first)) {
     if (Job* overdue = first_overdue(machine)) {
       start_task(machine, *overdue);
@@ -150,6 +160,7 @@
   return true;
 }
 
+// Starts tasks on the machine until it is full or no task can start.
 void Scheduler::serve_queue(Machine& machine) {
   ++machines_examined_;
   if (!workers_.accepts_tasks(machine))
@@ -160,7 +171,7 @@
   }
 }
 
-// An idle machine samples some others and takes the first reservation queued there that it could serve.
+// Samples other machines and takes over the first reservation in their queues that this machine can serve.
 bool Scheduler::steal(const Machine& thief) {
   return reservations_.steal(thief.index, settings_.tunables.steal_sample, rng_, [&](JobIndex index) {
     const Job* job = registry_.job_at(index);
@@ -169,8 +180,8 @@
   });
 }
 
-// The reverse of stealing: tasks whose sampled machines are full go where there is capacity.
-// Sampling alone leaves much of it unused, since only few machines have any.
+// Places tasks of a short job on machines with free capacity when the sampled machines are full. This is the
+// reverse of stealing. Sampling alone leaves much free capacity unused when only few machines have any.
 void Scheduler::place_short(Job& job) {
   while (has_startable_task(job)) {
     Machine* machine = least_waiting(job);
--- a/src/scheduling/run_time_estimates.cpp
+++ b/src/scheduling/run_time_estimates.cpp
@@ -20,8 +20,8 @@
   if (job.spec.estimate_s <= 0)
     return;
   constexpr double kMinRatio = 0.1, kMaxRatio = 10.0;
-  constexpr double kMinWeight = 0.01;  // of a new sample
-  constexpr int kPriorSamples = 4;     // weight of the ratio 1 at the start
+  constexpr double kMinWeight = 0.01;  // of a new sample in the mean
+  constexpr int kPriorSamples = 4;     // number of samples that the initial ratio 1 counts for
   ClassRatio& observed = class_ratios_[job.job_class];
   const double ratio = std::clamp(run_s / job.spec.estimate_s, kMinRatio, kMaxRatio);
   const double weight = std::max(kMinWeight, 1.0 / (++observed.samples + kPriorSamples));
@@ -30,9 +30,11 @@
 
 void RunTimeEstimates::on_job_over(const Job& job) {
   if (const auto it = job_run_times_.find(job.index); it != job_run_times_.end() && job.spec.estimate_s > 0) {
-    constexpr double kWeight = 0.05;  // of a job
+    constexpr double kWeight = 0.05;  // of a job in the variance
+    constexpr double kMaxSquaredError = 1;
     const double log_error = std::log(it->second.mean_s / estimated_run_time(job));
-    estimate_log_variance_ += (std::min(1.0, log_error * log_error) - estimate_log_variance_) * kWeight;
+    estimate_log_variance_ +=
+        (std::min(kMaxSquaredError, log_error * log_error) - estimate_log_variance_) * kWeight;
   }
   job_run_times_.erase(job.index);
 }
@@ -59,7 +61,7 @@
   if (const auto mean =
           mean_run_time(job, std::max<double>(kMinSamples, kMinCompletedShare * job.spec.tasks)))
     return TypicalRunTime{*mean, 0};
-  // Owners whose estimates are mostly far off would make machines of normal speed appear slow.
+  // If most owners' estimates are far off, machines of normal speed would appear slow.
   constexpr double kMaxLogDeviation = 0.35;
   if (job.spec.estimate_s <= 0 || estimate_log_variance_ > kMaxLogDeviation * kMaxLogDeviation)
     return std::nullopt;
--- a/src/scheduling/run_time_estimates.hpp
+++ b/src/scheduling/run_time_estimates.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Run times of tasks: the owners' estimates, corrected by the run times that were observed.
+/// @file
+/// Estimates of the run times of tasks: the owners' estimates, corrected by observed run times.
 #pragma once
 
 #include <optional>
@@ -10,49 +10,53 @@
 
 namespace wingtrail::scheduling {
 
-/// Learns from completed tasks how long tasks of a class and of a job take. The ratios by class outlive a
-/// leadership; the run times by job do not.
+/// Learns from completed tasks how long tasks of a class and of a job run. What is learned by class is kept
+/// at the end of a leadership; what is learned by job is not.
 class RunTimeEstimates {
  public:
-  /// Run time of a job's task on a machine of normal speed.
+  /// Run time of a task of the job on a machine of normal speed.
   struct TypicalRunTime {
     ports::Seconds run_s;
-    double log_deviation;  ///< standard deviation of the logarithm of `run_s`; 0: observed, not estimated
+    double log_deviation;  ///< standard deviation of the logarithm of `run_s`; 0 if `run_s` was observed
   };
 
   explicit RunTimeEstimates(const settings::Settings& settings) : settings_(settings) {}
 
-  /// Forgets the run times by job.
+  /// Discards the run times by job.
   void clear_jobs();
-  /// A task of the job has completed after `run_s` seconds.
+  /// Records that a task of the job has completed after `run_s` seconds.
   void on_task_completed(const jobs::Job& job, double run_s);
-  /// The job has ended: its run times correct the spread of estimates and are forgotten.
+  /// Updates the deviation of estimates by the run times of a job that is done or cancelled, and
+  /// discards them.
   void on_job_over(const jobs::Job& job);
 
   /// The owner's estimate in seconds, corrected by the ratio observed in the job's class.
   double estimated_run_time(const jobs::Job& job) const;
-  /// Whether the job is scheduled as a long one (Hawk's cutoff); services and gangs always are.
+  /// Whether the job is scheduled as a long one: its estimated run time exceeds the cutoff, or it is a
+  /// service or a gang.
   bool is_long(const jobs::Job& job) const;
-  /// Mean run time in seconds of the job's completed tasks, once `min_samples` of them have completed.
+  /// Mean run time in seconds of the job's completed tasks; empty if fewer than `min_samples` were observed.
   std::optional<double> mean_run_time(const jobs::Job& job, double min_samples) const;
-  /// By the job's completed tasks, once enough have completed to tell, since the first to complete are the
-  /// shortest; before that by its estimate. Nothing: estimates are too far off to judge a machine by them.
+  /// The mean over the job's completed tasks once enough have completed, since the first ones to complete
+  /// are the shortest, and the estimate before that. Empty if estimates are too inaccurate to judge a
+  /// machine by them.
   std::optional<TypicalRunTime> typical_run_time(const jobs::Job& job) const;
 
  private:
   struct ClassRatio {
     double ratio = 1;  ///< run time divided by the owner's estimate
-    int samples = 0;
+    int samples = 0;   ///< completed tasks
   };
   struct JobRunTimes {
     double mean_s = 0;  ///< over completed tasks
-    int samples = 0;
+    int samples = 0;    ///< completed tasks
   };
 
   const settings::Settings& settings_;
   std::vector<ClassRatio> class_ratios_;  ///< by class
   std::unordered_map<jobs::JobIndex, JobRunTimes> job_run_times_;
-  double estimate_log_variance_ = 1;  ///< of the logarithm of jobs' run times divided by their estimates
+  /// Variance of the logarithm of a job's mean run time divided by its estimate, over recent jobs.
+  double estimate_log_variance_ = 1;
 };
 
 }  // namespace wingtrail::scheduling
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -13,12 +13,14 @@
 
 namespace {
 
-// Capacity that is guaranteed to teams has to be there, used or not; a fleet that guarantees none, or whose
-// objectives name cost, is kept as small as its load allows.
+// Whether load balancing is enabled and capacity is guaranteed to teams, which has to exist whether it is
+// used or not. A cluster without guarantees, or with objectives that concern cost, is kept as small as its
+// load allows.
 bool capacity_is_guaranteed(const settings::Settings& settings) {
-  const auto& all = settings.teams;
+  const auto& teams = settings.teams;
   return settings.tunables.load_balancing &&
-         std::any_of(all.begin(), all.end(), [](const auto& t) { return t.cpus > 0 || t.gpus > 0; }) &&
+         std::any_of(teams.begin(), teams.end(),
+                     [](const auto& team) { return team.cpus > 0 || team.gpus > 0; }) &&
          std::none_of(settings.objectives.begin(), settings.objectives.end(),
                       [](const auto& o) { return o.kind == "price" || o.kind == "useful"; });
 }
@@ -44,11 +46,11 @@
 }
 
 void Scheduler::set_catalog(const std::vector<wire::MachineType>& catalog) {
-  for (const auto& t : catalog) {
-    const MachineTypeIndex index = registry_.types.add(t.name);
+  for (const auto& type : catalog) {
+    const MachineTypeIndex index = registry_.types.add(type.name);
     if (catalog_.size() <= index)
       catalog_.resize(index + 1);
-    catalog_[index] = t;
+    catalog_[index] = type;
   }
 }
 
@@ -85,9 +87,9 @@
     return;
   if (is_long(job))
     return place_long(job);
-  const auto missing = static_cast<std::uint32_t>(job.pending_tasks.size());
-  if (reservations_.reserved_tasks(job.index) < missing)
-    reserve(job, missing);
+  const auto pending = static_cast<std::uint32_t>(job.pending_tasks.size());
+  if (reservations_.reserved_tasks(job.index) < pending)
+    reserve(job, pending);
 }
 
 void Scheduler::start_task(Machine& machine, Job& job) {
@@ -127,7 +129,8 @@
     on_task_failed(machine, *job);
   } else if (allocation.cause == wire::ExitCause::no_room || allocation.cause == wire::ExitCause::unknown ||
              allocation.cause == wire::ExitCause::busy) {
-    // Refused: the machine runs something unknown here, or the job's description has not arrived yet.
+    // The worker refused the start: the machine runs a task that this leader does not know, or the worker has
+    // not received the job's description yet.
     constexpr Seconds kRefusalBackoff = 0.5;
     job->not_before = out_.now() + kRefusalBackoff;
   }
@@ -138,7 +141,7 @@
 }
 
 void Scheduler::on_task_completed(Machine& machine, Job& job, const Allocation& allocation) {
-  constexpr Seconds kMinRunTime = 0.5;  // what ran for less was observed only at its end
+  constexpr Seconds kMinRunTime = 0.5;  // the start of a shorter run was not observed before its end
   constexpr double kMinSamples = 3;
   constexpr double kMinRatio = 0.2, kMaxRatio = 10.0;
   constexpr double kSampleWeight = 0.15;
@@ -151,7 +154,7 @@
   if (allocation.running_since <= 0 || run_s < kMinRunTime)
     return;
   if (balancing_enabled_ && allocation.adopted)
-    return;  // an earlier leader observed its start
+    return;  // its run time is not known: an earlier leader observed the start
   if (const auto typical = typical_run_time(job)) {
     speeds_.on_task_completed(machine.index, job.index, std::log(run_s / typical->run_s),
                               typical->log_deviation);
@@ -176,8 +179,8 @@
   };
   ++job.error_count;
   add_once(job.failed_machines, machine.index);
-  // A job that failed on three machines and succeeded on none is at fault itself: it backs off, and its
-  // machines are not blamed.
+  // A job that failed on three machines and succeeded on none is presumed to be faulty: it backs off, and its
+  // failures no longer count against the machines.
   if (!job.has_succeeded && job.failed_machines.size() >= kMaxFailedMachines) {
     job.not_before =
         out_.now() + std::min(kMaxBackoff, std::pow(2.0, std::min(job.error_count, kMaxBackoffExponent)));
@@ -187,7 +190,8 @@
     return;
   }
   add_once(machine.failed_jobs, job.index);
-  // One failure may be the job's; until more is known the machine gets nothing new.
+  // The cause of a single failure, job or machine, is not known yet; the machine gets no new tasks for
+  // a while.
   workers_.avoid_until(machine, out_.now() + kMachineBackoff);
   if (machine.failed_jobs.size() >= kJobsFailedWhenFaulty || (job.has_succeeded && job.error_count >= 1)) {
     if (machine.health != workers::Health::unhealthy)
@@ -207,10 +211,10 @@
   }
   std::erase_if(waiting_jobs_, [this](JobIndex index) {
     const Job* job = registry_.job_at(index);
-    const bool over = !job || !job->is_open() || job->pending_tasks.empty();
-    if (over)
+    const bool obsolete = !job || !job->is_open() || job->pending_tasks.empty();
+    if (obsolete)
       is_waiting_[index] = false;
-    return over;
+    return obsolete;
   });
   if (settings_.cells.enabled())
     record_own_waiting_work();
@@ -228,7 +232,7 @@
   }
 }
 
-// Work of other cells yields to this cell's own work that waits.
+// Records for which teams own jobs wait, since foreign jobs of these teams yield to them.
 void Scheduler::record_own_waiting_work() {
   filters_.cells().begin_pass();
   for (const JobIndex index : waiting_jobs_) {
@@ -238,7 +242,7 @@
   }
 }
 
-// Lists the long and the overdue jobs of those that wait; returns the short ones that could start.
+// Sets long_jobs_ and overdue_jobs_; returns the short waiting jobs that may start a task.
 std::vector<Job*> Scheduler::classify_waiting_jobs() {
   long_jobs_.clear();
   overdue_jobs_.clear();
@@ -284,7 +288,7 @@
 }
 
 Seconds Scheduler::expected_duration(const Job& job) const {
-  double slowest_fetch = 0;  // GB/s
+  double slowest_fetch = 0;  // GB/s; 0: not known
   for (const auto& type : catalog_)
     slowest_fetch = slowest_fetch <= 0 ? type.fetch_gb_per_s : std::min(slowest_fetch, type.fetch_gb_per_s);
   return estimated_run_time(job) + (slowest_fetch > 0 ? job.spec.image_gb / slowest_fetch : 0);
@@ -305,7 +309,7 @@
   return scheduling::zone_loss_impact(zone, registry_, workers_, out_.now());
 }
 
-// Reports why jobs wait, once a second.
+// Updates the waiting jobs in the load snapshot, by the reason why they wait. Called once a second.
 void Scheduler::update_waiting_load() {
   load_.begin_waiting_update();
   for (const JobIndex index : waiting_jobs_) {
--- a/src/scheduling/service_objectives.cpp
+++ b/src/scheduling/service_objectives.cpp
@@ -28,22 +28,23 @@
   return *objectives;
 }
 
-// Deadlines count from the submission, however long the job waited for others; everything else from when it
-// could start.
+// When the job must end to meet the objective. The job's own deadline counts from its submission, even if it
+// had to wait for other jobs; the other objectives count from when it became eligible to start.
 Seconds ServiceObjectives::deadline(const Job& job, const Objective& objective) const {
   switch (objective.kind) {
     case Objective::Kind::finished:
       return job.eligible_since + objective.value;
     case Objective::Kind::deadline:
       return job.spec.deadline_s ? job.submitted_at + objective.value * *job.spec.deadline_s : ports::kNever;
-    case Objective::Kind::wait:  // of a service every second counts, and it goes first anyway
+    case Objective::Kind::wait:  // not for services, which are urgent and served first in any case
       return job.is_service() ? ports::kNever
                               : job.eligible_since + objective.value + estimates_.estimated_run_time(job);
   }
   return ports::kNever;
 }
 
-// By its class's objectives, by the jobs that depend on it, or, without any of these, by its own deadline.
+// Visits the deadlines from the class's objectives and from the jobs that depend on the job. If there are
+// none, visits the job's own deadline.
 template <typename Visit>
 void ServiceObjectives::for_each_deadline(const Job& job, Visit visit) const {
   bool any = false;
@@ -62,11 +63,11 @@
     visit(job.submitted_at + *job.spec.deadline_s);
 }
 
-Seconds ServiceObjectives::next_deadline(const Job& job, Seconds delay) const {
-  constexpr double kLatePenalty = 10;  // times the last deadline, or the run time
-  constexpr Seconds kLeastTime = 60;
-  const double run = estimates_.estimated_run_time(job);
-  const Seconds finish = out_.now() + delay + run;
+Seconds ServiceObjectives::next_deadline(const Job& job, Seconds delay_s) const {
+  constexpr double kLateFactor = 10;    // of the time until the last deadline, or of the run time
+  constexpr Seconds kMinLateTime = 60;  // in addition to the run time, for a job without deadlines
+  const Seconds run_s = estimates_.estimated_run_time(job);
+  const Seconds finish = out_.now() + delay_s + run_s;
   Seconds next = ports::kNever, last = -ports::kNever;
   for_each_deadline(job, [&](Seconds at) {
     if (finish <= at)
@@ -75,8 +76,8 @@
   });
   if (next != ports::kNever)
     return next;
-  return last > -ports::kNever ? job.eligible_since + kLatePenalty * std::max(1.0, last - job.eligible_since)
-                               : job.eligible_since + kLatePenalty * run + kLeastTime;
+  return last > -ports::kNever ? job.eligible_since + kLateFactor * std::max(1.0, last - job.eligible_since)
+                               : job.eligible_since + kLateFactor * run_s + kMinLateTime;
 }
 
 int ServiceObjectives::missed_deadlines(const Job& job) const {
@@ -104,7 +105,7 @@
 }
 
 double ServiceObjectives::cost_per_deadline(const Job& job) const {
-  constexpr double kMeetsNone = 1e12;  // core-seconds, above every cost
+  constexpr double kMeetsNone = 1e12;  // core-seconds, more than any job needs
   const Seconds finish = out_.now() + estimates_.estimated_run_time(job);
   int met = 0;
   for_each_deadline(job, [&](Seconds at) { met += finish <= at; });
@@ -123,9 +124,9 @@
 }
 
 bool ServiceObjectives::starts_in_time_after_fetch(const Job& job, Seconds fetch_s) const {
-  constexpr double kFetchVariation = 1.33;  // PROTOCOL: a third more or less
-  constexpr Seconds kMessageDelay = 0.3;    // submission, start command and heartbeat
-  return out_.now() - job.eligible_since + fetch_s * kFetchVariation + kMessageDelay < start_objective_s(job);
+  constexpr double kMaxFetchFactor = 1.33;  // the worker protocol lets fetch times vary by a third
+  constexpr Seconds kMessageDelay = 0.3;    // for the submission, the start command and the heartbeat
+  return out_.now() - job.eligible_since + fetch_s * kMaxFetchFactor + kMessageDelay < start_objective_s(job);
 }
 
 }  // namespace wingtrail::scheduling
--- a/src/scheduling/short_partition.cpp
+++ b/src/scheduling/short_partition.cpp
@@ -6,17 +6,17 @@
 using workers::Machine;
 
 void update_short_partition(workers::WorkerManager& workers, double share) {
-  std::size_t spot = 0, all = 0;
+  std::size_t spot_up = 0, up = 0;  // machines
   for (const MachineIndex index : workers.live_machines()) {
     const Machine& machine = workers.machine_at(index);
-    all += machine.has_incarnation;
-    spot += machine.has_incarnation && machine.spot;
+    up += machine.has_incarnation;
+    spot_up += machine.has_incarnation && machine.spot;
   }
-  const auto size = static_cast<std::size_t>(share * static_cast<double>(all));
-  std::size_t ordinary_left = spot < size ? size - spot : 0;
+  const auto size = static_cast<std::size_t>(share * static_cast<double>(up));
+  std::size_t ordinary_left = spot_up < size ? size - spot_up : 0;
   for (const MachineIndex index : workers.live_machines()) {
     Machine& machine = workers.machine_at(index);
-    bool short_only = machine.spot && size > 0 && spot <= size;
+    bool short_only = machine.spot && size > 0 && spot_up <= size;
     if (!machine.spot && machine.has_incarnation && ordinary_left > 0) {
       short_only = true;
       --ordinary_left;
--- a/src/scheduling/short_partition.hpp
+++ b/src/scheduling/short_partition.hpp
@@ -1,13 +1,14 @@
-/// \file
-/// Hawk's short partition: machines that refuse long tasks.
+/// @file
+/// Hawk's short partition: machines that do not accept long tasks.
 #pragma once
 
 #include "workers/worker_manager.hpp"
 
 namespace wingtrail::scheduling {
 
-/// Sets which machines are in the partition, `share` of all that are up. Spot machines take no services
-/// anyway and so are its natural part; ordinary ones make up the rest, the longest known first.
+/// Chooses the machines of the partition, a share (0 to 1) of all machines that are up. Spot machines come
+/// first, since they do not accept services in any case. If there are too few, ordinary machines are added,
+/// those known for the longest time first.
 void update_short_partition(workers::WorkerManager& workers, double share);
 
 }  // namespace wingtrail::scheduling
--- a/src/scheduling/zone_loss.cpp
+++ b/src/scheduling/zone_loss.cpp
@@ -26,8 +26,8 @@
     if (zone == without || workers.zones().is_unreachable(zone, now))
       continue;
     const std::uint32_t placed = placed_in_zone(job, zone);
-    const std::uint32_t most = (job.spec.tasks + 1) / 2;
-    allowed += most > placed ? most - placed : 0;
+    const std::uint32_t zone_limit = (job.spec.tasks + 1) / 2;
+    allowed += zone_limit > placed ? zone_limit - placed : 0;
   }
   return std::min(limit, allowed);
 }
