--- a/src/balancing/decaying_rate.hpp
+++ b/src/balancing/decaying_rate.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// A rate of arrival in which recent arrivals weigh more than those long past.
+/// @file
+/// A rate of arrival in which recent arrivals have more weight than old ones.
 #pragma once
 
 #include <algorithm>
@@ -11,32 +11,35 @@
 
 using ports::Seconds;
 
-/// Exponentially weighted rate per second.
+/// Exponentially weighted moving rate, per second.
 class DecayingRate {
  public:
-  /// `memory`: the time constant in seconds; an arrival that old counts for about a third.
-  explicit DecayingRate(Seconds memory) : memory_(memory) {}
-  /// `now` never decreases.
+  /// `time_constant_s`: an arrival of that age has about a third (1/e) of its initial weight.
+  explicit DecayingRate(Seconds time_constant_s) : time_constant_s_(time_constant_s) {}
+  /// Adds an arrival. `now` must not decrease between calls.
   void add(Seconds now, double amount) {
     if (began_at_ < 0)
       began_at_ = updated_at_ = now;
     sum_ = decayed_sum(now) + amount;
     updated_at_ = std::max(updated_at_, now);
   }
-  /// Per second. What arrived before the first call of `add` is unknown, so a young rate is scaled by its
-  /// age.
+  /// The rate per second; 0 before the first call of `add`. Arrivals before that call are unknown, so the
+  /// rate is scaled by the part of the weight that the time since then covers.
   double per_s(Seconds now) const {
     if (began_at_ < 0)
       return 0;
-    const double known = memory_ * -std::expm1(-std::max(1.0, now - began_at_) / memory_);
-    return decayed_sum(now) / known;
+    const Seconds observed_s =
+        time_constant_s_ * -std::expm1(-std::max(1.0, now - began_at_) / time_constant_s_);
+    return decayed_sum(now) / observed_s;
   }
 
  private:
   double decayed_sum(Seconds now) const {
-    return sum_ * std::exp(-std::max(0.0, now - updated_at_) / memory_);
+    return sum_ * std::exp(-std::max(0.0, now - updated_at_) / time_constant_s_);
   }
-  Seconds memory_, began_at_ = -1, updated_at_ = 0;
+  Seconds time_constant_s_;
+  Seconds began_at_ = -1;  // of the first arrival; negative: none yet
+  Seconds updated_at_ = 0;
   double sum_ = 0;
 };
 
--- a/src/balancing/migrations.cpp
+++ b/src/balancing/migrations.cpp
@@ -16,7 +16,7 @@
 
 void Migrations::clear() {
   for (const Migration& migration : migrations_)
-    on_finished(migration, false);  // its task, if it still runs, is found where it is
+    on_finished(migration, false);
   migrations_.clear();
   last_migration_at_.clear();
 }
@@ -37,17 +37,18 @@
 }
 
 template <typename F>
-std::vector<Migration> Migrations::take(F selected) {
+std::vector<Migration> Migrations::take(F is_taken) {
   const auto remaining =
       std::stable_partition(migrations_.begin(), migrations_.end(),
-                            [&](const Migration& migration) { return !selected(migration); });
+                            [&](const Migration& migration) { return !is_taken(migration); });
   std::vector<Migration> taken(remaining, migrations_.end());
   migrations_.erase(remaining, migrations_.end());
   return taken;
 }
 
 std::optional<Migration> Migrations::take_of_task(JobIndex job, std::uint32_t task) {
-  const auto taken = take([&](const Migration& m) { return m.job == job && m.task == task; });
+  const auto taken =
+      take([&](const Migration& migration) { return migration.job == job && migration.task == task; });
   if (taken.empty())
     return std::nullopt;
   return taken.front();
@@ -59,12 +60,13 @@
 }
 
 std::vector<Migration> Migrations::take_expired(Seconds now) {
-  std::erase_if(last_migration_at_, [now](const auto& l) { return now - l.second > kMigrationCooldown; });
-  return take([now](const Migration& m) { return now - m.began_at > kMigrationTimeout; });
+  std::erase_if(last_migration_at_,
+                [now](const auto& entry) { return now - entry.second > kMigrationCooldown; });
+  return take([now](const Migration& migration) { return now - migration.began_at > kMigrationTimeout; });
 }
 
 std::vector<Migration> Migrations::take_of_machine(MachineIndex machine) {
-  return take([machine](const Migration& m) { return m.target == machine; });
+  return take([machine](const Migration& migration) { return migration.target == machine; });
 }
 
 }  // namespace wingtrail::balancing
--- a/src/balancing/speed_estimator.cpp
+++ b/src/balancing/speed_estimator.cpp
@@ -6,23 +6,23 @@
 
 namespace wingtrail::balancing {
 namespace {
-constexpr std::array<double, 3> kSlowdowns{2, 3, 5};  // the hypotheses
-constexpr double kMaxJobShare = 0.45;                 // of the alarm level, by one job's tasks
-constexpr std::size_t kMaxJobs = 8;                   // remembered of a machine
-constexpr double kSampleWeight = 0.002;               // of a run time in the standard deviation
+constexpr std::array<double, 3> kSlowdowns{2, 3, 5};  // the slowdown factors of the hypotheses
+constexpr double kMaxJobShare = 0.45;    // of the alarm threshold that one job's tasks may contribute
+constexpr std::size_t kMaxJobs = 8;      // jobs whose evidence is kept, by machine
+constexpr double kSampleWeight = 0.002;  // of one run time in the moving variance
 constexpr double kMinDeviation = 0.15, kMaxDeviation = 0.6;
-constexpr double kOutlierDeviations = 3;
-constexpr double kMaxLogLikelihood = 600;  // guards `exp` against overflow
+constexpr double kOutlierDeviations = 3;   // longer or shorter run times do not change the deviation
+constexpr double kMaxLogLikelihood = 600;  // avoids an overflow of `exp`
 
-/// The logarithm of the likelihood ratio at which a machine counts as slow.
+/// The logarithm of the likelihood ratio above which a machine counts as slow.
 double alarm_threshold() {
   return -std::log(SpeedEstimator::kFalseAlarmRate);
 }
 
-/// The probability of a run time more than that many standard deviations above the typical one.
+/// The probability that a run time exceeds the typical one by more than that many standard deviations.
 double tail_probability(double deviations) {
-  constexpr double kLeast = 1e-12;  // guards the logarithm
-  return std::max(kLeast, 0.5 * std::erfc(deviations / std::numbers::sqrt2));
+  constexpr double kMinProbability = 1e-12;  // avoids the logarithm of 0
+  return std::max(kMinProbability, 0.5 * std::erfc(deviations / std::numbers::sqrt2));
 }
 }  // namespace
 
@@ -55,7 +55,7 @@
   return total;
 }
 
-// Of all hypotheses together, each as likely as the others beforehand.
+// The log likelihood ratio of the machine being slow, with equal prior probabilities of all hypotheses.
 double SpeedEstimator::log_likelihood_ratio(const LogLikelihoods& evidence) {
   double sum = 0;
   for (const double log_likelihood : evidence)
@@ -67,7 +67,8 @@
                                        double deviation) {
   MachineEvidence& observed = evidence_of(machine);
   const double variance = deviation_ * deviation_ + deviation * deviation;
-  // The usual deviation is taken from machines of normal speed and from comparisons that are no estimates.
+  // The deviation is learned from machines of normal speed only, and from run times whose typical value was
+  // observed and not estimated.
   if (!observed.slow && deviation <= 0 && std::abs(log_ratio) < kOutlierDeviations * deviation_) {
     deviation_ = std::clamp(std::sqrt(variance + (log_ratio * log_ratio - variance) * kSampleWeight),
                             kMinDeviation, kMaxDeviation);
@@ -82,7 +83,8 @@
     for (std::size_t i = 0; i < kHypotheses; ++i)
       total[i] += evidence.completed[i];
   }
-  // Normal speed is likelier: the evidence begins afresh, or a long good record would hide a later slowdown.
+  // Normal speed is more likely than every hypothesis: the evidence is reset. Otherwise a long history at
+  // normal speed would hide a later slowdown.
   if (*std::max_element(total.begin(), total.end()) <= 0) {
     for (JobEvidence& evidence : observed.by_job)
       evidence.completed = {};
@@ -111,15 +113,15 @@
   return machine < machines_.size() && machines_[machine].slow;
 }
 
-// The mean of the hypotheses, weighted by their likelihoods.
+// The mean of the hypothetical slowdown factors, weighted by their likelihoods.
 double SpeedEstimator::slowdown(std::size_t machine) const {
   if (!is_slow(machine))
     return 1;
   const LogLikelihoods evidence = total_evidence(machines_[machine]);
-  const double most = *std::max_element(evidence.begin(), evidence.end());
+  const double largest = *std::max_element(evidence.begin(), evidence.end());
   double sum = 0, mean = 0;
   for (std::size_t i = 0; i < kHypotheses; ++i) {
-    const double weight = std::exp(evidence[i] - most);
+    const double weight = std::exp(evidence[i] - largest);
     sum += weight;
     mean += weight * kSlowdowns[i];
   }
