--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -8,10 +8,14 @@
 
 namespace wingtrail::autoscaling {
 namespace {
-constexpr double kBootOverrun = 2.5;   // times the catalog's boot time: then the machine no longer counts
-constexpr double kBootVaries = 1.5;    // PROTOCOL: 0.6 to 1.5 times the catalog's
-constexpr Seconds kLeastCharged = 60;  // PROTOCOL: a machine that is deleted costs at least that
-constexpr Seconds kStall = 1;          // between two ticks: this process stood still
+// A machine that is not up after this many times the catalog's boot time no longer counts as capacity.
+constexpr double kBootOverrun = 2.5;
+// The cloud protocol lets boot times vary between 0.6 and 1.5 times the catalog's.
+constexpr double kMaxBootFactor = 1.5;
+// By the cloud protocol, a machine that is deleted is charged for at least this time.
+constexpr Seconds kMinChargedTime = 60;
+// A longer time between two ticks means that this process was stalled.
+constexpr Seconds kStallThreshold = 1;
 }  // namespace
 
 Autoscaler::Autoscaler(ports::Outbox& out, const settings::Settings& settings, jobs::JobRegistry& registry,
@@ -41,7 +45,7 @@
   returns_.clear();
   listing_.clear();
   restricted_job_requested_at_.clear();
-  // These name machines of a leadership that is over, which may be freed.
+  // These refer to machines of a leadership that is over, whose records may be freed.
   capacity_.clear();
   draining_machines_.clear();
   faulty_machines_.clear();
@@ -57,10 +61,11 @@
 void Autoscaler::tick() {
   if (!active_ || !leadership_.may_act())
     return;
-  // Calls that timed out while this process was stalled prove nothing: the answers may lie in its sockets.
-  if (out_.now() > ticked_at_ + kStall)
-    trust_silence_after_ = out_.now() + 2 * kStall;
-  ticked_at_ = out_.now();
+  // Calls that timed out while this process was stalled prove nothing: the replies may be unread in
+  // its sockets.
+  if (out_.now() > last_tick_at_ + kStallThreshold)
+    ignore_timeouts_until_ = out_.now() + 2 * kStallThreshold;
+  last_tick_at_ = out_.now();
   listing_.tick();
   return_unhealthy();
   if (out_.now() >= next_scaling_at_ && !catalog_.types().empty()) {
@@ -73,13 +78,13 @@
   returns_.send(leadership_.lease_expires_at);
 }
 
-// Machines that do not do their work are replaced; a return also ends whatever is on them, so their tasks can
-// be started elsewhere at once instead of when a lease has expired.
+// Returns machines that are lost, faulty or never came up. A return also ends all tasks on the machine, so
+// they can be started elsewhere at once instead of after the worker's lease has expired.
 void Autoscaler::return_unhealthy() {
-  // A machine of a zone out of reach continues unobserved, and a return would end what runs on it; one that
-  // is lost while its zone is in contact has nothing left to lose. Silence alone would return the machines of
-  // a zone that loses contact one after the other.
-  if (out_.now() >= trust_silence_after_ && !workers_.unresponsive_machines().empty()) {
+  // A machine in an unreachable zone continues to run its tasks unobserved, and a return would end them. A
+  // machine that is lost while its zone is reachable has no tasks left to lose. Without `lost_alone`, the
+  // machines of a zone that is becoming unreachable would be returned one after the other.
+  if (out_.now() >= ignore_timeouts_until_ && !workers_.unresponsive_machines().empty()) {
     std::vector<MachineIndex> lost;
     for (const MachineIndex index : workers_.unresponsive_machines()) {
       const Machine& machine = workers_.machine_at(index);
@@ -93,52 +98,54 @@
   returns_.schedule(std::exchange(never_started_machines_, {}), "never came up");
 }
 
-// Whether the machine is, or will soon be, of use to new work.
+// Whether the machine can run new tasks now or soon.
 bool Autoscaler::counts_as_capacity(const Machine& machine) const {
   if (machine.gone || machine.being_returned || machine.draining ||
       machine.health == workers::Health::unhealthy || machine.preemption_at)
     return false;
   if (machine.has_incarnation)
     return true;
-  const wire::MachineType* t = catalog_.type(machine.type);
-  return out_.now() - machine.rented_at < kBootOverrun * (t ? t->boot_s : 60.0);
+  constexpr Seconds kDefaultBootTime = 60;  // of a type that is not in the catalog
+  const wire::MachineType* type = catalog_.type(machine.type);
+  return out_.now() - machine.rented_at < kBootOverrun * (type ? type->boot_s : kDefaultBootTime);
 }
 
-// The machines of a lost zone stay rented until delegated lease renewal would be over, had any of the zone's
-// controllers been given it, and then for as long as renting others would take and cost at most, boots that
-// overrun included. After that they are returned.
+// Whether the machines of a lost zone are to be returned. They stay rented until delegated lease renewal
+// would have ended, had it been granted to a controller in the zone, and then for as long as the renting of
+// other machines would take or be charged for at most, including boots that overrun.
 bool Autoscaler::zone_abandoned(ZoneIndex zone) const {
-  const Seconds over = workers_.zones().last_contact_at(zone) +
-                       (settings_.tunables.delegation_leases + 1) * settings_.worker_lease_s;
+  const Seconds delegation_end = workers_.zones().last_contact_at(zone) +
+                                 (settings_.tunables.delegation_leases + 1) * settings_.worker_lease_s;
   return workers_.zones().is_lost(zone) &&
-         out_.now() > over + std::max(kLeastCharged, kBootOverrun * typical_boot_s());
+         out_.now() > delegation_end + std::max(kMinChargedTime, kBootOverrun * typical_boot_s());
 }
 
-// The share of what runs in a zone out of reach that needs no capacity elsewhere: all of it, until its leases
-// expire so soon that a machine rented now is up just then; then what may run nowhere else.
+// The share of the cores in use in an unreachable zone that needs no replacement in other zones: all of them
+// until the zone's worker leases expire within the boot time of a machine rented now; from then on only the
+// cores of tasks that may not run in other zones.
 double Autoscaler::retained_share(ZoneIndex zone) {
   if (!settings_.tunables.zone_tracking || !zone_unreachable(zone) || workers_.zones().is_lost(zone) ||
-      out_.now() + kBootVaries * typical_boot_s() < workers_.zone_leases_expire_at(zone))
+      out_.now() + kMaxBootFactor * typical_boot_s() < workers_.zone_leases_expire_at(zone))
     return 1;
   const auto loss = scheduler_.zone_loss_impact(zone);
   return loss.cores_in_use > 0 ? 1 - loss.cores_movable / loss.cores_in_use : 1;
 }
 
-// The one walk over the machines, once a second: what there is, and which of them need attention.
+// Computes the capacity from all machines and lists the machines to be handled. Called once a second.
 void Autoscaler::update_capacity() {
   draining_machines_.clear();
   faulty_machines_.clear();
   never_started_machines_.clear();
   capacity_.begin_update(registry_.zones.size());
-  std::vector<double> retained;  // share by zone
+  std::vector<double> retained_shares;  // by zone
   for (ZoneIndex zone{0}; zone < registry_.zones.size(); ++zone)
-    retained.push_back(retained_share(zone));
+    retained_shares.push_back(retained_share(zone));
   for (const MachineIndex index : workers_.live_machines()) {
     const Machine& machine = workers_.machine_at(index);
     if (counts_as_capacity(machine)) {
-      // What runs in a zone out of reach continues, but nothing more can be started there.
+      // In an unreachable zone tasks continue to run, but no more can be started.
       capacity_.add_machine({machine.type, machine.zone, machine.spot},
-                            zone_unreachable(machine.zone) ? machine.used.cpus * retained[machine.zone]
+                            zone_unreachable(machine.zone) ? machine.used.cpus * retained_shares[machine.zone]
                                                            : machine.cpus / machine.slowdown,
                             machine.cpus);
       if (!machine.spot && !machine.short_only && !zone_unreachable(machine.zone))
@@ -152,7 +159,7 @@
   }
 }
 
-// Lists the machine if it is being drained, is faulty or never came up.
+// Adds the machine to the lists of draining, faulty and never started machines, if it is one of them.
 void Autoscaler::classify_machine(const Machine& machine) {
   if (machine.being_returned)
     return;
@@ -160,7 +167,8 @@
     draining_machines_.push_back(machine.index);
   if (machine.health == workers::Health::unhealthy && machine.has_incarnation && !machine.busy())
     faulty_machines_.push_back(machine.index);
-  // One that boots in a zone out of reach cannot report that it is up; that it did not is known later.
+  // A machine that boots in an unreachable zone cannot send heartbeats, so whether it is up is known only
+  // after the zone has become reachable again.
   if (!machine.has_incarnation && machine.fenced && !counts_as_capacity(machine) &&
       (!zone_unreachable(machine.zone) || zone_abandoned(machine.zone)) &&
       out_.now() > workers_.zones().returned_at(machine.zone) + 2 * settings_.heartbeat_interval_s)
--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Scaling of the fleet: renting machines, and returning those that are lost, faulty or not needed.
+/// @file
+/// Scaling of the cluster: rents machines, and returns those that are lost, faulty or not needed.
 #pragma once
 
 #include <map>
@@ -22,29 +22,36 @@
 using ports::Seconds;
 using workers::Machine;
 
-/// Acts only while this controller is the leader. References given to the constructor must outlive it.
+/// Scales the cluster out and in by the demand forecast. Acts only while this controller is the leader.
+/// References given to the constructor must outlive it.
 class Autoscaler {
  public:
   using LeadershipView = autoscaling::LeadershipView;
   Autoscaler(ports::Outbox& out, const settings::Settings& settings, jobs::JobRegistry& registry,
              workers::WorkerManager& workers, scheduling::Scheduler& scheduler, LeadershipView leadership);
 
+  /// Starts scaling; discards the state of an earlier leadership.
   void begin_leadership();
+  /// Stops scaling; later replies of the cloud are ignored.
   void end_leadership();
+  /// Sets the machine types that the cloud offers.
   void set_catalog(std::vector<wire::MachineType> catalog);
   const std::vector<wire::MachineType>& catalog() const {
     return catalog_.types();
   }
-  /// Lists, rents and returns what is due.
+  /// Reads the cloud's list, rents and returns machines, each when it is due.
   void tick();
-  /// Cores that could be requested at once, in pools that have not refused lately.
+  /// Cores of one largest request to each pool that has not refused a request lately.
   double rentable_cores() const;
+  /// Boot time in seconds of the machine type that boots fastest.
   Seconds typical_boot_s() const {
     return catalog_.typical_boot_s();
   }
+  /// Machines rented since the start of the process.
   std::uint64_t machines_rented() const {
     return rentals_.machines_rented();
   }
+  /// Machines returned since the start of the process.
   std::uint64_t machines_returned() const {
     return returns_.returned();
   }
@@ -54,30 +61,33 @@
   void classify_machine(const Machine& machine);
   void scale_out();
   void scale_out_for_job(const jobs::Job& job);
-  // Requests machines for that many tasks in the cheapest pool that the job may use; false: there is none.
+  // Requests machines for `tasks` tasks of the job in the cheapest pool that it may use; returns false if no
+  // pool can be used now.
   bool request_for_job(const jobs::Job& job, double tasks);
-  // Returns how many cores could not even be requested.
+  // Requests machines with `cores` cores in total, in the given zone or in all zones. Returns the number of
+  // cores for which no pool was left to request them in.
   double request_cores(bool spot, double cores, const char* reason, ZoneIndex zone = jobs::kNoIndex);
   void scale_out_restricted_jobs();
   double spare_share() const;
   void request_machines(const Pool& pool, int count, const char* reason);
   void return_unhealthy();
   void scale_in();
-  // Cores that are more than the load needs; negative: cores that are missing.
+  // Cores in excess of what the load needs; negative if cores are missing.
   struct Excess {
     double total = 0;
     double ordinary = 0;
   };
-  // Replicas that may still begin to migrate now, and that are migrating or waiting for it.
+  // Limits on the migrations of replicas from draining machines.
   struct ReplicaMigrations {
-    int allowed = 0;
-    int max_in_progress = 0;
-    int in_progress = 0;
+    int allowed = 0;          // replicas that may still begin to migrate in this tick
+    int max_in_progress = 0;  // limit of in_progress
+    int in_progress = 0;      // replicas on draining machines
   };
   void continue_draining(Excess& excess, ReplicaMigrations& migrations);
   std::vector<Machine*> emptiest_first();
   void remove_excess(Excess excess, ReplicaMigrations migrations);
-  bool drain_one_replica(Machine& machine);  // false: none can migrate now
+  // Returns false if no replica can migrate now.
+  bool drain_one_replica(Machine& machine);
   int replica_count(const Machine& machine);
   bool counts_as_capacity(const Machine& machine) const;
   bool zone_unreachable(ZoneIndex zone) const {
@@ -98,16 +108,18 @@
   MachineReturns returns_;
   MachineListing listing_;
   PoolCapacity capacity_;
-  // As of the last walk over the machines.
+  // As of the last `update_capacity`.
   std::vector<MachineIndex> draining_machines_, faulty_machines_, never_started_machines_;
-  // By job that only some machines may run: when machines were last requested for it.
+  // When machines were last requested for a job that only some machine types or zones may run.
   std::map<JobIndex, Seconds> restricted_job_requested_at_;
   bool active_ = false;
-  Seconds ticked_at_ = 0;
-  Seconds trust_silence_after_ = 0;  // after a stall of this process heartbeats may lie unread
+  Seconds last_tick_at_ = 0;
+  // After a stall of this process heartbeats may be unread in its sockets, so that machines
+  // seem unresponsive.
+  Seconds ignore_timeouts_until_ = 0;
   Seconds next_scaling_at_ = 0;
-  Seconds excess_since_ = 0;                            // 0: there is none
-  double smooth_flexible_ = -1, smooth_ordinary_ = -1;  // cores, moving averages; negative: none yet
+  Seconds excess_since_ = 0;                            // 0: no excess
+  double smooth_flexible_ = -1, smooth_ordinary_ = -1;  // cores, smoothed demand; negative: none yet
 };
 
 }  // namespace wingtrail::autoscaling
--- a/src/autoscaling/machine_catalog.cpp
+++ b/src/autoscaling/machine_catalog.cpp
@@ -27,11 +27,11 @@
 }
 
 ports::Seconds MachineCatalog::typical_boot_s() const {
-  constexpr ports::Seconds kMaxBoot = 600;
-  ports::Seconds least = kMaxBoot;
+  constexpr ports::Seconds kMaxBootTime = 600;
+  ports::Seconds boot_s = kMaxBootTime;
   for (const auto& type : types_)
-    least = std::min(least, type.boot_s);
-  return least;
+    boot_s = std::min(boot_s, type.boot_s);
+  return boot_s;
 }
 
 std::vector<std::vector<Pool>> MachineCatalog::price_tiers(bool spot) const {
@@ -44,8 +44,8 @@
                    [this](const Pool& a, const Pool& b) { return core_price(a) < core_price(b); });
   std::vector<std::vector<Pool>> tiers;
   for (const Pool& pool : pools) {
-    constexpr double kAboutTheSame = 1.02;
-    if (tiers.empty() || core_price(pool) > core_price(tiers.back().front()) * kAboutTheSame)
+    constexpr double kMaxPriceRatio = 1.02;  // within a tier
+    if (tiers.empty() || core_price(pool) > core_price(tiers.back().front()) * kMaxPriceRatio)
       tiers.emplace_back();
     tiers.back().push_back(pool);
   }
--- a/src/autoscaling/machine_listing.cpp
+++ b/src/autoscaling/machine_listing.cpp
@@ -79,8 +79,9 @@
   remove_never_listed();
 }
 
-// Once listed, a machine stays listed until it is gone; but a list may be older than the one before it, so
-// only a lasting absence counts.
+// Removes machines that have disappeared from the list. A machine is listed until it is gone, but a list
+// may show an older state than the list before it, so a machine must be missing for longer than the lag of
+// the lists.
 void MachineListing::remove_missing() {
   constexpr double kMissedHeartbeats = 1.5;
   for (auto& [index, listing] : listings_) {
@@ -99,8 +100,8 @@
   }
 }
 
-// A recorded machine that neither sends heartbeats nor was ever listed has been gone since before this
-// leadership.
+// Removes machines of the persisted machine inventory that neither send heartbeats nor were ever listed: they
+// were gone before this leadership began.
 void MachineListing::remove_never_listed() {
   constexpr ports::Seconds kMargin = 5;
   for (const MachineIndex index : std::vector<MachineIndex>(workers_.live_machines())) {
--- a/src/autoscaling/machine_listing.hpp
+++ b/src/autoscaling/machine_listing.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Reconciliation of the known machines with the cloud's list.
+/// @file
+/// Comparison of the known machines with the cloud's list of machines.
 #pragma once
 
 #include <map>
@@ -11,23 +11,24 @@
 
 namespace wingtrail::autoscaling {
 
-/// Reads the cloud's list again and again. Machines that are listed become known; those that have failed, or
-/// have long been missing from the list, are gone.
+/// Reads the cloud's list of machines periodically. Adds machines that are listed to the known ones, and
+/// removes machines that are listed as failed or have been missing from the list for long enough.
 class MachineListing {
  public:
   MachineListing(ports::Outbox& out, const settings::Settings& settings, workers::WorkerManager& workers,
                  CloudCallBudget& calls, MachineReturns& returns)
       : out_(out), settings_(settings), workers_(workers), calls_(calls), returns_(returns) {}
 
-  /// Forgets what was listed; answers that come later are ignored.
+  /// Discards what was listed; replies that arrive later are ignored.
   void clear();
-  /// Begins to read the list if it is due and none is being read.
+  /// Begins to read the list if that is due and no list is being read.
   void tick();
 
  private:
+  /// What the lists showed of one machine.
   struct Listing {
-    bool listed = false;
-    ports::Seconds missing_since = 0;  ///< 0: it was in the last list
+    bool listed = false;               ///< whether it was in any list
+    ports::Seconds missing_since = 0;  ///< 0: not missing from the last list
   };
   void read_page(const std::string& after);
   void on_page(const wire::MachineList& page);
@@ -41,10 +42,10 @@
   CloudCallBudget& calls_;
   MachineReturns& returns_;
   std::map<jobs::MachineIndex, Listing> listings_;
-  std::set<jobs::MachineIndex> seen_;  ///< in the list that is being read
+  std::set<jobs::MachineIndex> seen_;  ///< machines in the pages read so far of the current list
   bool reading_ = false;
   ports::Seconds next_read_at_ = 0;
-  std::uint64_t generation_ = 0;  ///< counts `clear`
+  std::uint64_t generation_ = 0;  ///< number of calls of `clear`; identifies replies to ignore
 };
 
 }  // namespace wingtrail::autoscaling
--- a/src/autoscaling/machine_returns.cpp
+++ b/src/autoscaling/machine_returns.cpp
@@ -56,7 +56,7 @@
       return;
     in_flight_ = false;
     if (reply.status != 200)
-      return;  // still in to_return_: asked again
+      return;  // the machines are still in to_return_, so the next call repeats their return
     for (const MachineIndex index : batch) {
       to_return_.erase(index);
       ++returned_;
--- a/src/autoscaling/machine_returns.hpp
+++ b/src/autoscaling/machine_returns.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Returning machines to the cloud.
+/// @file
+/// Return of machines to the cloud.
 #pragma once
 
 #include <set>
@@ -10,20 +10,22 @@
 
 namespace wingtrail::autoscaling {
 
-/// Machines to return are asked for again until the cloud confirms; then they are gone.
+/// Sends the return of each machine again until the cloud confirms it; then the machine is marked as gone.
 class MachineReturns {
  public:
   MachineReturns(ports::Outbox& out, workers::WorkerManager& workers, CloudCallBudget& calls)
       : out_(out), workers_(workers), calls_(calls) {}
 
-  /// Forgets all returns; answers that come later are ignored.
+  /// Discards all returns; replies that arrive later are ignored.
   void clear();
-  /// Nothing new starts on the machines from now on. `reason` goes to the log.
+  /// Schedules the return of the machines; no new task starts on them from now on. `reason` is for the log.
   void schedule(const std::vector<jobs::MachineIndex>& machines, const char* reason);
-  /// A machine that stopped on its own: deleting it only clears the cloud's list.
+  /// Schedules the return of a machine that has failed, which only removes it from the cloud's list.
   void schedule_failed(jobs::MachineIndex machine);
-  /// Sends a batch unless one is in flight. `not_after`: when this leadership's lease expires.
+  /// Sends a batch of returns unless one is in flight. `not_after` returns when the leader lease expires; the
+  /// call must not be sent later than that.
   void send(const std::function<ports::Seconds()>& not_after);
+  /// Machines returned since the start of the process.
   std::uint64_t returned() const {
     return returned_;
   }
@@ -34,7 +36,7 @@
   CloudCallBudget& calls_;
   std::set<jobs::MachineIndex> to_return_;
   bool in_flight_ = false;
-  std::uint64_t generation_ = 0;  ///< counts `clear`
+  std::uint64_t generation_ = 0;  ///< number of calls of `clear`; identifies replies to ignore
   std::uint64_t returned_ = 0;
 };
 
--- a/src/autoscaling/pool_capacity.hpp
+++ b/src/autoscaling/pool_capacity.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// What machines there are, or will soon be, of use to new work; requested ones included.
+/// @file
+/// The capacity of the machines that new tasks can use now or soon, including requested machines.
 #pragma once
 
 #include <map>
@@ -9,29 +9,35 @@
 
 namespace wingtrail::autoscaling {
 
-/// Filled anew once a second from a walk over the machines; requests made since are added.
+/// Capacity by pool. It is computed once a second from all machines; requests that are made later are added.
 class PoolCapacity {
  public:
+  /// The capacity of one pool.
   struct Capacity {
     double cores = 0;
     int machines = 0;
   };
 
+  /// Discards the capacity of all pools.
   void clear();
-  /// Begins a new count for that many zones.
+  /// Begins a new computation for the given number of zones.
   void begin_update(std::size_t zones);
-  /// `usable_cores`: what new work may use of it. `machine_cores`: its size.
+  /// Adds a machine. `usable_cores`: the cores that count as capacity. `machine_cores`: all its cores.
   void add_machine(const Pool& pool, double usable_cores, double machine_cores);
-  /// Cores free on an ordinary machine that services may use, booting ones included.
+  /// Adds free cores of an ordinary machine that services may use, or that will be one after its boot.
   void add_free_ordinary(jobs::ZoneIndex zone, double cores);
-  /// `cores_each` 0: the type is unknown.
+  /// Adds `count` machines that were requested. `cores_each`: cores of one machine; 0 if the type is unknown.
   void add_requested(const Pool& pool, double cores_each, int count);
 
+  /// Cores of all spot pools or all ordinary pools.
   double cores(bool spot) const;
+  /// Cores of the zone's spot pools or ordinary pools.
   double cores_in_zone(jobs::ZoneIndex zone, bool spot) const;
+  /// Free cores of ordinary machines in the zone.
   double free_ordinary_cores(jobs::ZoneIndex zone) const {
     return free_ordinary_cores_by_zone_[zone];
   }
+  /// Cores of the largest machine; 0 if there is none.
   double largest_machine_cores() const {
     return largest_machine_cores_;
   }
--- a/src/autoscaling/rental_requests.cpp
+++ b/src/autoscaling/rental_requests.cpp
@@ -12,7 +12,7 @@
 using workers::Machine;
 
 namespace {
-constexpr Seconds kRefusalBackoff = 15;  // capacity comes back when others return machines
+constexpr Seconds kRefusalBackoff = 15;  // until other customers of the cloud may have returned machines
 }
 
 void RentalRequests::clear() {
@@ -35,15 +35,16 @@
 }
 
 int RentalRequests::add(const Pool& pool, int count, const char* reason) {
-  // Of a zone that is lost with all its machines, one is requested to find out whether it is back.
+  // In a zone that is lost with all its machines, a single machine is requested as a probe: it shows when the
+  // zone is reachable again.
   if (workers_.zones().is_unreachable(pool.zone, out_.now())) {
     if (is_unavailable(pool))
       return 0;
     count = 1;
   }
   Request request;
-  // The fencing token is this leadership's alone, so no other controller can ever use the name.
-  request.name = "r-" + std::to_string(leadership_.fencing_token()) + "-" + std::to_string(++counter_);
+  // The fencing token is unique to this leadership, so no other controller ever uses the same name.
+  request.name = "r-" + std::to_string(leadership_.fencing_token()) + "-" + std::to_string(++request_count_);
   request.pool = pool;
   request.count = count;
   request.requested_at = out_.now();
@@ -101,7 +102,7 @@
              out_.now() - request->requested_at > kRequestTimeout) {
     requests_.erase(request);
   }
-  // Anything else: the same name again, which rents nothing twice.
+  // All other requests are repeated under the same name, so that no machine is rented twice.
 }
 
 void RentalRequests::on_rented(const Request& request, const ports::Reply& reply) {
--- a/src/autoscaling/rental_requests.hpp
+++ b/src/autoscaling/rental_requests.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Requests for machines at the cloud, and which pools have refused lately.
+/// @file
+/// Requests to the cloud for machines, and the pools that have refused requests lately.
 #pragma once
 
 #include <map>
@@ -14,16 +14,18 @@
 
 inline constexpr int kMaxMachinesPerRequest = 50;
 
-/// What the autoscaler needs to know of this controller's leader lease.
+/// What the autoscaler reads of this controller's leadership.
 struct LeadershipView {
   std::function<std::uint64_t()> fencing_token;
-  std::function<bool()> may_act;
-  std::function<ports::Seconds()> lease_expires_at;
+  std::function<bool()> may_act;                     ///< this controller is the leader and its lease is valid
+  std::function<ports::Seconds()> lease_expires_at;  ///< on the outbox's clock
 };
 
-/// A request is repeated under the same name until the cloud answers, so it never rents anything twice.
+/// The open requests. A request is repeated under the same name until the cloud answers, so it never rents a
+/// machine twice.
 class RentalRequests {
  public:
+  /// A request for `count` machines that the cloud has not answered yet.
   struct Request {
     std::string name;
     Pool pool;
@@ -37,18 +39,20 @@
                  CloudCallBudget& calls, const LeadershipView& leadership)
       : out_(out), registry_(registry), workers_(workers), calls_(calls), leadership_(leadership) {}
 
-  /// Forgets all requests; answers that come later are ignored.
+  /// Discards all requests; replies that arrive later are ignored.
   void clear();
-  /// Whether nothing should be requested of the pool now: it refused lately, or its zone is lost and
-  /// something is requested there already.
+  /// Whether no machine should be requested from the pool now: it refused a request lately, or its zone is
+  /// unreachable and needs no machine as a probe, or already has one requested.
   bool is_unavailable(const Pool& pool) const;
-  /// Adds a request; returns the number of machines in it, which may be fewer. `reason` goes to the log.
+  /// Adds a request. Returns the number of machines in it, which may be less than `count`. `reason` is for
+  /// the log.
   int add(const Pool& pool, int count, const char* reason);
-  /// Sends what is due.
+  /// Sends the requests that are due.
   void send();
   const std::vector<Request>& open() const {
     return requests_;
   }
+  /// Machines rented since the start of the process.
   std::uint64_t machines_rented() const {
     return machines_rented_;
   }
@@ -65,8 +69,8 @@
   const LeadershipView& leadership_;
   std::vector<Request> requests_;
   std::map<Pool, ports::Seconds> refused_until_;
-  std::uint64_t counter_ = 0;     ///< of names
-  std::uint64_t generation_ = 0;  ///< counts `clear`
+  std::uint64_t request_count_ = 0;  ///< requests so far; part of a request's name
+  std::uint64_t generation_ = 0;     ///< number of calls of `clear`; identifies replies to ignore
   std::uint64_t machines_rented_ = 0;
 };
 
--- a/src/autoscaling/scale_in.cpp
+++ b/src/autoscaling/scale_in.cpp
@@ -1,4 +1,4 @@
-// Scaling in: which machines are drained and returned, and migrating their replicas.
+// Scaling in: chooses the machines to drain and return, and migrates the replicas on them.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -7,10 +7,11 @@
 
 namespace wingtrail::autoscaling {
 
-// Returns what is not needed: idle machines, and after a while the emptiest ones, which are drained first.
-// Short tasks on a draining machine run to their end; replicas migrate to machines that have their image.
+// Returns machines that are not needed: idle ones first, and if the excess lasts, those with the smallest
+// share of cores in use, which are drained before. Tasks of arrays on a draining machine run to their end;
+// replicas migrate to machines that have their image.
 void Autoscaler::scale_in() {
-  // While a zone is lost or on its way back, what is idle may be needed next.
+  // While a zone is lost or recovering, idle machines may be needed soon.
   if (workers_.zones().any_unstable(out_.now())) {
     excess_since_ = 0;
     return;
@@ -22,8 +23,8 @@
   const double needed_ordinary = services + capacity_.largest_machine_cores() / 2;
   const double needed_total = services + std::max(smooth_flexible_, demand.flexible) * (1 + spare_share());
   Excess excess{ordinary + spot - needed_total, ordinary - needed_ordinary};
-  // A migration interrupts a replica for a moment, so only some migrate at a time; but of a thousand more
-  // than of ten, or a fleet that has become too large stays so for an hour.
+  // A migration interrupts its replica briefly, so only some replicas migrate at a time. The limit is a share
+  // of all replicas: with a fixed limit, a cluster that has become too large would remain so for an hour.
   ReplicaMigrations migrations;
   migrations.allowed = std::max(
       1, static_cast<int>(settings_.tunables.replica_migration_rate * static_cast<double>(demand.replicas)));
@@ -38,7 +39,7 @@
   remove_excess(excess, migrations);
 }
 
-// Returns drained machines; machines that are needed again stop draining.
+// Returns machines that have been drained, and uses draining machines again if cores are missing.
 void Autoscaler::continue_draining(Excess& excess, ReplicaMigrations& migrations) {
   for (const MachineIndex index : draining_machines_) {
     Machine& machine = workers_.machine_at(index);
@@ -58,7 +59,8 @@
   }
 }
 
-// Slow machines, then the others, by the share of their cores in use.
+// Reachable machines in the order in which they are removed: slow ones first, each group by the share of
+// cores in use.
 std::vector<Machine*> Autoscaler::emptiest_first() {
   std::vector<Machine*> machines;
   for (const MachineIndex index : workers_.live_machines()) {
@@ -74,20 +76,21 @@
   return machines;
 }
 
+// Returns idle machines and begins to drain others, up to the excess.
 void Autoscaler::remove_excess(Excess excess, ReplicaMigrations migrations) {
   const Seconds now = out_.now();
-  // Having an idle machine is worth as long as another one would boot without use.
-  const Seconds patience = std::min(settings_.tunables.idle_return_s, typical_boot_s());
-  const bool lasting = now - excess_since_ > settings_.tunables.idle_return_s;
+  // Keeping an idle machine for longer than a boot costs more than renting another one when it is needed.
+  const Seconds min_idle_s = std::min(settings_.tunables.idle_return_s, typical_boot_s());
+  const bool excess_lasts = now - excess_since_ > settings_.tunables.idle_return_s;
   for (Machine* machine : emptiest_first()) {
     if (machine->cpus > excess.total || (!machine->spot && machine->cpus > excess.ordinary))
       continue;
     if (!machine->busy()) {
-      if (machine->idle_since == 0 || now - machine->idle_since < patience)
+      if (machine->idle_since == 0 || now - machine->idle_since < min_idle_s)
         continue;
       returns_.schedule({machine->index}, "idle");
     } else {
-      if (!lasting)
+      if (!excess_lasts)
         continue;
       const int replicas = replica_count(*machine);
       if (replicas > 0 && migrations.in_progress > 0 &&
@@ -104,29 +107,31 @@
   }
 }
 
-// Replicas on the machine, and tasks that may be some.
+// The number of replicas on the machine, including tasks of unknown jobs, which may be replicas.
 int Autoscaler::replica_count(const Machine& machine) {
   return static_cast<int>(std::count_if(machine.allocations.begin(), machine.allocations.end(),
-                                        [this](const workers::Allocation& s) {
-                                          const jobs::Job* job = registry_.job_at(s.job);
-                                          return s.occupies_machine && (!job || job->is_service());
+                                        [this](const workers::Allocation& allocation) {
+                                          const jobs::Job* job = registry_.job_at(allocation.job);
+                                          return allocation.occupies_machine && (!job || job->is_service());
                                         }));
 }
 
-// Stops one replica on a machine being drained if another machine could take it over without a fetch.
+// Migrates one replica from a draining machine, or stops it, if another machine can run it without an
+// image fetch.
 bool Autoscaler::drain_one_replica(Machine& machine) {
-  for (workers::Allocation& s : machine.allocations) {
-    const jobs::Job* job = registry_.job_at(s.job);
-    if (!job || !job->is_service() || s.phase != workers::Allocation::Phase::running || s.stop_requested)
+  for (workers::Allocation& allocation : machine.allocations) {
+    const jobs::Job* job = registry_.job_at(allocation.job);
+    if (!job || !job->is_service() || allocation.phase != workers::Allocation::Phase::running ||
+        allocation.stop_requested)
       continue;
     if (scheduler_.balancing_enabled()) {
-      if (scheduler_.migrate(machine, s, balancing::MigrationCause::draining))
+      if (scheduler_.migrate(machine, allocation, balancing::MigrationCause::draining))
         return true;
       continue;
     }
     if (!scheduler_.can_migrate(*job, machine))
       continue;
-    workers_.stop_task(machine, s, 0);
+    workers_.stop_task(machine, allocation, 0);
     return true;
   }
   return false;
--- a/src/autoscaling/scale_out.cpp
+++ b/src/autoscaling/scale_out.cpp
@@ -1,4 +1,4 @@
-// Scaling out: how many machines to request, in which pools.
+// Scaling out: decides how many machines to request from which pools.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 namespace wingtrail::autoscaling {
 namespace {
 
-// How many of the job's tasks fit on an empty machine of the type; 0: the type is unknown.
+// The number of the job's tasks that fit on an empty machine of the type; 0 if the type is unknown.
 double tasks_per_machine(const wire::MachineType* type, const jobs::Job& job) {
-  constexpr double kEps = 1e-9;
+  constexpr double kEps = 1e-9;  // tasks: tolerance for rounding errors of quotients
   if (!type)
     return 0;
   const wire::Resources& task = job.spec.task_resources;
@@ -33,14 +33,15 @@
   double cores = 0;
   for (const bool spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(spot)) {
-      for (const Pool& pool : tier)
-        cores += rentals_.is_unavailable(pool) ? 0 : kMaxMachinesPerRequest * catalog_.type(pool.type)->cpus;
+      for (const Pool& pool : tier) {
+        if (!rentals_.is_unavailable(pool))
+          cores += kMaxMachinesPerRequest * catalog_.type(pool.type)->cpus;
+      }
     }
   }
   return cores;
 }
 
-// Requests that many cores of a kind, in the zone if one is named.
 double Autoscaler::request_cores(bool spot, double missing, const char* reason, ZoneIndex zone) {
   for (const auto& tier : catalog_.price_tiers(spot)) {
     std::vector<Pool> open;
@@ -48,18 +49,21 @@
       if (!rentals_.is_unavailable(pool) && (zone == jobs::kNoIndex || zone == pool.zone))
         open.push_back(pool);
     }
-    // Spreading over zones limits what a zone can take away: the one with the fewest cores comes first.
+    // Machines are spread over zones to limit the loss with one zone: the zone with the fewest cores
+    // comes first.
     const auto zone_cores = [this](const Pool& pool) {
       return capacity_.cores_in_zone(pool.zone, pool.spot);
     };
     std::stable_sort(open.begin(), open.end(),
                      [&](const Pool& a, const Pool& b) { return zone_cores(a) < zone_cores(b); });
     for (std::size_t i = 0; i < open.size(); ++i) {
-      const double each = catalog_.type(open[i].type)->cpus;
-      int n = static_cast<int>(std::ceil(missing / static_cast<double>(open.size() - i) / each - 1e-9));
-      missing -= n * each;
-      for (; n > 0; n -= kMaxMachinesPerRequest)
-        request_machines(open[i], std::min(n, kMaxMachinesPerRequest), reason);
+      constexpr double kEps = 1e-9;  // machines: tolerance for rounding errors
+      const double machine_cores = catalog_.type(open[i].type)->cpus;
+      const double pool_cores = missing / static_cast<double>(open.size() - i);
+      int machines = static_cast<int>(std::ceil(pool_cores / machine_cores - kEps));
+      missing -= machines * machine_cores;
+      for (; machines > 0; machines -= kMaxMachinesPerRequest)
+        request_machines(open[i], std::min(machines, kMaxMachinesPerRequest), reason);
       if (missing <= 0)
         return 0;
     }
@@ -67,19 +71,20 @@
   return missing;
 }
 
-// The share of spare cores beyond the load of arrays. A team may use its guarantee at once, and a surge that
-// meets a fleet of the usual load's size waits for boots.
+// Spare cores as a share of the load of arrays. It is larger if capacity is guaranteed: a team may use its
+// whole guarantee at once, and with capacity for the usual load only, a surge would have to wait for boots.
 double Autoscaler::spare_share() const {
-  const settings::Tunables& t = settings_.tunables;
-  return scheduler_.balancing_enabled() ? std::max(t.headroom, t.surge_headroom) : t.headroom;
+  const settings::Tunables& tunables = settings_.tunables;
+  return scheduler_.balancing_enabled() ? std::max(tunables.headroom, tunables.surge_headroom)
+                                        : tunables.headroom;
 }
 
 void Autoscaler::scale_out() {
   const auto demand = scheduler_.demand_forecast().demand(typical_boot_s());
-  // Short swings are not worth a boot: the load counts as its recent mean, and beyond that what waits and
+  // A short peak of the load is not worth a boot. So the demand is smoothed, except for waiting jobs that
   // would be late otherwise.
-  constexpr double kFlexibleWeight = 0.03;  // of the latest second in the mean
-  constexpr double kOrdinaryDecay = 0.995;  // a second
+  constexpr double kFlexibleWeight = 0.03;  // of the latest second in the moving average
+  constexpr double kOrdinaryDecay = 0.995;  // per second
   const double flexible_now = demand.flexible;
   smooth_flexible_ = smooth_flexible_ < 0
                          ? flexible_now
@@ -90,7 +95,7 @@
   const double spot = capacity_.cores(true);
   const double headroom = settings_.tunables.headroom;
   const double flexible = std::max(smooth_flexible_ * (1 + spare_share()), flexible_now);
-  // Services have the loss of one machine in reserve.
+  // Services get a reserve of half of the largest machine, for the loss of a machine.
   const double needed_ordinary =
       demand.ordinary > 0 ? demand.ordinary * (1 + headroom / 2) + capacity_.largest_machine_cores() / 2 : 0;
   const double needed_total = demand.ordinary * (1 + headroom / 2) + flexible;
@@ -100,14 +105,14 @@
       "rented_spot_cores={:.0f} needed_ordinary_cores={:.0f} needed_cores={:.0f}",
       demand.ordinary, demand.waiting_ordinary, demand.flexible, demand.waiting_flexible, smooth_flexible_,
       ordinary, spot, needed_ordinary, needed_total);
-  // A missing part of a machine is not worth one, except for work that waits.
+  // Missing cores of ordinary machines are requested first; spot machines then cover the rest.
   double missing = needed_ordinary - ordinary;
   if (missing > 0) {
     request_cores(false, missing, "ordinary work");
     ordinary += missing;
   }
   missing = needed_total - ordinary - spot;
-  // Draining machines are used again before others are rented.
+  // Draining machines are used again before other machines are rented.
   for (const MachineIndex index : draining_machines_) {
     Machine& machine = workers_.machine_at(index);
     if (missing <= 0 || machine.gone || machine.being_returned || !machine.draining)
@@ -117,9 +122,10 @@
     missing -= machine.cpus;
   }
   if (missing > 0) {
-    const double left = request_cores(true, missing, "load");
-    if (left > 0 && demand.waiting_flexible > 0)
-      request_cores(false, std::min(left, demand.waiting_flexible), "load, no spot to be had");
+    const double not_requested = request_cores(true, missing, "load");
+    if (not_requested > 0 && demand.waiting_flexible > 0)
+      request_cores(false, std::min(not_requested, demand.waiting_flexible),
+                    "load, no spot machines available");
   }
   if (settings_.tunables.zone_tracking)
     scale_out_restricted_jobs();
@@ -129,8 +135,9 @@
   }
 }
 
-// Replicas that only one zone may take, since the others hold their half already, need capacity in that zone;
-// capacity elsewhere does not help them, however much there is (LostZone.WithTheLeaderInside).
+// Requests machines for replicas that only one zone may run, because the other zones are unreachable or
+// already run half of the service. Free capacity in other zones does not help them (the test
+// LostZone.WithTheLeaderInside guards against this).
 void Autoscaler::scale_out_restricted_jobs() {
   std::vector<double> needed_cores(registry_.zones.size(), 0);
   for (const JobIndex index : scheduler_.waiting_jobs()) {
@@ -139,36 +146,38 @@
         job->spec.allows_spot || job->pending_tasks.empty() || out_.now() - job->eligible_since < 1 ||
         !scheduler_.filters().admits(*job))
       continue;
-    ZoneIndex only = jobs::kNoIndex;
-    std::size_t open = 0;
+    ZoneIndex admitted_zone = jobs::kNoIndex;
+    std::size_t admitted = 0;
     for (ZoneIndex zone{0}; zone < needed_cores.size(); ++zone) {
       if (zone_unreachable(zone) || !scheduler_.filters().zones().admits_zone(zone, *job))
         continue;
-      ++open;
-      only = zone;
+      ++admitted;
+      admitted_zone = zone;
     }
-    if (open != 1)
+    if (admitted != 1)
       continue;
-    const std::uint32_t here = only < job->placed_by_zone.size() ? job->placed_by_zone[only] : 0;
-    const std::size_t most = (job->spec.tasks + 1) / 2 - here;
-    needed_cores[only] +=
-        job->spec.task_resources.cpus * static_cast<double>(std::min(job->pending_tasks.size(), most));
+    const std::uint32_t placed =
+        admitted_zone < job->placed_by_zone.size() ? job->placed_by_zone[admitted_zone] : 0;
+    const std::size_t allowed = (job->spec.tasks + 1) / 2 - placed;
+    needed_cores[admitted_zone] +=
+        job->spec.task_resources.cpus * static_cast<double>(std::min(job->pending_tasks.size(), allowed));
   }
   for (ZoneIndex zone{0}; zone < needed_cores.size(); ++zone) {
     if (needed_cores[zone] > capacity_.free_ordinary_cores(zone))
       request_cores(false, needed_cores[zone] - capacity_.free_ordinary_cores(zone),
-                    "replicas that no other zone may take", zone);
+                    "replicas that no other zone may run", zone);
   }
 }
 
-// Requests machines for a job that no present or requested machine may run.
+// Requests machines for a job that the rented and requested machines cannot run, and for a job that only some
+// machine types or zones may run and that has waited for too long.
 void Autoscaler::scale_out_for_job(const jobs::Job& job) {
   if (!job.is_open() || job.pending_tasks.empty() || out_.now() - job.eligible_since < 1 ||
       out_.now() < job.not_before)
     return;
-  // A gang needs capacity for all its tasks at once, and in one zone if it must stay together.
-  const double needed = job.is_gang() ? static_cast<double>(job.pending_tasks.size()) : 1;
-  auto present = [&](std::optional<ZoneIndex> zone) {
+  // A gang needs capacity for all its tasks at once, in one zone if its tasks must share a zone.
+  const double needed_tasks = job.is_gang() ? static_cast<double>(job.pending_tasks.size()) : 1;
+  auto task_capacity = [&](std::optional<ZoneIndex> zone) {
     double tasks = 0;
     for (const auto& [pool, capacity] : capacity_.by_pool()) {
       if (zone && pool.zone != *zone)
@@ -178,10 +187,11 @@
     }
     return tasks;
   };
-  const bool together = job.is_gang() && job.spec.same_zone;
-  // Renting by load counts any idle machine as capacity. A job that only some types or zones may run, and
-  // that still waits after the time of a boot, gets machines of its own; once in that time, so that they can
-  // come up.
+  const bool in_one_zone = job.is_gang() && job.spec.same_zone;
+  // Renting by the demand forecast counts every idle machine as capacity, whether this job may use it or not.
+  // So machines are requested specifically for a job that only some machine types or zones may run if it
+  // still waits after the time of a boot. This is repeated at most once in that time, so that the machines
+  // can come up.
   const bool restricted = !job.is_gang() && (!job.types.empty() || job.zone != jobs::kNoIndex);
   if (restricted && out_.now() - job.eligible_since > typical_boot_s() &&
       out_.now() - restricted_job_requested_at_[job.index] > typical_boot_s()) {
@@ -190,45 +200,46 @@
                                  scheduler_.demand_forecast().urgent_fraction(job, typical_boot_s())))
       return;
   }
-  if (!together && present({}) >= needed)
+  if (!in_one_zone && task_capacity({}) >= needed_tasks)
     return;
-  for (ZoneIndex zone{0}; together && zone < registry_.zones.size(); ++zone) {
-    if (present(zone) >= needed)
+  for (ZoneIndex zone{0}; in_one_zone && zone < registry_.zones.size(); ++zone) {
+    if (task_capacity(zone) >= needed_tasks)
       return;
   }
   for (const bool as_spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(as_spot)) {
       for (const Pool& pool : tier) {
-        const double each = tasks_per_machine(catalog_.type(pool.type), job);
-        if (rentals_.is_unavailable(pool) || each < 1 ||
+        const double per_machine = tasks_per_machine(catalog_.type(pool.type), job);
+        if (rentals_.is_unavailable(pool) || per_machine < 1 ||
             !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
           continue;
-        const double lacking =
-            needed - present(together ? std::optional<ZoneIndex>(pool.zone) : std::nullopt);
-        return request_machines(
-            pool, std::clamp(static_cast<int>(std::ceil(lacking / each)), 1, kMaxMachinesPerRequest),
-            "a job that fits no other machine");
+        const double missing_tasks =
+            needed_tasks - task_capacity(in_one_zone ? std::optional<ZoneIndex>(pool.zone) : std::nullopt);
+        const int machines = static_cast<int>(std::ceil(missing_tasks / per_machine));
+        return request_machines(pool, std::clamp(machines, 1, kMaxMachinesPerRequest),
+                                "a job that fits no other machine");
       }
     }
   }
 }
 
-// Machines for that many of the job's tasks, in the cheapest pool that it may use.
 bool Autoscaler::request_for_job(const jobs::Job& job, double tasks) {
   for (const bool as_spot : {true, false}) {
     for (const auto& tier : catalog_.price_tiers(as_spot)) {
       for (const Pool& pool : tier) {
-        const wire::MachineType* t = catalog_.type(pool.type);
-        if (rentals_.is_unavailable(pool) || !t ||
+        const wire::MachineType* type = catalog_.type(pool.type);
+        if (rentals_.is_unavailable(pool) || !type ||
             !filters::placement_allowed(job, pool.type, pool.zone, pool.spot))
           continue;
-        const wire::Resources& n = job.spec.task_resources;
-        if (n.cpus > t->cpus || n.gpus > t->gpus || n.memory_gb > t->memory_gb)
+        const wire::Resources& task = job.spec.task_resources;
+        if (task.cpus > type->cpus || task.gpus > type->gpus || task.memory_gb > type->memory_gb)
           continue;
-        const double each = std::max(1.0, std::floor(std::min(t->cpus / std::max(n.cpus, 1e-9),
-                                                              t->memory_gb / std::max(n.memory_gb, 1e-9))));
-        request_machines(pool,
-                         std::clamp(static_cast<int>(std::ceil(tasks / each)), 1, kMaxMachinesPerRequest),
+        constexpr double kMinAmount = 1e-9;  // cores or GB: avoids a division by 0
+        const double by_cores = type->cpus / std::max(task.cpus, kMinAmount);
+        const double by_memory = type->memory_gb / std::max(task.memory_gb, kMinAmount);
+        const double per_machine = std::max(1.0, std::floor(std::min(by_cores, by_memory)));
+        const int machines = static_cast<int>(std::ceil(tasks / per_machine));
+        request_machines(pool, std::clamp(machines, 1, kMaxMachinesPerRequest),
                          "a job that few machines may run");
         return true;
       }
