--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -64,9 +64,9 @@
   // Requests machines for `tasks` tasks of the job in the cheapest pool that it may use; returns false if no
   // pool can be used now.
   bool request_for_job(const jobs::Job& job, double tasks);
-  // Requests machines with `cores` cores in total, in the given zone or in all zones. Returns the number of
+  // Requests machines with `missing` cores in total, in the given zone or in all zones. Returns the number of
   // cores for which no pool was left to request them in.
-  double request_cores(bool spot, double cores, const char* reason, ZoneIndex zone = jobs::kNoIndex);
+  double request_cores(bool spot, double missing, const char* reason, ZoneIndex zone = jobs::kNoIndex);
   void scale_out_restricted_jobs();
   double spare_share() const;
   void request_machines(const Pool& pool, int count, const char* reason);
--- a/src/scheduling/run_time_estimates.hpp
+++ b/src/scheduling/run_time_estimates.hpp
@@ -32,8 +32,8 @@
 
   /// The owner's estimate in seconds, corrected by the ratio observed in the job's class.
   double estimated_run_time(const jobs::Job& job) const;
-  /// Whether the job is scheduled as a long one: its estimated run time exceeds the cutoff, or it is a
-  /// service or a gang.
+  /// Whether the job is scheduled as a long one: its estimated run time exceeds Hawk's cutoff, or it
+  /// is a service or a gang.
   bool is_long(const jobs::Job& job) const;
   /// Mean run time in seconds of the job's completed tasks; empty if fewer than `min_samples` were observed.
   std::optional<double> mean_run_time(const jobs::Job& job, double min_samples) const;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -142,9 +142,9 @@
 
 void Scheduler::on_task_completed(Machine& machine, Job& job, const Allocation& allocation) {
   constexpr Seconds kMinRunTime = 0.5;  // the start of a shorter run was not observed before its end
-  constexpr double kMinSamples = 3;
+  constexpr double kMinSamples = 3;     // completed tasks of the job, for a mean to compare with
   constexpr double kMinRatio = 0.2, kMaxRatio = 10.0;
-  constexpr double kSampleWeight = 0.15;
+  constexpr double kSampleWeight = 0.15;  // of one task in the machine's moving average
   machine.failed_jobs.clear();
   if (machine.health != workers::Health::healthy)
     workers_.mark_changed(machine);
@@ -172,7 +172,7 @@
   constexpr Seconds kMaxBackoff = 60;
   constexpr unsigned kMaxBackoffExponent = 6;
   constexpr Seconds kMachineBackoff = 15;
-  constexpr std::size_t kJobsFailedWhenFaulty = 2;
+  constexpr std::size_t kJobsFailedWhenFaulty = 2;  // on a machine, since the last success on it
   const auto add_once = [](auto& list, auto index) {
     if (std::find(list.begin(), list.end(), index) == list.end())
       list.push_back(index);
@@ -203,9 +203,11 @@
 void Scheduler::run_pass() {
   failed_preemptions_.fill(0);
   zones_unstable_ = workers_.zones().any_unstable(out_.now());
-  const bool once_a_second = out_.now() - last_update_at_ >= 1;
-  if (once_a_second) {
-    workers_.observe_spot_time(std::min(2.0, out_.now() - last_update_at_));
+  constexpr Seconds kUpdateInterval = 1;
+  constexpr Seconds kMaxObservedTime = 2;  // a longer time since the last update is a stall of this process
+  const bool update_due = out_.now() - last_update_at_ >= kUpdateInterval;
+  if (update_due) {
+    workers_.observe_spot_time(std::min(kMaxObservedTime, out_.now() - last_update_at_));
     last_update_at_ = out_.now();
     update_short_partition(workers_, settings_.tunables.short_partition);
   }
@@ -222,11 +224,11 @@
   start_overdue_jobs();
   place_long_jobs();
   place_short_jobs(std::move(short_jobs));
-  if (once_a_second && !waiting_jobs_.empty())
+  if (update_due && !waiting_jobs_.empty())
     reclaim_guarantees();
-  if (once_a_second)
+  if (update_due)
     update_waiting_load();
-  if (once_a_second && balancing_enabled_) {
+  if (update_due && balancing_enabled_) {
     update_machine_speeds();
     plan_migrations();
   }
