--- a/src/filters/filter_chain.hpp
+++ b/src/filters/filter_chain.hpp
@@ -17,7 +17,7 @@
 namespace wingtrail::filters {
 
 /// All filters, ordered by the cost of their checks, the cheapest first. The first filter that refuses a job
-/// is reported to operators as the reason why the job waits.
+/// is the reason why the job waits, which the scheduler uses and operators see.
 class FilterChain {
  public:
   /// @param fencing_token returns the token of the current leadership
--- a/tests/zone_tracker_test.cpp
+++ b/tests/zone_tracker_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(tracker.state(0, 100.5), ZoneState::unresponsive);
   EXPECT_EQ(tracker.state(0, 103), ZoneState::unreachable);
   tracker.on_lease_expired(0, 128);
-  tracker.set_expected(0, -200);  // the zone stays lost when the incarnations of all its workers have ended
+  tracker.set_expected(0, -200);  // the zone stays lost when all its workers' incarnations have ended
   EXPECT_EQ(tracker.state(0, 130), ZoneState::lost);
   EXPECT_TRUE(tracker.is_unreachable(0, 130) && tracker.is_unresponsive(0, 130) && tracker.any_unstable(130));
   EXPECT_FALSE(tracker.needs_probe_machine(0))
