--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -84,7 +84,7 @@
     for (const MachineIndex index : workers_.unresponsive_machines()) {
       const Machine& machine = workers_.machine_at(index);
       if (!machine.being_returned && (machine.unreachable || !machine.has_incarnation) &&
-          workers_.lost_alone(machine))
+          workers_.is_isolated_failure(machine))
         lost.push_back(index);
     }
     returns_.schedule(lost, "silent");
@@ -163,7 +163,7 @@
   // One that boots in a zone out of reach cannot report that it is up; that it did not is known later.
   if (!machine.has_incarnation && machine.fenced && !counts_as_capacity(machine) &&
       (!zone_unreachable(machine.zone) || zone_abandoned(machine.zone)) &&
-      out_.now() > workers_.zones().returned_at(machine.zone) + 2 * settings_.heartbeat_interval_s)
+      out_.now() > workers_.zones().reachable_since(machine.zone) + 2 * settings_.heartbeat_interval_s)
     never_reported_.push_back(machine.index);
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -147,7 +147,7 @@
                   [this] { return is_active_leader(); }) {
   state_writer_.set_events({[this](jobs::Job& job) { on_job_final(job); },
                             [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
-                              workers_.acknowledge_ends(ended);
+                              workers_.on_completions_persisted(ended);
                             },
                             [this](jobs::MachineIndex ix) { workers_.on_inventory_written(ix); },
                             [this](jobs::MachineIndex ix) {
--- a/src/filters/cell_filter.hpp
+++ b/src/filters/cell_filter.hpp
@@ -23,10 +23,10 @@
   /// Begins a scheduling pass, in which no job is known to wait yet.
   void begin_pass();
   /// Records that a job that the team submitted in this cell waits in the current pass.
-  void note_own_work_waiting(TeamIndex team);
+  void set_own_jobs_waiting(TeamIndex team);
 
  private:
-  std::vector<bool> own_work_waits_;  // by team
+  std::vector<bool> own_jobs_wait_;  // by team
 };
 
 }  // namespace wingtrail::filters
--- a/src/filters/filter_chain.cpp
+++ b/src/filters/filter_chain.cpp
@@ -19,14 +19,14 @@
   quota_ = add<QuotaFilter>(out, settings, workers, load);
 }
 
-const Filter* FilterChain::first_refusal(const Job& job) const {
+const Filter* FilterChain::first_refusing_filter(const Job& job) const {
   const auto refusing = std::find_if(filters_.begin(), filters_.end(),
                                      [&](const auto& filter) { return !filter->admits(job); });
   return refusing == filters_.end() ? nullptr : refusing->get();
 }
 
 std::string_view FilterChain::waiting_reason(const Job& job) const {
-  if (const Filter* refusing = first_refusal(job))
+  if (const Filter* refusing = first_refusing_filter(job))
     return refusing->name();
   return quota_->admits_tasks(job, 1) ? "room" : quota_->name();
 }
--- a/src/filters/filter_chain.hpp
+++ b/src/filters/filter_chain.hpp
@@ -29,12 +29,12 @@
   /// Whether no filter refuses the job's next task regardless of the machine. Whether it may start on a
   /// certain machine is decided by the overload with a machine.
   bool admits(const Job& job) const {
-    return !first_refusal(job);
+    return !first_refusing_filter(job);
   }
   /// Whether the job's next task may start on this machine, given that `admits(job)` holds.
   bool admits(const Machine& machine, const Job& job) const;
   /// The first filter that refuses the job regardless of the machine; null if there is none.
-  const Filter* first_refusal(const Job& job) const;
+  const Filter* first_refusing_filter(const Job& job) const;
   /// Why the job waits: the name of the first filter that refuses it, or the name of the quota filter if the
   /// team's quota is used up, or "room" if the job only waits for free capacity.
   std::string_view waiting_reason(const Job& job) const;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -234,7 +234,7 @@
   for (const JobIndex index : waiting_jobs_) {
     const Job& job = *registry_.job_at(index);
     if (job.origin_cell.empty() && filters_.admits(job))
-      filters_.cells().note_own_work_waiting(job.team);
+      filters_.cells().set_own_jobs_waiting(job.team);
   }
 }
 
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -177,7 +177,7 @@
             "{} "
             "draining {} returning {} may_start {}",
             m.host, m.type, m.zone, m.spot, m.used.cpus, m.cpus, m.has_incarnation, m.fenced, m.in_inventory,
-            static_cast<int>(m.health), m.unsized_allocations, m.draining, m.being_returned,
+            static_cast<int>(m.health), m.stray_instance_count, m.draining, m.being_returned,
             c->controller->workers().accepts_tasks(m));
       }
     }
--- a/src/workers/allocation.hpp
+++ b/src/workers/allocation.hpp
@@ -72,7 +72,7 @@
 
   /// Whether the worker may be commanded to forget the exited task: its completion is persisted, or it ended
   /// without a result and nothing needs to be persisted.
-  bool end_persisted = false;
+  bool may_acknowledge = false;
   bool occupies_machine = true;  ///< False once the task has ended.
   bool adopted = false;          ///< First seen in a heartbeat, so the task's run time is not known.
 
--- a/src/workers/allocations.cpp
+++ b/src/workers/allocations.cpp
@@ -11,13 +11,13 @@
 namespace wingtrail::workers {
 
 void WorkerManager::add_stray(Machine& machine, const Allocation& allocation) {
-  ++machine.unsized_allocations;
+  ++machine.stray_instance_count;
   strays_.add(machine, allocation);
   update_unreconciled(machine);
 }
 
 void WorkerManager::remove_stray(Machine& machine, const Allocation& allocation) {
-  --machine.unsized_allocations;
+  --machine.stray_instance_count;
   strays_.remove(machine, allocation);
   update_unreconciled(machine);
 }
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -109,7 +109,7 @@
   for (const Allocation& allocation : machine.allocations) {
     if (commands.size() >= kMaxCommandsPerCall)
       break;
-    if (allocation.phase == Allocation::Phase::exited && allocation.end_persisted &&
+    if (allocation.phase == Allocation::Phase::exited && allocation.may_acknowledge &&
         !allocation.start_in_flight(out_.now()))
       commands.push_back({Verb::forget, allocation.name, allocation.attempt});
   }
@@ -319,7 +319,7 @@
   machine.unreachable = true;
   machine.delivery.retry_at = out_.now() + kResendInterval;
   // A call that was sent while the zone was unreachable does not show that the machine has failed.
-  if (machine.delivery.last_call_at >= zones_.returned_at(machine.zone) &&
+  if (machine.delivery.last_call_at >= zones_.reachable_since(machine.zone) &&
       machine.delivery.failed_calls++ == 0)
     machine.delivery.unanswered_since = machine.delivery.last_call_at;
   // Spot machines are often preempted one by one without notice, so the failure of one does not suggest that
--- a/src/workers/deadlines.cpp
+++ b/src/workers/deadlines.cpp
@@ -22,10 +22,10 @@
 // from machines that are still booting.
 void WorkerManager::update_heartbeat_expected(Machine& machine) {
   const bool expected = !machine.gone && (machine.has_incarnation || !machine.fenced);
-  if (expected == machine.expected_to_report)
+  if (expected == machine.heartbeat_expected)
     return;
-  machine.expected_to_report = expected;
-  zones_.set_expected(machine.zone, expected ? 1 : -1);
+  machine.heartbeat_expected = expected;
+  zones_.add_expected_workers(machine.zone, expected ? 1 : -1);
 }
 
 // Called when the zone is reachable again: probes all its machines at once instead of waiting
@@ -34,10 +34,10 @@
   spdlog::info("workers: zone reachable again zone={}", registry_.zones[zone]);
   for (const MachineIndex index : live_machines_) {
     Machine& machine = machines_[index];
-    if (machine.zone != zone || !machine.expected_to_report)
+    if (machine.zone != zone || !machine.heartbeat_expected)
       continue;
     // Calls failed because the zone was unreachable. If they counted against the machines, every machine
-    // would seem to have failed individually (lost_alone()) as soon as the first one answers.
+    // would seem to have failed individually (is_isolated_failure()) as soon as the first one answers.
     machine.delivery.failed_calls = 0;
     machine.delivery.unanswered_since = ports::kNever;
     machine.delivery.retry_at = out_.now();
--- a/src/workers/heartbeats.cpp
+++ b/src/workers/heartbeats.cpp
@@ -41,7 +41,7 @@
   // A heartbeat that a network partition delayed arrives at the end of the partition, when the worker no
   // longer waits for the reply, so it does not update last_heartbeat_at.
   if (zones_.flap_count(machine.zone) == 0 ||
-      out_.now() > zones_.returned_at(machine.zone) + kDelayedHeartbeatWindow)
+      out_.now() > zones_.reachable_since(machine.zone) + kDelayedHeartbeatWindow)
     machine.last_heartbeat_at = out_.now();
   apply_heartbeat(machine, heartbeat, HeartbeatSource::worker);
   if (!active_)
@@ -212,7 +212,7 @@
   if (exited && status.cause != wire::ExitCause::done) {
     allocation.occupies_machine = false;
     allocation.phase = Allocation::Phase::exited;
-    allocation.end_persisted = true;
+    allocation.may_acknowledge = true;
     machine.allocations.push_back(std::move(allocation));
     return;
   }
@@ -273,7 +273,7 @@
       return;
     }
   }
-  allocation.end_persisted = true;
+  allocation.may_acknowledge = true;
   if (!job)
     return;
   unplace_task(*job, allocation.task, machine);
--- a/src/workers/machine.hpp
+++ b/src/workers/machine.hpp
@@ -94,14 +94,14 @@
 
   // ---- liveness
   bool unreachable = false;               ///< It did not answer the last direct call.
-  bool expected_to_report = false;        ///< Counted among the machines of its zone that send heartbeats.
+  bool heartbeat_expected = false;        ///< Counted among the machines of its zone that send heartbeats.
   Seconds next_check_at = ports::kNever;  ///< Time of the next check in the CheckSchedule.
   CommandDelivery delivery;
 
   // ---- tasks
   std::vector<Allocation> allocations;
-  wire::Resources used;         ///< Used by allocations with a job, or reserved for tasks that migrate here.
-  int unsized_allocations = 0;  ///< Number of stray instances on it; their resources are not known.
+  wire::Resources used;          ///< Used by allocations with a job, or reserved for tasks that migrate here.
+  int stray_instance_count = 0;  ///< Number of stray instances on it; their resources are not known.
   std::vector<std::pair<ImageIndex, Seconds>> images;  ///< Presumed content of its cache, with last use.
 
   // ---- health
--- a/src/workers/unreconciled_machines.cpp
+++ b/src/workers/unreconciled_machines.cpp
@@ -40,7 +40,7 @@
     account.counted_unfenced = unfenced;
     group_of(machine).unfenced += unfenced ? 1 : -1;
   }
-  const bool unreconciled = !machine.gone && (!machine.fenced || machine.unsized_allocations > 0);
+  const bool unreconciled = !machine.gone && (!machine.fenced || machine.stray_instance_count > 0);
   if (account.counted) {
     --count_;
     unknown_capacity_count_ -= account.cpus <= 0 ? 1 : 0;
--- a/src/workers/unreconciled_machines.hpp
+++ b/src/workers/unreconciled_machines.hpp
@@ -27,7 +27,7 @@
   void begin_leadership(Seconds now);
   /// Ends the leadership and removes all machines.
   void clear();
-  /// Updates the totals. To be called whenever the machine's `gone`, `fenced`, `unsized_allocations` or
+  /// Updates the totals. To be called whenever the machine's `gone`, `fenced`, `stray_instance_count` or
   /// capacity has changed.
   void update(Machine& machine, Seconds now);
 
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -114,7 +114,7 @@
   }
   by_host_.emplace(host, machine.index);
   live_machines_.push_back(machine.index);
-  zones_.add_member(machine.zone, 1);
+  zones_.add_machines(machine.zone, 1);
   machines_.push_back(std::move(machine));
   // A machine that is not in the machine inventory has never received a command from any leader.
   machines_.back().fenced = true;
@@ -178,7 +178,7 @@
 
 bool WorkerManager::accepts_tasks(const Machine& machine) const {
   return !machine.gone && !machine.being_returned && !machine.draining && machine.has_incarnation &&
-         machine.in_inventory && machine.fenced && machine.unsized_allocations == 0 &&
+         machine.in_inventory && machine.fenced && machine.stray_instance_count == 0 &&
          machine.health == Health::healthy && out_.now() >= machine.avoid_until && !machine.preemption_at &&
          machine.cpus > 0 && !machine.unreachable && time_since_contact(machine) < unresponsive_threshold() &&
          !zones_.is_unresponsive(machine.zone, out_.now()) && !lease_near_expiry(machine);
@@ -239,7 +239,7 @@
        time_since_contact(machine) > unresponsive_threshold()))
     spot_preemption_rate_.observe_preemption();
   end_incarnation(machine);
-  zones_.add_member(machine.zone, -1);
+  zones_.add_machines(machine.zone, -1);
   machine.gone = true;
   machine.fenced = true;
   update_heartbeat_expected(machine);
@@ -281,12 +281,12 @@
     state_writer_.refresh_machine(machine.index);
 }
 
-void WorkerManager::acknowledge_ends(const std::vector<jobs::StateWriter::CompletedTask>& ended) {
+void WorkerManager::on_completions_persisted(const std::vector<jobs::StateWriter::CompletedTask>& ended) {
   for (const auto& completed : ended) {
     for (Allocation& allocation : machines_[completed.machine].allocations) {
       if (allocation.attempt == completed.attempt && allocation.task == completed.task &&
           allocation.phase == Allocation::Phase::exited)
-        allocation.end_persisted = true;
+        allocation.may_acknowledge = true;
     }
   }
 }
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -138,7 +138,7 @@
   void cancel_job(jobs::Job& job);
   /// Called when the completions of these tasks have been persisted. Their workers receive an
   /// acknowledgement and then stop listing the tasks in their heartbeats.
-  void acknowledge_ends(const std::vector<jobs::StateWriter::CompletedTask>& ended);
+  void on_completions_persisted(const std::vector<jobs::StateWriter::CompletedTask>& ended);
   /// The resources that the team's allocations occupy.
   const wire::Resources& team_usage(TeamIndex team) const {
     return team_usage_[team];
@@ -175,10 +175,10 @@
   }
   /// Whether the machine does not respond although there is contact with other machines of its zone, so that
   /// the machine itself has failed and not the network to the zone.
-  bool lost_alone(const Machine& machine) const {
-    return zones_.machine_lost_alone(machine.zone, machine.address.empty()
-                                                       ? machine.last_contact_at + unresponsive_threshold()
-                                                       : machine.delivery.unanswered_since);
+  bool is_isolated_failure(const Machine& machine) const {
+    return zones_.is_isolated_failure(machine.zone, machine.address.empty()
+                                                        ? machine.last_contact_at + unresponsive_threshold()
+                                                        : machine.delivery.unanswered_since);
   }
   Seconds time_since_contact(const Machine& machine) const {
     return out_.now() - machine.last_contact_at;
--- a/src/zones/zone_tracker.cpp
+++ b/src/zones/zone_tracker.cpp
@@ -31,7 +31,7 @@
 ZoneTracker::Zone& ZoneTracker::zone_at(std::size_t zone) {
   while (zones_.size() <= zone) {
     zones_.emplace_back();
-    zones_.back().last_contact_at = zones_.back().returned_at = leadership_began_at_;
+    zones_.back().last_contact_at = zones_.back().reachable_since = leadership_began_at_;
   }
   return zones_[zone];
 }
@@ -42,7 +42,7 @@
   contacted.last_contact_at = now;
   if (!was_unreachable)
     return false;
-  contacted.returned_at = now;
+  contacted.reachable_since = now;
   contacted.lost_at = -1;
   if (!track_loss_)
     return true;
@@ -59,7 +59,7 @@
   return true;
 }
 
-void ZoneTracker::set_expected(std::size_t zone, int change) {
+void ZoneTracker::add_expected_workers(std::size_t zone, int change) {
   zone_at(zone).expected_workers += change;
 }
 
--- a/src/zones/zone_tracker.hpp
+++ b/src/zones/zone_tracker.hpp
@@ -63,9 +63,9 @@
   /// Records a contact with a worker of the zone. Returns whether the zone was unreachable or lost before.
   bool on_contact(std::size_t zone, Seconds now);
   /// Adds `change` to the number of workers of the zone that are expected to send heartbeats.
-  void set_expected(std::size_t zone, int change);
+  void add_expected_workers(std::size_t zone, int change);
   /// Adds `change` to the number of machines of the zone that are known and not gone.
-  void add_member(std::size_t zone, int change) {
+  void add_machines(std::size_t zone, int change) {
     zone_at(zone).machines += change;
   }
   /// Called when the lease of a worker of the zone has certainly expired. If the zone is unreachable,
@@ -88,8 +88,8 @@
   bool any_unstable(Seconds now) const;
   /// Since when the zone has been reachable without interruption. The failure of a call that was sent before
   /// does not show that its machine has failed.
-  Seconds returned_at(std::size_t zone) const {
-    return zone < zones_.size() ? zones_[zone].returned_at : leadership_began_at_;
+  Seconds reachable_since(std::size_t zone) const {
+    return zone < zones_.size() ? zones_[zone].reachable_since : leadership_began_at_;
   }
   Seconds last_contact_at(std::size_t zone) const {
     return zone < zones_.size() ? zones_[zone].last_contact_at : leadership_began_at_;
@@ -100,7 +100,7 @@
   }
   /// Whether a machine of the zone that has not answered since `since` (the time of its first failed call)
   /// has failed individually: there was contact with other machines of the zone after the reply was overdue.
-  bool machine_lost_alone(std::size_t zone, Seconds since) const {
+  bool is_isolated_failure(std::size_t zone, Seconds since) const {
     return zone < zones_.size() && zones_[zone].last_contact_at >= since + kReplyOverdueAfter;
   }
   /// Whether the zone is lost and has no machines left. As there can be no contact with it, one machine at a
@@ -120,7 +120,7 @@
  private:
   struct Zone {
     Seconds last_contact_at = 0;
-    Seconds returned_at = 0;
+    Seconds reachable_since = 0;
     Seconds lost_at = -1;      // negative if it is not lost
     Seconds stable_at = -1;    // when the state `recovering` ends
     int expected_workers = 0;  // workers that are expected to send heartbeats
--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -401,8 +401,8 @@
 TEST(ZoneTracker, ACutOffZoneIsNotTakenForLostMachines) {
   zones::ZoneTracker tracker(5, 27, false);
   tracker.begin_leadership(0);
-  tracker.set_expected(0, 200);
-  tracker.set_expected(1, 4);
+  tracker.add_expected_workers(0, 200);
+  tracker.add_expected_workers(1, 4);
   for (double t = 1; t < 10; t += 0.05)
     tracker.on_contact(0, t);
   tracker.on_contact(1, 9);
@@ -413,11 +413,11 @@
   EXPECT_TRUE(tracker.is_unreachable(0, 12.5));
   EXPECT_TRUE(tracker.is_unreachable(1, 60));
   // A call sent at 9 s failed: lost if others were heard after it had been out for a second, and not before.
-  EXPECT_FALSE(tracker.machine_lost_alone(0, 9));
+  EXPECT_FALSE(tracker.is_isolated_failure(0, 9));
   EXPECT_TRUE(tracker.on_contact(0, 12.5));
-  EXPECT_TRUE(tracker.machine_lost_alone(0, 9))
-      << "whoever counts failures leaves out those from before returned_at()";
-  EXPECT_EQ(tracker.returned_at(0), 12.5);
+  EXPECT_TRUE(tracker.is_isolated_failure(0, 9))
+      << "whoever counts failures leaves out those from before reachable_since()";
+  EXPECT_EQ(tracker.reachable_since(0), 12.5);
 }
 
 }  // namespace
--- a/tests/worker_manager_test.cpp
+++ b/tests/worker_manager_test.cpp
@@ -39,7 +39,7 @@
                   }}) {
     state_writer_.set_events({[](jobs::Job&) {},
                               [this](const std::vector<jobs::StateWriter::CompletedTask>& ended) {
-                                workers_.acknowledge_ends(ended);
+                                workers_.on_completions_persisted(ended);
                               },
                               [this](jobs::MachineIndex index) { workers_.on_inventory_written(index); },
                               [this](jobs::MachineIndex index) {
@@ -163,11 +163,11 @@
   EXPECT_TRUE(workers_.has_stray_instance("req-1"))
       << "expected a stray instance on machine B, which also prevents the completion of a cancellation";
   heartbeat_with_token("machine-a", 12, {});
-  ASSERT_TRUE(workers_.reconciled() || machine_b.unsized_allocations > 0);
+  ASSERT_TRUE(workers_.reconciled() || machine_b.stray_instance_count > 0);
   EXPECT_FALSE(may_start(job)) << "expected no second start while machine B still runs the task";
   EXPECT_EQ(job.placed_tasks, 1U);
   EXPECT_EQ(job.tasks[0].machine, machine_b.index);
-  EXPECT_EQ(machine_b.unsized_allocations, 0);
+  EXPECT_EQ(machine_b.stray_instance_count, 0);
   EXPECT_DOUBLE_EQ(machine_b.used.cpus, 2);
   EXPECT_DOUBLE_EQ(machine_a.used.cpus, 0);
   EXPECT_DOUBLE_EQ(workers_.team_usage(jobs::TeamIndex(0)).cpus, 2);
@@ -256,7 +256,7 @@
   heartbeat_with_token("machine-b", 9,
                        {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->end_persisted)
+  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->may_acknowledge)
       << "expected no acknowledgement before the completion is persisted";
   EXPECT_EQ(exits_, std::vector<wire::ExitCause>{wire::ExitCause::done});
   EXPECT_EQ(job.placed_tasks, 0U);
@@ -266,7 +266,7 @@
   heartbeat_with_token("machine-a", 12, {});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
   EXPECT_EQ(job.done_tasks, 1U);
-  EXPECT_EQ(machine_a.unsized_allocations, 0);
+  EXPECT_EQ(machine_a.stray_instance_count, 0);
   EXPECT_FALSE(workers_.has_stray_instance("req-1"));
 }
 
@@ -281,7 +281,7 @@
   heartbeat_with_token("machine-b", 10,
                        {{"req-1", kNewAttempt, wire::TaskPhase::exited, wire::ExitCause::done}});
   EXPECT_EQ(job.tasks[0].state, jobs::TaskState::done);
-  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->end_persisted);
+  EXPECT_FALSE(allocation_on(machine_b, kNewAttempt)->may_acknowledge);
   EXPECT_TRUE(allocation_on(machine_a, kOldAttempt)->stop_requested)
       << "expected the other instance of a done task to be stopped";
   heartbeat_with_token("machine-a", 12, {});
@@ -320,7 +320,7 @@
   heartbeat_with_earlier_token("machine-a", 5, {{"req-1", kOldAttempt}});
   heartbeat_with_token("machine-b", 9, {{"req-1", kNewAttempt}});
   heartbeat_with_token("machine-a", 12, {{"req-1", kOldAttempt}});  // both machines run the task
-  EXPECT_EQ(machine_b.unsized_allocations, 1);
+  EXPECT_EQ(machine_b.stray_instance_count, 1);
   EXPECT_FALSE(may_start(job, 1));
   job.spec.spread_zones = false;
   job.spec.same_zone = true;
--- a/tests/zone_tracker_test.cpp
+++ b/tests/zone_tracker_test.cpp
@@ -18,8 +18,8 @@
 ZoneTracker zone_contacted_at(double now, int workers, bool track_loss = true) {
   ZoneTracker tracker(kHeartbeatInterval, kLease, track_loss);
   tracker.begin_leadership(now);
-  tracker.set_expected(0, workers);
-  tracker.add_member(0, workers);
+  tracker.add_expected_workers(0, workers);
+  tracker.add_machines(0, workers);
   tracker.on_contact(0, now);
   return tracker;
 }
@@ -31,7 +31,7 @@
   EXPECT_EQ(tracker.state(0, 100.5), ZoneState::unresponsive);
   EXPECT_EQ(tracker.state(0, 103), ZoneState::unreachable);
   tracker.on_lease_expired(0, 128);
-  tracker.set_expected(0, -200);  // the zone stays lost when all its workers' incarnations have ended
+  tracker.add_expected_workers(0, -200);  // the zone stays lost when all its workers' incarnations have ended
   EXPECT_EQ(tracker.state(0, 130), ZoneState::lost);
   EXPECT_TRUE(tracker.is_unreachable(0, 130) && tracker.is_unresponsive(0, 130) && tracker.any_unstable(130));
   EXPECT_FALSE(tracker.needs_probe_machine(0))
@@ -40,7 +40,7 @@
   EXPECT_TRUE(tracker.on_contact(0, 160));
   EXPECT_EQ(tracker.state(0, 161), ZoneState::recovering);
   EXPECT_TRUE(tracker.any_unstable(161));
-  EXPECT_EQ(tracker.returned_at(0), 160);
+  EXPECT_EQ(tracker.reachable_since(0), 160);
   tracker.on_contact(0, 171);
   EXPECT_EQ(tracker.state(0, 171.1), ZoneState::healthy)
       << "expected recovery to end two heartbeat intervals after the contact";
@@ -52,7 +52,7 @@
   ZoneTracker tracker = zone_contacted_at(100, 200, false);
   tracker.on_lease_expired(0, 128);
   EXPECT_EQ(tracker.state(0, 128), ZoneState::unreachable);
-  tracker.set_expected(0, -200);
+  tracker.add_expected_workers(0, -200);
   EXPECT_EQ(tracker.state(0, 130), ZoneState::healthy);
   EXPECT_FALSE(tracker.any_unstable(130));
 }
@@ -70,9 +70,9 @@
   tracker.on_lease_expired(0, 300);
   EXPECT_TRUE(tracker.is_lost(0));
   EXPECT_FALSE(tracker.needs_probe_machine(0));
-  tracker.add_member(0, -2);
+  tracker.add_machines(0, -2);
   EXPECT_TRUE(tracker.needs_probe_machine(0));
-  tracker.add_member(0, 1);
+  tracker.add_machines(0, 1);
   EXPECT_FALSE(tracker.needs_probe_machine(0)) << "expected no second probe machine while there is one";
   tracker.on_contact(0, 350);
   EXPECT_FALSE(tracker.needs_probe_machine(0));
