--- a/tests/delegation_test.cpp
+++ b/tests/delegation_test.cpp
@@ -405,8 +405,8 @@
 TEST(ZoneTracker, MachinesOfAnUnreachableZoneAreNotLostAlone) {
   zones::ZoneTracker tracker(5, 27, false);
   tracker.begin_leadership(0);
-  tracker.set_expected(0, 200);
-  tracker.set_expected(1, 4);
+  tracker.add_expected_workers(0, 200);
+  tracker.add_expected_workers(1, 4);
   for (double t = 1; t < 10; t += 0.05)
     tracker.on_contact(0, t);
   tracker.on_contact(1, 9);
@@ -419,11 +419,11 @@
   EXPECT_TRUE(tracker.is_unreachable(1, 60)) << "no heartbeat of 4 machines for 51 s";
   // A call sent at 9 s has failed. The machine is lost alone only if others of its zone had contact more than
   // a second after the call was sent.
-  EXPECT_FALSE(tracker.machine_lost_alone(0, 9)) << "the last contact was less than a second after the call";
+  EXPECT_FALSE(tracker.is_isolated_failure(0, 9)) << "the last contact was less than a second after the call";
   EXPECT_TRUE(tracker.on_contact(0, 12.5)) << "the contact ends the unreachability";
-  EXPECT_TRUE(tracker.machine_lost_alone(0, 9))
-      << "callers must ignore failures from before returned_at(), which this function does not";
-  EXPECT_EQ(tracker.returned_at(0), 12.5) << "the time of the contact that ended the unreachability";
+  EXPECT_TRUE(tracker.is_isolated_failure(0, 9))
+      << "callers must ignore failures from before reachable_since(), which this function does not";
+  EXPECT_EQ(tracker.reachable_since(0), 12.5) << "the time of the contact that ended the unreachability";
 }
 
 }  // namespace
