--- a/src/jobs/completion_codec.cpp
+++ b/src/jobs/completion_codec.cpp
@@ -4,19 +4,23 @@
 
 namespace wingtrail::jobs {
 namespace {
-constexpr char kFirst = '0';  // '0'..'o' are 64 printable characters, none of which JSON escapes but '\\'
+/// Six bits are encoded as one of the 64 printable characters from '0' to 'o'. JSON escapes only '\\' of
+/// these, so 'z' stands for it.
+constexpr char kFirst = '0';
 char pack(unsigned six) {
   return six == '\\' - kFirst ? 'z' : static_cast<char>(kFirst + six);
 }
-int unpack(char c) {
-  if (c == 'z')
+/// Returns the six bits, or -1 if the character is none of those that pack() returns.
+int unpack(char packed) {
+  if (packed == 'z')
     return '\\' - kFirst;
-  return c >= kFirst && c < kFirst + 64 ? c - kFirst : -1;
+  return packed >= kFirst && packed < kFirst + 64 ? packed - kFirst : -1;
 }
 void set_bit(char& bits, std::uint32_t bit) {
   bits = static_cast<char>(static_cast<unsigned char>(bits) | 1U << bit);
 }
-constexpr std::size_t kEntryBytes = 40;  // around a job's reference and bits
+/// Upper bound of the size of an entry without the job's reference and the bits.
+constexpr std::size_t kEntryBytes = 40;
 }  // namespace
 
 CompletionCodec::CompletionCodec(double value_kb)
@@ -48,7 +52,7 @@
 }
 
 bool CompletionCodec::decode(const wire::Value& value, std::uint32_t tasks,
-                             const std::function<void(std::uint32_t)>& done) const {
+                             const std::function<void(std::uint32_t)>& on_completed) const {
   const auto from = wire::count(value, "from");
   const auto bits = wire::text(value, "bits");
   if (!from || !bits || *from + (bits->size() - !bits->empty()) * 6 > tasks)
@@ -57,10 +61,10 @@
     const int six = unpack((*bits)[i]);
     if (six < 0)
       return false;
-    for (unsigned b = 0; b < 6; ++b) {
-      const std::uint64_t task = *from + i * 6 + b;
-      if ((six >> b & 1) && task < tasks)
-        done(static_cast<std::uint32_t>(task));
+    for (unsigned bit = 0; bit < 6; ++bit) {
+      const std::uint64_t task = *from + i * 6 + bit;
+      if ((six >> bit & 1) && task < tasks)
+        on_completed(static_cast<std::uint32_t>(task));
     }
   }
   return true;
--- a/src/jobs/completion_pages.cpp
+++ b/src/jobs/completion_pages.cpp
@@ -4,7 +4,7 @@
 
 namespace wingtrail::jobs {
 namespace {
-/// Sums of times are rounded: a page that is due within that time is due.
+/// Tolerance for rounding errors in due times, in s: a page that is due within this time counts as due.
 constexpr Seconds kRounding = 1e-6;
 }  // namespace
 
@@ -37,7 +37,7 @@
   for (const wire::Value& entry : value) {
     Job* job = registry_.find(wire::text(entry, "ref").value_or(""));
     if (!job)
-      continue;  // over; the page is written without it the next time
+      continue;  // the job is over; the next write of the page leaves it out
     const bool decoded = codec_.decode(
         entry, job->spec.tasks, [&](std::uint32_t task) { registry_.complete_task(*job, task, kNoIndex); });
     well_formed &= decoded;
@@ -117,7 +117,8 @@
       continue;
     pages_.clear_due(page);
     Write write{page, take_awaiting(state.entries)};
-    // Its jobs are over. But what another page still holds of it must be here before that one is written.
+    // A page without covered tasks belongs to jobs that are over and need not be written. An exception is a
+    // page in a blocking relation: entries must be stored in their new page before the old one is written.
     if (write.covered.empty() && state.blocks.empty() && state.blocked_by.empty())
       continue;
     transaction.require(key(page), state.version).put(key(page), std::move(*encoded.value));
--- a/src/jobs/final_state_queue.cpp
+++ b/src/jobs/final_state_queue.cpp
@@ -7,7 +7,8 @@
 
 namespace wingtrail::jobs {
 namespace {
-/// A kind is near its limit after that part of the time within which a cancelled job's tasks must be gone.
+/// A kind is near its time limit once its oldest final state has waited for this fraction of the limit within
+/// which the tasks of a cancelled job must be stopped.
 constexpr double kNearLimitFraction = 0.5;
 }  // namespace
 
@@ -72,7 +73,7 @@
       const JobIndex job = queue.begin()->job;
       changes = final_state_changes(*registry_.job_at(job));
       if (changes > selection.unassigned_changes)
-        break;  // it goes first the next time
+        break;  // it stays first in its queue for the next transaction
       queue.erase(queue.begin());
       selection.final_states.push_back(job);
     }
@@ -126,7 +127,8 @@
   queues_[index(job.final_record_kind)].insert({job.record_order, job.index});
 }
 
-// Cancelled jobs, and those that need one, have to be answered about within a limit; the others may be late.
+// Queries of cancelled and orphaned jobs must return the final state within a time limit; final states of
+// completed jobs have no limit.
 bool FinalStateQueue::near_limit(RecordKind kind, Seconds now) const {
   if (kind != RecordKind::cancelled && kind != RecordKind::orphaned)
     return false;
--- a/src/jobs/final_state_queue.hpp
+++ b/src/jobs/final_state_queue.hpp
@@ -1,4 +1,6 @@
-/// Final states that are decided and not yet recorded, and the choice of those that go into a transaction.
+/// @file
+/// Queues final states that are decided but not yet recorded, and selects those that go into the next
+/// transaction.
 #pragma once
 
 #include <array>
@@ -14,72 +16,74 @@
 
 namespace wingtrail::jobs {
 
-/// Changes that recording the job's final state takes: the final state is put, and the job's own key and its
-/// cancellation marker are deleted in the same transaction.
+/// Number of changes that recording the job's final state takes: the final state is put, and the job's own
+/// key and its cancellation marker, if it has them, are deleted in the same transaction.
 int final_state_changes(const Job& job);
 
-/// The queue of final states to be recorded, one line per kind and the oldest first in each, together with
-/// the fair shares by which all kinds of records divide the changes of a transaction.
+/// Final states to be recorded, in one queue per kind with the oldest first, and the fair shares by which all
+/// kinds of records divide the changes of a transaction.
 ///
-/// A final state is unrecorded from its decision until on_recorded(), also while a transaction that holds it
-/// is under way. The state of the queue belongs to one leadership; the counters are kept across leaderships.
+/// A final state counts as unrecorded from its decision until on_recorded(), also while a transaction that
+/// holds it is in flight. The queues belong to one leadership; the counters are kept across leaderships.
 class FinalStateQueue {
  public:
-  /// Final states of one kind that are decided and not recorded.
+  /// Statistics of one kind of final states.
   struct Backlog {
-    std::size_t waiting = 0;
-    Seconds oldest_s = 0;        ///< age of the oldest one, 0 if none waits
+    std::size_t waiting = 0;     ///< decided and not recorded
+    Seconds oldest_s = 0;        ///< age of the oldest waiting one, 0 if none waits
     std::uint64_t recorded = 0;  ///< recorded since the process started
-    std::uint64_t deferred = 0;  ///< delivered transactions that had to leave some of them out
+    std::uint64_t deferred = 0;  ///< delivered transactions that had no capacity for some of them
   };
   using Backlogs = std::array<Backlog, kFinalStateKinds>;
 
-  /// What waits beside final states, and how many changes there are to divide.
+  /// The capacity of a transaction and the due pages that compete with final states for it.
   struct Demand {
-    int changes = 0;  ///< at most, in the transaction
-    int inventory_pages = 0;
-    int completion_pages = 0;
+    int changes = 0;           ///< maximum number of changes in the transaction
+    int inventory_pages = 0;   ///< due pages of the machine inventory
+    int completion_pages = 0;  ///< due completion pages
   };
-  /// How the changes of one transaction are divided.
+  /// The division of one transaction's changes.
   struct Selection {
-    std::vector<JobIndex> final_states;  ///< taken out of the queue, in the order in which they are written
+    std::vector<JobIndex> final_states;  ///< removed from the queue, in the order of writing
     int inventory_changes = 0;
     int completion_changes = 0;
     int unassigned_changes = 0;
     std::array<bool, kFinalStateKinds> left_out{};  ///< kinds of which some did not fit
-    WriteShares shares_before;
+    WriteShares shares_before;                      ///< restored if the transaction fails
   };
 
   FinalStateQueue(JobRegistry& registry, const settings::Settings& settings)
       : registry_(registry), settings_(settings) {}
 
-  /// Forgets everything but the counters: a leadership begins or ends.
+  /// Discards everything except the counters. Called when a leadership begins or ends.
   void clear();
+  /// True if no final state is queued; some may still be in flight.
   bool empty() const;
 
-  /// Decides the job's final state and queues it. `decided_at` is the time from which its age counts.
+  /// Sets the job's final state and queues it. Its age counts from `decided_at`.
   void decide(Job& job, wire::Phase phase, RecordKind kind, Seconds decided_at);
-  /// `then` is called by whoever takes the waiters once the final state is recorded.
+  /// Registers a callback for the time when the job's final state is recorded.
   void add_waiter(JobIndex job, std::function<void()> then);
+  /// Removes and returns the job's callbacks; the caller runs them.
   std::vector<std::function<void()>> take_waiters(JobIndex job);
 
-  /// Divides the changes by the kinds' shares and takes the final states that fit out of the queue.
+  /// Divides the changes among the kinds by their shares and removes the final states that fit from the
+  /// queue.
   ///
-  /// Each kind has its share. When final states of one kind went first and the others got what was left,
-  /// those got nothing for as long as the first kind kept coming: jobs whose dependency was cancelled stayed
-  /// without a final state.
+  /// With a fixed order of kinds instead, the first kind would starve the others for as long as it keeps
+  /// arriving: jobs whose dependency was cancelled would stay without a final state.
   Selection select(const Demand& demand, Seconds now);
-  /// Puts a selection back whose transaction was not applied, or may not have been.
+  /// Puts back a selection whose transaction was not applied, or whose outcome is unknown.
   void restore(const Selection& selection);
-  /// Counts the kinds that a delivered transaction left out.
+  /// Counts the kinds of which a delivered transaction left some final states out.
   void count_deferred(const Selection& selection);
-  /// Lets the others of its kind go first: the state service refuses this one.
+  /// Moves a final state that the state service refuses behind the others of its kind.
   void move_to_back(Job& job, Seconds now);
-  /// The job's final state is recorded.
+  /// Counts the job's final state as recorded.
   void on_recorded(const Job& job);
 
   Backlogs backlogs(Seconds now) const;
-  /// Since when the oldest unrecorded final state of that kind has been decided; nothing if all are recorded.
+  /// When the oldest unrecorded final state of this kind was decided; nothing if all are recorded.
   std::optional<Seconds> oldest_unrecorded(RecordKind kind) const;
 
  private:
--- a/src/jobs/inventory_pages.cpp
+++ b/src/jobs/inventory_pages.cpp
@@ -5,15 +5,15 @@
 
 namespace wingtrail::jobs {
 namespace {
-/// Between writes that are of use only to a later leader, however many of them wait.
+/// Minimum time between opportunistic writes, in s, however many of them wait.
 constexpr Seconds kOpportunisticInterval = 1;
 constexpr std::size_t kQuotesAndComma = 3;
 
-/// Numbers the names of images for one page, as long as their list keeps to a limit.
+/// The list of image names of one page, limited in size; records refer to a name by its number in the list.
 class ImageNames {
  public:
   explicit ImageNames(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
-  /// The name's number in the list; nothing if it does not fit any more.
+  /// Returns the name's number in the list, adding the name if it is new; nothing if the list is full.
   std::optional<std::size_t> number_of(const wire::Value& name) {
     const auto& text = name.get_ref<const std::string&>();
     const auto [known, inserted] = numbers_.try_emplace(text, names_.size());
@@ -39,7 +39,7 @@
   wire::Value names_ = wire::Value::array();
 };
 
-/// The names of the images that a stored record gives by number.
+/// Returns the names of the images whose numbers a stored record lists; unknown numbers are skipped.
 wire::Value image_names(const wire::Value& record, const wire::Value* names) {
   wire::Value images = wire::Value::array();
   const wire::Value* numbers = wire::find(record, "images");
@@ -62,7 +62,7 @@
   return limits_.page_bytes / 8;
 }
 
-// What a machine's images may take, as numbers in its page's list of names.
+// Maximum size of one record's list of image numbers, in bytes.
 std::size_t InventoryPages::images_limit_bytes() const {
   return std::clamp<std::size_t>(limits_.page_bytes / 70, 16, 96);
 }
@@ -71,8 +71,8 @@
   return limits_.page_bytes - names_limit_bytes();
 }
 
-// Of a record without images. A page is made for machines of this one's size; names of hosts and zones differ
-// little in length.
+// Estimated size of a record, given without images, including the maximum for its image numbers. The estimate
+// holds for later records of the page as well, since host and zone names differ little in length.
 std::size_t InventoryPages::record_bytes(const wire::Value& record) const {
   return record.dump().size() + images_limit_bytes() + 1;
 }
@@ -148,7 +148,7 @@
   return true;
 }
 
-// As far as that depends on nothing but the page itself.
+// When the page is due by its urgency, without regard to pages that block it.
 Seconds InventoryPages::due_at(std::size_t page) const {
   const auto& state = pages_[page];
   if (state.urgency == PageUrgency::now)
@@ -200,7 +200,7 @@
     pages_.clear_due(page);
     transaction.require(key(page), state.version).put(key(page), std::move(*encoded.value));
     space.take(state.bytes + names_limit_bytes());
-    // One that is of use only to a later leader goes alone: what users wait for comes first.
+    // At most one opportunistic write per transaction: records that users wait for have precedence.
     if (urgency != PageUrgency::opportunistic)
       continue;
     last_opportunistic_write_at_ = now;
--- a/src/jobs/job_batches.hpp
+++ b/src/jobs/job_batches.hpp
@@ -1,8 +1,11 @@
-/// Job batches: the records of several jobs that were admitted together, in one value. The state service
-/// counts changes, and a batch is one. A batch never changes; it is deleted when none of its jobs is live. A
-/// job of a batch is live as long as it has no final state, so a new leader asks for those.
+/// @file
+/// Job batches: the records of several jobs that were admitted together, stored in one value, since the state
+/// service limits the number of changes. A batch never changes; it is deleted once none of its jobs is live.
+/// A job of a batch is live as long as it has no final state, so a new leader looks up the jobs' final
+/// states.
 ///
-/// Two nodes may each put the same job into a batch: it is the same job, and its final state ends it in both.
+/// Two controllers may each put the same job into a batch. Both records mean the same job, and its final
+/// state is valid for both.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +21,13 @@
 
 namespace wingtrail::jobs {
 
-/// Followed by the node that wrote it, its process, and a number.
+/// Prefix of a batch's key; the controller that wrote the batch, its process and a number follow.
 inline constexpr const char* kBatchPrefix = "j/sheet/";
 inline bool is_batch_key(std::string_view key) {
   return key.starts_with(kBatchPrefix);
 }
 
-/// Calls `visit(ref, record)` for each record of a batch that names a job.
+/// Calls `visit(ref, record)` for each record of the batch that has a job reference.
 template <typename Visitor>
 void for_each_record(const wire::Value& batch, Visitor visit) {
   if (!batch.is_array())
@@ -35,31 +38,31 @@
   }
 }
 
-/// Which live jobs each batch holds, as the leader knows it. Every operation takes time in proportion to the
-/// jobs and batches that it touches.
+/// The leader's view of the live jobs in each batch. Every operation takes time proportional to the jobs and
+/// batches that it touches.
 class JobBatches {
  public:
   void clear() {
     *this = {};
   }
-  /// The batch has been read whole, and some of its jobs are live.
+  /// True if the batch has been read completely and some of its jobs are live.
   bool fully_read(const std::string& key) const {
     const auto it = batches_.find(key);
     return it != batches_.end() && it->second.fully_read;
   }
-  /// The batch has been read whole: those of its jobs that add_live_job() named are its live ones.
+  /// Marks the batch as completely read: its live jobs are exactly those that add_live_job() was called for.
   void on_read(const std::string& key) {
     const auto it = batches_.try_emplace(key).first;
     it->second.fully_read = true;
     erase_if_empty(it);
   }
-  /// The batch holds that live job. Until the batch has been read, others that it holds may be unknown, so it
-  /// is not deleted before.
+  /// Registers a live job of the batch. Until the batch has been read, it may hold other live jobs that are
+  /// unknown here, so it is not deleted before.
   void add_live_job(const std::string& key, JobIndex job) {
     if (batches_[key].live_jobs.insert(job).second)
       batches_of_job_[job].push_back(key);
   }
-  /// The job has a final state, or a key of its own.
+  /// Removes a job that has a final state or a key of its own from its batches.
   void on_job_over(JobIndex job) {
     const auto keys = batches_of_job_.extract(job);
     if (keys.empty())
@@ -76,7 +79,7 @@
   std::size_t size() const {
     return batches_.size();
   }
-  /// Keys of batches that have become empty, to be deleted; each is returned once.
+  /// Returns the keys of batches that have become empty and are to be deleted; each key is returned once.
   std::vector<std::string> take_empty() {
     return std::exchange(empty_, {});
   }
--- a/src/jobs/page_values.hpp
+++ b/src/jobs/page_values.hpp
@@ -1,4 +1,5 @@
-/// What the stores of record pages have in common: the names of pages' keys, and values that keep to limits.
+/// @file
+/// Code shared by completion pages and inventory pages: keys of pages, and encoding within the size limits.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -13,14 +14,14 @@
 
 namespace wingtrail::jobs {
 
-/// Pages with higher numbers are not believed: a number is an index into a table.
+/// Page numbers from this one on are treated as malformed, since a page number is an index into a table.
 inline constexpr std::size_t kMaxPages = 100'000;
 
 inline std::string page_key(const char* prefix, std::size_t page) {
   return prefix + std::to_string(page);
 }
 
-/// The number in a page's key, which follows a prefix of two characters; nothing if it is not a page's key.
+/// Returns the page number that follows the two-character prefix of a page's key; nothing if it is malformed.
 inline std::optional<std::size_t> page_number(const std::string& key) {
   std::size_t number = 0;
   const char* end = key.data() + key.size();
@@ -30,21 +31,21 @@
   return number;
 }
 
-/// The value of a page that is about to be written, and whether the page had to be split for it.
+/// The encoded value of a page, and how often the page was split to keep it within the limits.
 struct PageValue {
-  std::optional<wire::Value> value;  ///< nothing: the page has to wait, for other pages or for its next turn
+  std::optional<wire::Value> value;  ///< nothing: the page must wait for other pages or for its next write
   int splits = 0;
 };
 
-/// Encodes the page and splits it as long as it is larger than `page_bytes`, by the entries' estimated sizes,
-/// or than `limits.value_bytes` when it is encoded.
+/// Encodes the page. Splits it first if the estimated size of its entries exceeds `page_bytes`, or afterwards
+/// if the encoded value exceeds `limits.value_bytes`; in the latter case no value is returned.
 template <typename Entry, typename Encode>
 PageValue encode_within_limits(RecordPages<Entry>& pages, std::size_t page, std::size_t page_bytes,
                                const WriteLimits& limits, Seconds now, Encode encode) {
   PageValue result;
   if (pages[page].bytes > page_bytes && pages.split(page, page_bytes, now)) {
     ++result.splits;
-    spdlog::info("record-pages: page split entries_left={}", pages[page].entries.size());
+    spdlog::info("record-pages: page split page={} entries_left={}", page, pages[page].entries.size());
   }
   if (!pages.is_writable(page))
     return result;
--- a/src/jobs/record_pages.hpp
+++ b/src/jobs/record_pages.hpp
@@ -1,9 +1,11 @@
-/// Records kept many to a value, since the state service counts writes: which entry is in which page, which
-/// pages are due, and in which order they may be written so that no crash loses an entry.
+/// @file
+/// Pages of records: many records are stored in one value, since the state service limits the number of
+/// writes. This module tracks which entry is in which page, which pages are due, and in which order they may
+/// be written so that a crash loses no entry.
 ///
-/// Values that another version wrote, or that were written under other limits, may be larger than may be
-/// written now, and may hold an entry twice. A page that is too large is split when it is due; what moves is
-/// written in its new place before it leaves the old one.
+/// Pages written by another version or under other limits may be larger than the current limits allow, and an
+/// entry may be in two of them. A page that is too large is split when it is due; an entry that moves is
+/// written to its new page before the old page is written without it.
 #pragma once
 
 #include <algorithm>
@@ -21,25 +23,27 @@
 
 using ports::Seconds;
 
-/// How soon a page has to be written; `opportunistic`: it is of use only to a later leader.
+/// How soon a page has to be written. An opportunistic write only saves a later leader some work.
 enum class PageUrgency : std::uint8_t { none, opportunistic, soon, now };
 
-/// The assignment of entries to pages. It knows entries and their sizes only; values are encoded by its
-/// users.
+/// The assignment of entries to pages. It knows only the entries and their sizes; its users encode the
+/// values.
 template <typename Entry>
 class RecordPages {
  public:
   struct Page {
     std::vector<Entry> entries;
-    std::size_t bytes = 0;  ///< of its entries, estimated
+    std::size_t bytes = 0;  ///< estimated total size of its entries
     PageUrgency urgency = PageUrgency::none;
     Seconds due_since = 0;
-    std::set<std::size_t> blocked_by;  ///< pages to be written first: they now hold what its value still does
-    std::set<std::size_t> blocks;      ///< pages that this one blocks
-    /// Revision of the last known change of its key; 0: it does not exist. Each write is conditioned on it,
-    /// so one that is applied late cannot replace a newer value by an older one.
+    /// Pages that must be written first: entries that this page's stored value still holds moved to them.
+    std::set<std::size_t> blocked_by;
+    std::set<std::size_t> blocks;  ///< pages that must be written after this one
+    /// Revision of the last known change of the page's key; 0: the key does not exist. Each write requires
+    /// it, so a write that is applied late cannot replace a newer value with an older one.
     std::uint64_t version = 0;
-    /// Its version is being read: a write without an answer was applied. It is not written meanwhile.
+    /// True while the version is being read again because a write whose reply was lost was applied. The page
+    /// is not written meanwhile.
     bool version_lookup_pending = false;
   };
 
@@ -66,7 +70,8 @@
     return it == page_of_.end() ? std::nullopt : std::optional<std::size_t>(it->second);
   }
 
-  /// The entry's page; if it has none yet, the first one that it fits into within the limit.
+  /// Returns the entry's page. An entry without a page is put into the first one that has capacity for it
+  /// within `limit` bytes, or into a new one.
   std::size_t assign(const Entry& entry, std::size_t bytes, std::size_t limit) {
     if (auto n = page_of(entry))
       return *n;
@@ -77,8 +82,9 @@
     return n;
   }
 
-  /// A stored page holds the entry. If another one does too, that one keeps it, and this one is written anew
-  /// after the other, which may by now hold more than either did.
+  /// Registers that a stored page holds the entry. If an earlier page holds it too, the earlier page keeps
+  /// it, and this page is written again after the earlier one, whose entry may by now cover more than either
+  /// stored value did.
   void add_stored(const Entry& entry, std::size_t bytes, std::size_t n, Seconds now) {
     if (pages_.size() <= n)
       pages_.resize(n + 1);
@@ -116,7 +122,7 @@
     pages_[n].urgency = PageUrgency::none;
     due_pages_.erase(n);
   }
-  /// The page's stored value is what it holds now.
+  /// Must be called once the page's current entries are stored; unblocks the pages that wait for it.
   void on_written(std::size_t n) {
     for (const std::size_t other : std::exchange(pages_[n].blocks, {}))
       pages_[other].blocked_by.erase(n);
@@ -124,15 +130,15 @@
   bool is_writable(std::size_t n) const {
     return pages_[n].blocked_by.empty() && !pages_[n].version_lookup_pending;
   }
-  /// The page's key was read or written at that revision; 0: it does not exist.
+  /// Sets the revision at which the page's key was read or written; 0: the key does not exist.
   void set_version(std::size_t n, std::uint64_t version) {
     if (pages_.size() <= n)
       pages_.resize(n + 1);
     pages_[n].version = version;
   }
 
-  /// Moves entries to other pages until this one keeps to the limit; true if any had to move. One entry
-  /// always stays.
+  /// Moves entries to other pages until this page is within `limit` bytes; returns true if any was moved. One
+  /// entry always stays.
   bool split(std::size_t n, std::size_t limit, Seconds now) {
     bool moved = false;
     while (pages_[n].bytes > limit && pages_[n].entries.size() > 1) {
@@ -165,7 +171,8 @@
     return n < pages_.size() && std::any_of(pages_[n].blocked_by.begin(), pages_[n].blocked_by.end(),
                                             [&](std::size_t first) { return waits_for(first, other); });
   }
-  // Never in a cycle, or none of its pages could ever be written.
+  // Makes page `blocked` wait for page `first`, unless that would close a cycle: none of the pages of a cycle
+  // could ever be written.
   void block_until_written(std::size_t n, std::size_t first) {
     if (waits_for(first, n))
       return;
--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -13,16 +13,18 @@
 constexpr int kStatusMalformed = 400;
 constexpr int kStatusNotFound = 404;
 constexpr int kStatusConflict = 409;
+/// Delay before the records of a failed transaction are written again, in s.
 constexpr Seconds kRetryDelay = 0.15;
-/// For a page that the state service refuses even by itself.
+/// Delay before a page that the state service refuses even by itself is written again, in s.
 constexpr Seconds kRefusedDelay = 5;
-/// A page is filled to that part of the value limit.
+/// Pages are filled to this fraction of the value limit.
 constexpr double kPageFillFraction = 0.85;
 constexpr std::size_t kMinPageBytes = 256;
-/// A final state, the job's own key and its cancellation marker go together.
+/// Changes of the largest final state: it is put, and the job's own key and its cancellation marker are
+/// deleted in the same transaction.
 constexpr int kMaxFinalStateChanges = 3;
-/// A flush is never scheduled at once: a sum of times that is rounded down would come up again and again
-/// within the same instant.
+/// Minimum delay of a rescheduled flush, in s. Without it, a due time that rounding made slightly too early
+/// would trigger flushes repeatedly within the same instant.
 constexpr Seconds kMinFlushDelay = 0.002;
 }  // namespace
 
@@ -76,7 +78,7 @@
   if (then)
     final_states_.add_waiter(job.index, std::move(then));
   if (job.final_state_pending)
-    return;  // the first final state wins; nobody has been told of any yet
+    return;  // the first final state wins; none has been reported to a user yet
   final_states_.decide(job, phase,
                        phase == wire::Phase::cancelled ? RecordKind::cancelled : RecordKind::completed,
                        out_.now());
@@ -156,8 +158,9 @@
   const std::string own_key = kLiveJobPrefix + job.spec.ref;
   transaction.put(kFinalStatePrefix + job.spec.ref,
                   wire::final_state_record({job.final_phase, job.spec.tasks, out_.time_of_day()}));
-  // A job of a batch may have a key of its own that has not been seen here: another node's, for a retry. Left
-  // there it would make the job live again for the next leader, so its absence is a condition.
+  // A job of a batch may also have a key of its own that this leader has not seen: another controller wrote
+  // it for a retried submission. If it stayed, the job would be live again for the next leader, so the
+  // transaction requires that the key is absent.
   if (job.has_own_key)
     transaction.erase(own_key);
   else
@@ -183,7 +186,8 @@
     cleanup_.add_moves_to_own_key(transaction, space, commit.cleanup, out_);
 }
 
-// Final states and pages have their shares of the changes; what these leave is for whatever else is due.
+// Final states and due pages are limited by their shares of the changes. Opportunistic inventory pages and
+// cleanup get the changes that remain.
 StateWriter::Commit StateWriter::assemble(wire::Transaction& transaction) {
   const Seconds now = out_.now();
   Commit commit;
@@ -256,9 +260,9 @@
     schedule_flush(std::max(kMinFlushDelay, at - out_.now()));
 }
 
-// Whether the transaction failed for another reason than that another node leads: a job of a batch has got a
-// key of its own, a job that was to get one has a final state by a transaction that had no answer, or such a
-// transaction has written a page.
+// True if the conflict does not show that another controller leads. Its causes are then: a job of a batch has
+// got a key of its own; a job that was to get one already has a final state, or a page has changed, because
+// an earlier transaction of this leader was applied although its reply was lost.
 bool StateWriter::conflicts_with_own_write(const wire::Value& refusal, const Commit& commit) {
   const auto keys = wire::failed_keys(refusal);
   const auto has = [&keys](const std::string& key) {
@@ -286,8 +290,9 @@
   return true;
 }
 
-// Nobody but this leader writes its pages, so the page holds what one of its own transactions put there that
-// had no answer. It is written anew once its version is known, on condition of that version.
+// Reads the page's version again. Only this leader writes its pages, so a transaction of its own whose reply
+// was lost has changed the page. The page is written again once its version is known, and requires that
+// version.
 template <typename Pages>
 void StateWriter::look_up_version(Pages& pages, std::size_t page) {
   pages.begin_version_lookup(page);
@@ -307,7 +312,7 @@
              });
 }
 
-// Every record may be applied twice without harm, so what is uncertain is simply written again.
+// Writing a record twice is harmless, so all records whose outcome is unknown are written again.
 void StateWriter::on_commit_failed(const Commit& commit) {
   final_states_.restore(commit.selection);
   for (const CompletionPages::Write& write : commit.completions)
@@ -318,12 +323,13 @@
   schedule_flush(kRetryDelay);
 }
 
-// The state service calls the transaction malformed, and would do so again: its limits are lower than the
-// settings say. Fewer records go together from now on; one that is refused by itself must not stop the
-// others.
+// The state service refused the transaction as malformed and would refuse it again: its limits are lower than
+// the settings say. Later transactions hold fewer records. A record that is refused by itself is retried
+// later, so that it does not block the others.
 void StateWriter::on_commit_malformed(const Commit& commit) {
   ++malformed_commits_;
-  spdlog::error("state-writer: transaction refused as malformed changes={}", commit.change_count);
+  spdlog::error("state-writer: transaction refused status=malformed changes={} records={}",
+                commit.change_count, commit.record_count());
   if (commit.record_count() > 1) {
     limits_.changes = std::max(kMaxFinalStateChanges, commit.change_count / 2);
     if (limits_.changes < commit.change_count)
@@ -357,7 +363,7 @@
   on_pages_committed(commit, revision);
 }
 
-// False if one of the callbacks ended the leadership.
+// Returns false if one of the callbacks ended the leadership.
 bool StateWriter::on_final_states_committed(const Commit& commit) {
   const std::uint64_t term = term_;
   for (const JobIndex index : commit.selection.final_states) {
@@ -385,7 +391,7 @@
     inventory_pages_.on_written(write, revision);
     for (const MachineIndex machine : write.joining) {
       if (!inventory_pages_.take_joined(machine))
-        continue;  // gone meanwhile
+        continue;  // the machine was removed meanwhile
       events_.on_machine_recorded(machine);
       if (term != term_)
         return;  // the callback ended the leadership
--- a/src/jobs/write_shares.cpp
+++ b/src/jobs/write_shares.cpp
@@ -4,9 +4,10 @@
 
 namespace wingtrail::jobs {
 namespace {
-/// By RecordKind. Cancelled and orphaned jobs have a time limit; the others may be late.
+/// Weights by RecordKind. Final states of cancelled and orphaned jobs have a time limit, the other kinds
+/// none.
 constexpr std::array<double, kRecordKinds> kWeights{2, 2, 1, 1, 1};
-/// Times the weight, near a time limit.
+/// Factor of the weight of a kind that is near its time limit.
 constexpr double kNearLimitFactor = 4;
 }  // namespace
 
--- a/src/jobs/write_shares.hpp
+++ b/src/jobs/write_shares.hpp
@@ -1,9 +1,10 @@
-/// How the changes of a transaction are shared among kinds of records when more waits than it holds.
+/// @file
+/// Divides the changes of a transaction among the kinds of records when more records wait than it can hold.
 ///
-/// Start-time fair queueing: each kind has a virtual time that advances by the changes it has had, divided by
-/// its weight, and the kind that is furthest behind goes next. A kind that had nothing to write has saved
-/// nothing up, and one that always has something waiting cannot starve the others: in the long run each gets
-/// its weight's part of the changes for as long as it has something waiting.
+/// The division uses start-time fair queueing: each kind has a virtual time that advances by the number of
+/// its changes divided by its weight, and the kind with the smallest virtual time goes next. A kind
+/// accumulates no credit while it has nothing to write, and a kind that always has records waiting cannot
+/// starve the others: in the long run each waiting kind gets changes in proportion to its weight.
 #pragma once
 
 #include <array>
@@ -13,13 +14,14 @@
 
 namespace wingtrail::jobs {
 
-/// Kinds of records that compete for the changes of a transaction; final states come first.
+/// Kinds of records that compete for the changes of a transaction. Kinds of final states have the lowest
+/// numbers.
 enum class RecordKind : std::uint8_t {
-  cancelled,    ///< the final state of a job that its user cancelled and who waits with a connection open
-  orphaned,     ///< that of a job that needs a cancelled one: until it is recorded nobody can answer about it
-  completed,    ///< that of a job whose tasks are completed
-  inventory,    ///< a page of machines, which get no work before they are in it
-  completions,  ///< a page of completed tasks, which hold their allocations until then
+  cancelled,    ///< final state of a job whose user cancelled it and waits for the reply
+  orphaned,     ///< final state of a job that depends on a cancelled one; queries fail until it is recorded
+  completed,    ///< final state of a job whose tasks are all completed
+  inventory,    ///< inventory page; a machine gets no work before its page is written
+  completions,  ///< completion page; completed tasks hold their allocations until it is written
 };
 inline constexpr std::size_t kRecordKinds = 5;
 inline constexpr std::size_t kFinalStateKinds = 3;
@@ -27,17 +29,18 @@
 inline constexpr std::size_t index(RecordKind kind) {
   return static_cast<std::size_t>(kind);
 }
-/// The value of a metric's label.
+/// The kind's name as a label value of metrics.
 const char* name(RecordKind kind);
 
-/// The virtual times; a value, so that an earlier state can be restored.
+/// The virtual times of all kinds. A copyable value, so that an earlier state can be restored.
 class WriteShares {
  public:
+  /// Which kinds have records waiting, by index().
   using Waiting = std::array<bool, kRecordKinds>;
-  /// Of the kinds that have something waiting, the one whose turn it is; nothing if none has.
+  /// The waiting kind that goes next; nothing if none waits.
   std::optional<RecordKind> next(const Waiting& waiting) const;
-  /// That many changes are written of that kind. While it is near a time limit that users were promised it is
-  /// charged a part of them only, and so has more than its usual share.
+  /// Charges the kind for `changes` changes. A kind that is near a time limit promised to users is charged
+  /// only a fraction of them and so gets more than its usual share.
   void charge(RecordKind kind, int changes, bool near_limit);
 
  private:
