--- a/src/jobs/dense_index.hpp
+++ b/src/jobs/dense_index.hpp
@@ -1,5 +1,6 @@
-/// Typed indices: names become dense indices where they enter the process (jobs/name_table.hpp), and the
-/// compiler keeps indices of different things apart.
+/// @file
+/// Typed indices. Names are mapped to dense indices where they enter the process (jobs/name_table.hpp), and
+/// the compiler rejects an index of one kind in place of another.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +10,12 @@
 
 namespace wingtrail::jobs {
 
-/// Converts to any index type, as "no such thing".
+/// Converts to any index type as the value for "none".
 struct NoIndex {};
 inline constexpr NoIndex kNoIndex;
 
-/// An index into a table of things of one kind. Converts to its number, for subscripts; a number has to be
-/// converted explicitly.
+/// An index into a table of one kind of objects. It converts implicitly to its number, for subscripts; a
+/// number must be converted to an index explicitly.
 template <typename Tag>
 class DenseIndex {
  public:
@@ -39,7 +40,7 @@
   std::uint32_t value_ = std::numeric_limits<std::uint32_t>::max();
 };
 
-/// Indices of different things do not compare.
+/// Indices of different kinds cannot be compared.
 template <typename A, typename B>
 bool operator==(DenseIndex<A>, DenseIndex<B>) = delete;
 
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -17,8 +17,8 @@
 }
 
 DependencyGraph::NodeIndex DependencyGraph::node_for(const std::string& ref, Job* job) {
-  const auto [it, fresh] = by_ref_.try_emplace(ref, 0);
-  if (fresh) {
+  const auto [it, inserted] = by_ref_.try_emplace(ref, 0);
+  if (inserted) {
     if (free_nodes_.empty()) {
       free_nodes_.push_back(static_cast<NodeIndex>(nodes_.size()));
       nodes_.emplace_back();
@@ -35,28 +35,28 @@
   return it->second;
 }
 
-// Removes a job that is over, or that has neither dependencies nor dependents.
-void DependencyGraph::release_node(NodeIndex n) {
-  if (Job* job = registry_.job_at(nodes_[n].job)) {
+// Removes the node of a job that is over, or that has neither dependencies nor dependents.
+void DependencyGraph::release_node(NodeIndex index) {
+  if (Job* job = registry_.job_at(nodes_[index].job)) {
     job->effective_priority = job->spec.priority;
     job->latest_finish = ports::kNever;
   }
-  changed_.erase({nodes_[n].created_revision, n});
-  by_ref_.erase(nodes_[n].ref);
-  nodes_[n] = {};
-  free_nodes_.push_back(n);
+  changed_.erase({nodes_[index].created_revision, index});
+  by_ref_.erase(nodes_[index].ref);
+  nodes_[index] = {};
+  free_nodes_.push_back(index);
 }
 
-void DependencyGraph::mark_changed(NodeIndex n) {
-  if (nodes_[n].job != kNoIndex)
-    changed_.emplace(nodes_[n].created_revision, n);
+void DependencyGraph::mark_changed(NodeIndex index) {
+  if (nodes_[index].job != kNoIndex)
+    changed_.emplace(nodes_[index].created_revision, index);
 }
 
 void DependencyGraph::add(Job& job) {
   if (job.spec.depends_on.empty() && !by_ref_.contains(job.spec.ref))
     return;
-  const NodeIndex n = node_for(job.spec.ref, &job);
-  std::optional<Seconds> orphaned_since;  // since when a dependency is known to be cancelled
+  const NodeIndex index = node_for(job.spec.ref, &job);
+  std::optional<Seconds> orphaned_since;  // the earliest cancellation among its dependencies
   const auto on_cancelled = [&orphaned_since](Seconds at) {
     orphaned_since = std::min(orphaned_since.value_or(at), at);
   };
@@ -72,36 +72,36 @@
     Job* dependency = registry_.find(ref);
     if (dependency && dependency->orphaned)
       on_cancelled(dependency->orphaned_at);
-    const NodeIndex m = node_for(ref, dependency);
+    const NodeIndex dependency_node = node_for(ref, dependency);
     if (!known && !dependency)
       unknown_.push_back(ref);
-    nodes_[n].dependencies.push_back(m);
-    nodes_[m].dependents.insert(n);
+    nodes_[index].dependencies.push_back(dependency_node);
+    nodes_[dependency_node].dependents.insert(index);
     ++job.unmet_dependencies;
-    mark_changed(m);
+    mark_changed(dependency_node);
   }
-  mark_changed(n);
+  mark_changed(index);
   if (orphaned_since)
-    orphan_dependents(n, *orphaned_since);
+    orphan_with_dependents(index, *orphaned_since);
 }
 
-// The job can never start, nor can any that depends on it, directly or through others. All are found at once:
-// recording them one generation after another would take a write's time for each.
-void DependencyGraph::orphan_dependents(NodeIndex first, Seconds since) {
+// Marks a job and all that depend on it, directly or indirectly, as orphaned. All are found at once:
+// recording them one generation at a time would add the latency of a write for each generation.
+void DependencyGraph::orphan_with_dependents(NodeIndex first, Seconds since) {
   std::vector<NodeIndex> to_visit{first};
   while (!to_visit.empty()) {
-    const NodeIndex n = to_visit.back();
+    const NodeIndex index = to_visit.back();
     to_visit.pop_back();
     ++visits_;
-    Job* job = registry_.job_at(nodes_[n].job);
+    Job* job = registry_.job_at(nodes_[index].job);
     if (!job || job->orphaned)
       continue;
     job->orphaned = true;
     job->orphaned_at = std::max(since, job->submitted_at);
     orphans_.push_back(job->index);
-    for (const NodeIndex m : nodes_[n].dependencies)
-      mark_changed(m);
-    to_visit.insert(to_visit.end(), nodes_[n].dependents.begin(), nodes_[n].dependents.end());
+    for (const NodeIndex dependency : nodes_[index].dependencies)
+      mark_changed(dependency);
+    to_visit.insert(to_visit.end(), nodes_[index].dependents.begin(), nodes_[index].dependents.end());
   }
 }
 
@@ -109,15 +109,15 @@
   const auto it = by_ref_.find(ref);
   if (it == by_ref_.end())
     return;
-  const NodeIndex n = it->second;
-  for (const NodeIndex d : nodes_[n].dependents) {
+  const NodeIndex index = it->second;
+  for (const NodeIndex dependent : nodes_[index].dependents) {
     ++visits_;
-    std::erase(nodes_[d].dependencies, n);
-    Job* job = registry_.job_at(nodes_[d].job);
+    std::erase(nodes_[dependent].dependencies, index);
+    Job* job = registry_.job_at(nodes_[dependent].job);
     if (!job)
       continue;
     if (!end.done) {
-      orphan_dependents(d, end.at);
+      orphan_with_dependents(dependent, end.at);
       continue;
     }
     --job->unmet_dependencies;
@@ -125,14 +125,15 @@
     if (!job->is_held() && job->is_open())
       ready_.push_back(job->index);
   }
-  for (const NodeIndex m : nodes_[n].dependencies) {
+  for (const NodeIndex dependency : nodes_[index].dependencies) {
     ++visits_;
-    nodes_[m].dependents.erase(n);
-    mark_changed(m);
-    if (nodes_[m].dependents.empty() && (nodes_[m].job == kNoIndex || nodes_[m].dependencies.empty()))
-      release_node(m);
+    Node& node = nodes_[dependency];
+    node.dependents.erase(index);
+    mark_changed(dependency);
+    if (node.dependents.empty() && (node.job == kNoIndex || node.dependencies.empty()))
+      release_node(dependency);
   }
-  release_node(n);
+  release_node(index);
 }
 
 bool DependencyGraph::awaits_unknown(const std::string& ref) const {
@@ -149,44 +150,44 @@
   std::vector<NodeIndex> to_visit{it->second};
   std::set<NodeIndex> seen;
   while (!to_visit.empty()) {
-    const NodeIndex n = to_visit.back();
+    const NodeIndex index = to_visit.back();
     to_visit.pop_back();
-    if (!seen.insert(n).second)
+    if (!seen.insert(index).second)
       continue;
-    if (nodes_[n].job == kNoIndex)
+    if (nodes_[index].job == kNoIndex)
       return true;
-    to_visit.insert(to_visit.end(), nodes_[n].dependencies.begin(), nodes_[n].dependencies.end());
+    to_visit.insert(to_visit.end(), nodes_[index].dependencies.begin(), nodes_[index].dependencies.end());
   }
   return false;
 }
 
 void DependencyGraph::propagate_urgency() {
   while (!changed_.empty()) {
-    const NodeIndex n = changed_.begin()->second;
+    const NodeIndex index = changed_.begin()->second;
     changed_.erase(changed_.begin());
-    Job* job = registry_.job_at(nodes_[n].job);
+    Job* job = registry_.job_at(nodes_[index].job);
     if (!job)
       continue;
     wire::Priority priority = job->spec.priority;
     Seconds latest = ports::kNever;
-    for (const NodeIndex d : nodes_[n].dependents) {
+    for (const NodeIndex node : nodes_[index].dependents) {
       ++visits_;
-      const Job* next = registry_.job_at(nodes_[d].job);
-      if (!next || !next->is_open() || next->orphaned)
+      const Job* dependent = registry_.job_at(nodes_[node].job);
+      if (!dependent || !dependent->is_open() || dependent->orphaned)
         continue;
-      priority = std::max(priority, next->effective_priority);
-      Seconds by = next->latest_finish;
-      if (next->spec.deadline_s)
-        by = std::min(by, next->submitted_at + *next->spec.deadline_s);
-      if (by != ports::kNever)
-        latest = std::min(latest, by - hooks_.expected_duration(*next));
+      priority = std::max(priority, dependent->effective_priority);
+      Seconds finish_by = dependent->latest_finish;
+      if (dependent->spec.deadline_s)
+        finish_by = std::min(finish_by, dependent->submitted_at + *dependent->spec.deadline_s);
+      if (finish_by != ports::kNever)
+        latest = std::min(latest, finish_by - hooks_.expected_duration(*dependent));
     }
     if (priority == job->effective_priority && latest == job->latest_finish)
       continue;
     job->effective_priority = priority;
     job->latest_finish = latest;
-    for (const NodeIndex m : nodes_[n].dependencies)
-      mark_changed(m);
+    for (const NodeIndex dependency : nodes_[index].dependencies)
+      mark_changed(dependency);
   }
 }
 
--- a/src/jobs/inventory_pages.cpp
+++ b/src/jobs/inventory_pages.cpp
@@ -218,7 +218,7 @@
   pages_.on_written(write.page);
 }
 
-bool InventoryPages::take_joined(MachineIndex machine) {
+bool InventoryPages::mark_recorded(MachineIndex machine) {
   return awaiting_first_record_.erase(machine) > 0;
 }
 
--- a/src/jobs/inventory_pages.hpp
+++ b/src/jobs/inventory_pages.hpp
@@ -73,7 +73,7 @@
   /// Must be called once the write was applied at `revision`.
   void on_written(const Write& write, std::uint64_t revision);
   /// Marks the machine's first record as written; returns false if the machine was not waiting for it.
-  bool take_joined(MachineIndex machine);
+  bool mark_recorded(MachineIndex machine);
   /// Handles a page that the state service refused and returns its encoded size in bytes. A page that cannot
   /// be split is deferred until about `retry_at`.
   std::size_t on_refused(const Write& write, Seconds retry_at);
--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -1,4 +1,5 @@
-/// One job that is not over yet, and its tasks, as the leader sees them.
+/// @file
+/// The leader's record of a live job and its tasks.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +20,15 @@
 /// One task of a job. Its number is its position in Job::tasks.
 struct Task {
   TaskState state = TaskState::pending;
-  bool running = false;                ///< its worker reports that it runs; only while it is placed
-  MachineIndex machine;                ///< that it is placed on, else kNoIndex
+  bool running = false;                ///< its worker reports that it runs; only set while it is placed
+  MachineIndex machine;                ///< the machine that it is placed on; kNoIndex if it is not placed
   std::uint32_t pending_position = 0;  ///< its position in Job::pending_tasks while it is pending
 };
 
 /// A live job. All times are in seconds of the process's steady clock unless a field says otherwise.
 ///
-/// The registry owns it and keeps its tasks and their counts consistent; whoever is named beside a group of
-/// fields sets those.
+/// The registry owns the jobs and keeps their tasks and task counts consistent. The heading of each group of
+/// fields names the component that sets them.
 struct Job {
   // ---- identity, set once by the registry
   JobIndex index;
@@ -35,58 +36,60 @@
   TeamIndex team;
   ImageIndex image;
   ClassIndex job_class;
-  ZoneIndex zone;                       ///< that its tasks must run in; kNoIndex: any
-  std::vector<MachineTypeIndex> types;  ///< that its tasks may run on; empty: any
+  ZoneIndex zone;                       ///< the zone that its tasks must run in; kNoIndex: any
+  std::vector<MachineTypeIndex> types;  ///< machine types that its tasks may run on; empty: any
   std::uint64_t created_revision = 0;   ///< revision of its creation in the state service
-  bool has_own_key =
-      true;  ///< it has a key of its own, j/REF; else it is in job batches alone (job_batches.hpp)
-  Seconds submitted_at = 0;  ///< what its own deadline counts from
-  /// What all other times count from: it was submitted, and all its dependencies are done.
+  /// True if it has a key of its own, j/REF; otherwise it is only in job batches (job_batches.hpp).
+  bool has_own_key = true;
+  Seconds submitted_at = 0;  ///< its own deadline counts from here
+  /// When it was submitted or its last dependency was done, whichever is later. All times other than the
+  /// deadline count from here.
   Seconds eligible_since = 0;
 
-  // ---- dependencies, set by DependencyGraph. A held job has no part in anything but their final states.
-  std::uint32_t unmet_dependencies = 0;  ///< jobs that it depends on and that are not known to be done
-  bool orphaned = false;                 ///< one of them is cancelled, so it can never start
-  Seconds orphaned_at = 0;               ///< since then, or since its submission if that was later
+  // ---- dependencies, set by DependencyGraph. A held job takes no part in scheduling.
+  std::uint32_t unmet_dependencies = 0;  ///< number of dependencies that are not known to be done
+  bool orphaned = false;                 ///< a dependency is cancelled, so it can never start
+  Seconds orphaned_at = 0;  ///< time of that cancellation, or of its submission if that was later
   /// Its own priority, or that of a job that depends on it if that is higher.
   wire::Priority effective_priority{};
-  Seconds latest_finish = ports::kNever;  ///< when it must be over for those that depend on it
+  Seconds latest_finish = ports::kNever;  ///< when it must be over for its dependents to keep their deadlines
 
   // ---- remote placement, set by the controller's offloading
-  bool placed_remotely = false;  ///< another cell holds it, or may: nothing of it starts here
-  std::uint64_t visited_cells =
-      0;  ///< bit set of neighbour cells that it was handed on to and came back from
-  bool selected_for_offload = false;  ///< it would start sooner in another cell, and is not started here
-  std::string origin_cell;            ///< the cell that it came from; empty: it was submitted to this one
+  bool placed_remotely = false;  ///< another cell holds it or may hold it: none of its tasks starts here
+  /// Bit set of the neighbour cells that it was offloaded to and that returned it.
+  std::uint64_t visited_cells = 0;
+  bool selected_for_offload = false;  ///< it would start sooner in another cell and is not started here
+  std::string origin_cell;            ///< the cell where the user submitted it; empty: this cell
 
   // ---- tasks, set by the registry
   std::vector<Task> tasks;
-  std::vector<std::uint32_t> pending_tasks;  ///< task numbers, in no order that matters; the next one last
+  std::vector<std::uint32_t>
+      pending_tasks;  ///< task numbers in no particular order; the last one is started next
   std::uint32_t done_tasks = 0;
   std::uint32_t running_tasks = 0;
   std::uint32_t placed_tasks = 0;             ///< running ones included
   std::vector<std::uint32_t> placed_by_zone;  ///< placed tasks, by ZoneIndex
 
-  // ---- final state, set by the state writer but for the first and the cancellation marker
-  bool cancelling = false;               ///< its user wants it cancelled; its tasks must be gone first
-  bool final_state_pending = false;      ///< its final state is decided and being persisted
-  bool final_state_recorded = false;     ///< its final state is persisted
-  bool final_state_sent = false;         ///< its final state may be persisted, for all that is known here
-  bool has_cancellation_marker = false;  ///< there is a record that its user wants it cancelled
-  wire::Phase final_phase = wire::Phase::queued;         ///< meaningful once it is pending
-  RecordKind final_record_kind = RecordKind::completed;  ///< meaningful while it is pending
+  // ---- final state, set by the state writer, except `cancelling` and `has_cancellation_marker`
+  bool cancelling = false;           ///< its user requested its cancellation; its tasks must be stopped first
+  bool final_state_pending = false;  ///< its final state is decided; set also once it is persisted
+  bool final_state_recorded = false;                     ///< its final state is persisted
+  bool final_state_sent = false;                         ///< its final state was sent and may be persisted
+  bool has_cancellation_marker = false;                  ///< the state service holds its cancellation marker
+  wire::Phase final_phase = wire::Phase::queued;         ///< valid once final_state_pending is set
+  RecordKind final_record_kind = RecordKind::completed;  ///< valid once final_state_pending is set
   Seconds final_state_decided_at = 0;
-  Seconds record_order = 0;  ///< its place among final states of its kind: the earlier go first
+  Seconds record_order = 0;  ///< sort key among the final states of its kind; the smallest is written first
 
-  // ---- failure history. A task that fails where others succeed points at its machine, one that fails
-  // everywhere at the job.
+  // ---- failure history. A task that fails on one machine while others succeed points to a faulty machine;
+  // one that fails on all machines points to a faulty job.
   std::vector<MachineIndex> failed_machines;
   std::uint32_t error_count = 0;
   Seconds last_start_at = 0;
-  std::uint32_t lost_starts = 0;   ///< starts that came to nothing, for whatever cause
-  bool has_succeeded = false;      ///< one of its tasks did
-  Seconds not_before = 0;          ///< its tasks are not started again before
-  std::uint64_t gang_attempt = 0;  ///< the attempt that the placed tasks of a gang were started as
+  std::uint32_t lost_starts = 0;   ///< starts that did not lead to a completed task, for any reason
+  bool has_succeeded = false;      ///< one of its tasks has succeeded
+  Seconds not_before = 0;          ///< its tasks are not started again before this time
+  std::uint64_t gang_attempt = 0;  ///< the attempt number shared by the placed tasks of a gang
 
   bool is_service() const {
     return spec.shape == wire::Shape::service;
@@ -94,11 +97,11 @@
   bool is_gang() const {
     return spec.shape == wire::Shape::gang;
   }
-  /// No final state is decided.
+  /// True until a final state is decided.
   bool is_open() const {
     return !final_state_pending && !final_state_recorded;
   }
-  /// None of its tasks may be started here.
+  /// True if none of its tasks may be started here.
   bool is_held() const {
     return unmet_dependencies > 0 || orphaned || cancelling || placed_remotely;
   }
--- a/src/jobs/job_registry.cpp
+++ b/src/jobs/job_registry.cpp
@@ -3,13 +3,13 @@
 namespace wingtrail::jobs {
 
 JobRegistry::JobRegistry(const settings::Settings& settings) {
-  for (const auto& t : settings.teams)
-    teams.add(t.name);
-  for (const auto& z : settings.zones)
-    zones.add(z);
+  for (const auto& team : settings.teams)
+    teams.add(team.name);
+  for (const auto& zone : settings.zones)
+    zones.add(zone);
 }
 
-Job& JobRegistry::add(const wire::JobSpec& spec, std::uint64_t created, Seconds submitted) {
+Job& JobRegistry::add(const wire::JobSpec& spec, std::uint64_t created_revision, Seconds submitted_at) {
   if (Job* known = find(spec.ref))
     return *known;
   auto job = std::make_unique<Job>();
@@ -23,15 +23,15 @@
   job->job_class = classes.add(spec.job_class);
   if (spec.zone)
     job->zone = zones.add(*spec.zone);
-  for (const auto& t : spec.types)
-    job->types.push_back(types.add(t));
-  job->created_revision = created;
-  job->submitted_at = job->eligible_since = submitted;
+  for (const auto& type : spec.types)
+    job->types.push_back(types.add(type));
+  job->created_revision = created_revision;
+  job->submitted_at = job->eligible_since = submitted_at;
   job->effective_priority = spec.priority;
   job->tasks.resize(spec.tasks);
   job->pending_tasks.reserve(spec.tasks);
-  for (std::uint32_t i = spec.tasks; i-- > 0;)
-    add_pending(*job, i);
+  for (std::uint32_t task = spec.tasks; task-- > 0;)
+    add_pending(*job, task);
   by_ref_.emplace(spec.ref, job->index);
   jobs_.push_back(std::move(job));
   return *jobs_.back();
@@ -74,10 +74,10 @@
 }
 
 void JobRegistry::place_task(Job& job, std::uint32_t task, MachineIndex machine, ZoneIndex zone) {
-  Task& t = job.tasks[task];
-  if (t.state == TaskState::pending)
+  Task& state = job.tasks[task];
+  if (state.state == TaskState::pending)
     remove_pending(job, task);
-  t = {TaskState::placed, false, machine, 0};
+  state = {TaskState::placed, false, machine, 0};
   ++job.placed_tasks;
   if (job.placed_by_zone.size() <= zone)
     job.placed_by_zone.resize(zone + 1);
@@ -87,10 +87,10 @@
 }
 
 void JobRegistry::set_task_running(Job& job, std::uint32_t task, bool running) {
-  Task& t = job.tasks[task];
-  if (t.running == running)
+  Task& state = job.tasks[task];
+  if (state.running == running)
     return;
-  t.running = running;
+  state.running = running;
   job.running_tasks += running ? 1 : -1;
 }
 
@@ -107,10 +107,10 @@
 }
 
 void JobRegistry::complete_task(Job& job, std::uint32_t task, ZoneIndex zone) {
-  Task& t = job.tasks[task];
-  if (t.state == TaskState::done)
+  Task& state = job.tasks[task];
+  if (state.state == TaskState::done)
     return;
-  if (t.state == TaskState::pending) {
+  if (state.state == TaskState::pending) {
     remove_pending(job, task);
   } else {
     set_task_running(job, task, false);
@@ -120,7 +120,7 @@
     if (zone != kNoIndex && on_placed)
       on_placed(job, zone, -1);
   }
-  t = {TaskState::done, false, kNoIndex, 0};
+  state = {TaskState::done, false, kNoIndex, 0};
   ++job.done_tasks;
 }
 
--- a/src/jobs/job_registry.hpp
+++ b/src/jobs/job_registry.hpp
@@ -1,4 +1,5 @@
-/// The jobs that are not over yet, by reference and by index, and the tables of names that occur in them.
+/// @file
+/// The live jobs, by reference and by index, and the tables of the names that occur in them.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 namespace wingtrail::jobs {
 
-/// Owns the live jobs and keeps the states of their tasks and the counts of these consistent.
+/// Owns the live jobs and keeps their tasks' states and task counts consistent.
 class JobRegistry {
  public:
   explicit JobRegistry(const settings::Settings& settings);
@@ -28,20 +29,22 @@
   NameTable<ZoneIndex> zones;
   NameTable<MachineTypeIndex> types;
 
-  /// A task of the job is pending again.
+  /// Called when a task of the job is pending again.
   std::function<void(Job&)> on_pending;
-  /// That many of the job's tasks were placed in the zone; negative: they left it.
+  /// Called when the number of the job's tasks placed in the zone changes by `tasks`.
   std::function<void(const Job&, ZoneIndex zone, int tasks)> on_placed;
 
-  /// Adds the job, all tasks pending; returns the known one if there is one of that reference.
-  Job& add(const wire::JobSpec& spec, std::uint64_t created, Seconds submitted);
-  /// Size of the image; 0 if it is unknown.
+  /// Adds a job with all its tasks pending, or returns the known job of that reference. `created_revision` is
+  /// the revision of its creation in the state service, `submitted_at` its submission by the steady clock in
+  /// s.
+  Job& add(const wire::JobSpec& spec, std::uint64_t created_revision, Seconds submitted_at);
+  /// Size of the image in GB; 0 if it is unknown.
   double image_gb(ImageIndex image) const {
     return image < image_gb_.size() ? image_gb_[image] : 0;
   }
-  /// Null if no live job has that reference.
+  /// Returns null if no live job has that reference.
   Job* find(const std::string& ref);
-  /// Null if the index is kNoIndex or the job has been erased.
+  /// Returns null if the index is kNoIndex or the job has been erased.
   Job* job_at(JobIndex index) {
     return index < jobs_.size() ? jobs_[index].get() : nullptr;
   }
@@ -50,7 +53,7 @@
   void erase_if_over(Job& job);
   /// Erases a job whose record was read although it has a final state; nothing else refers to it yet.
   void forget(const std::string& ref);
-  /// Visits every live job, in no order that matters; for what is done once a second at most.
+  /// Visits every live job in unspecified order. For work that is done at most once a second.
   template <typename Visitor>
   void for_each(Visitor visit) {
     for (const auto& [ref, index] : by_ref_)
@@ -59,19 +62,21 @@
   std::size_t live_count() const {
     return by_ref_.size();
   }
-  /// Jobs of which no task may be started here.
+  /// Number of jobs of which no task may be started here; visits every live job.
   std::size_t held_count() const {
     return static_cast<std::size_t>(std::count_if(by_ref_.begin(), by_ref_.end(), [this](const auto& entry) {
       return jobs_[entry.second]->is_held();
     }));
   }
 
-  /// A command to start the task on the machine is about to be sent, or its worker reports it.
+  /// Marks the task as placed on the machine: a start command is about to be sent, or the machine's worker
+  /// lists the task in a heartbeat.
   void place_task(Job& job, std::uint32_t task, MachineIndex machine, ZoneIndex zone);
   void set_task_running(Job& job, std::uint32_t task, bool running);
-  /// The task is not on its machine any more and was not completed: it is pending again.
+  /// Makes a placed task pending again that is gone from its machine without being completed.
   void unplace_task(Job& job, std::uint32_t task, ZoneIndex zone);
-  /// `zone` is where the task was placed; kNoIndex: it was not.
+  /// Marks the task as completed. `zone` is the zone in which it was placed, or kNoIndex if it was not
+  /// placed.
   void complete_task(Job& job, std::uint32_t task, ZoneIndex zone);
 
  private:
--- a/src/jobs/name_table.hpp
+++ b/src/jobs/name_table.hpp
@@ -1,4 +1,5 @@
-/// Names of one kind of thing and their dense indices.
+/// @file
+/// Table of the names of one kind of objects and their dense indices.
 #pragma once
 
 #include <string>
@@ -9,18 +10,18 @@
 
 namespace wingtrail::jobs {
 
-/// Maps names to dense indices and back, for as long as the process lives.
+/// Maps names to dense indices and back. Indices stay valid for the lifetime of the process.
 template <typename Index>
 class NameTable {
  public:
-  /// The name's index; a new one if the name is new.
+  /// Returns the name's index, adding the name if it is new.
   Index add(const std::string& name) {
     const auto [it, inserted] = index_by_name_.try_emplace(name, Index(names_.size()));
     if (inserted)
       names_.push_back(name);
     return it->second;
   }
-  /// kNoIndex if the name is unknown.
+  /// Returns kNoIndex if the name is unknown.
   Index find(const std::string& name) const {
     const auto it = index_by_name_.find(name);
     return it == index_by_name_.end() ? Index(kNoIndex) : it->second;
--- a/src/jobs/record_cleanup.cpp
+++ b/src/jobs/record_cleanup.cpp
@@ -6,9 +6,9 @@
 
 namespace wingtrail::jobs {
 namespace {
-/// Between transactions for nothing else.
+/// Minimum time between transactions that hold only cleanup changes, in s.
 constexpr Seconds kInterval = 1;
-/// Of each kind in one transaction.
+/// Maximum number of deletions, and of moves to own keys, in one transaction.
 constexpr int kMaxPerTransaction = 4;
 }  // namespace
 
@@ -40,16 +40,17 @@
   }
 }
 
-// The record is the one in the batch, but for fields that no version reads.
+// The record equals the one in the batch, except for fields that no version reads.
 void RecordCleanup::add_moves_to_own_key(wire::Transaction& transaction, TransactionSpace& space,
                                          Write& write, const ports::Outbox& clock) {
-  for (int seen = 0; seen < kMaxPerTransaction && !space.exhausted() && !moves_to_own_key_.empty(); ++seen) {
+  for (int tried = 0; tried < kMaxPerTransaction && !space.exhausted() && !moves_to_own_key_.empty();
+       ++tried) {
     const JobIndex index = moves_to_own_key_.front();
     moves_to_own_key_.pop_front();
     Job* job = registry_.job_at(index);
     if (!job || !job->is_open() || !batches_.contains(index))
       continue;
-    // From now on: whether a transaction without an answer is applied, now or late, nobody knows.
+    // Set before the outcome is known: a transaction without a reply may be applied at any later time.
     job->has_own_key = true;
     transaction.require(kFinalStatePrefix + job->spec.ref, 0);
     const double submitted_at = clock.time_of_day() - (clock.now() - job->submitted_at);
@@ -66,7 +67,7 @@
 void RecordCleanup::restore(const Write& write) {
   deletions_.insert(deletions_.begin(), write.deletions.begin(), write.deletions.end());
   for (const JobIndex job : write.moved_to_own_key)
-    moves_to_own_key_.push_back(job);  // others first: this one may be over
+    moves_to_own_key_.push_back(job);  // behind the others, since this job may be over
 }
 
 }  // namespace wingtrail::jobs
--- a/src/jobs/record_cleanup.hpp
+++ b/src/jobs/record_cleanup.hpp
@@ -1,4 +1,5 @@
-/// Keys that are of no use any more, and jobs that are to leave their batches.
+/// @file
+/// Deletes keys that are no longer needed, and moves jobs from their batches to keys of their own.
 #pragma once
 
 #include <deque>
@@ -12,14 +13,14 @@
 
 namespace wingtrail::jobs {
 
-/// Changes that only save a later leader some time. They are added to transactions that have space left, and
-/// only a few of them to each; without any other transaction they have one of their own once in a while.
+/// Collects changes that only save a later leader some work. A few of them are added to each transaction that
+/// has remaining capacity. When no other transaction is sent, they get one of their own at intervals.
 class RecordCleanup {
  public:
-  /// How long to wait for a transaction that they can go with.
+  /// How long to wait for another transaction to add the changes to, in s.
   static constexpr Seconds kDelay = 0.5;
 
-  /// What a transaction holds of them.
+  /// The cleanup changes in one transaction.
   struct Write {
     std::vector<std::string> deletions;
     std::vector<JobIndex> moved_to_own_key;
@@ -37,17 +38,19 @@
   bool has_deletions() const {
     return !deletions_.empty();
   }
+  /// Queues the key for deletion.
   void delete_later(std::string key);
-  /// Gives the job a key of its own, so that its batches can be deleted.
+  /// Queues the job to get a key of its own, so that its batches can be deleted.
   void move_to_own_key(JobIndex job);
 
-  /// When a transaction may be sent for nothing but these.
+  /// When a transaction may be sent that holds only cleanup changes.
   Seconds next_due_at() const;
   void add_deletions(wire::Transaction& transaction, TransactionSpace& space, Write& write, Seconds now);
-  /// Must not go into a transaction that holds the job's final state: its record would outlive it.
+  /// Must not be called for a transaction that holds the job's final state: the job's own key would remain
+  /// after the final state.
   void add_moves_to_own_key(wire::Transaction& transaction, TransactionSpace& space, Write& write,
                             const ports::Outbox& clock);
-  /// The write was not applied, or may not have been.
+  /// Queues the changes again after a write that was not applied, or whose outcome is unknown.
   void restore(const Write& write);
 
  private:
--- a/src/jobs/record_pages.hpp
+++ b/src/jobs/record_pages.hpp
@@ -56,11 +56,11 @@
   std::size_t size() const {
     return pages_.size();
   }
-  Page& operator[](std::size_t n) {
-    return pages_[n];
+  Page& operator[](std::size_t number) {
+    return pages_[number];
   }
-  const Page& operator[](std::size_t n) const {
-    return pages_[n];
+  const Page& operator[](std::size_t number) const {
+    return pages_[number];
   }
   const std::set<std::size_t>& due_pages() const {
     return due_pages_;
@@ -73,29 +73,29 @@
   /// Returns the entry's page. An entry without a page is put into the first one that has capacity for it
   /// within `limit` bytes, or into a new one.
   std::size_t assign(const Entry& entry, std::size_t bytes, std::size_t limit) {
-    if (auto n = page_of(entry))
-      return *n;
-    std::size_t n = 0;
-    while (n < pages_.size() && !(pages_[n].bytes + bytes <= limit))
-      ++n;
-    insert(entry, bytes, n);
-    return n;
+    if (auto number = page_of(entry))
+      return *number;
+    std::size_t number = 0;
+    while (number < pages_.size() && !(pages_[number].bytes + bytes <= limit))
+      ++number;
+    insert(entry, bytes, number);
+    return number;
   }
 
   /// Registers that a stored page holds the entry. If an earlier page holds it too, the earlier page keeps
   /// it, and this page is written again after the earlier one, whose entry may by now cover more than either
   /// stored value did.
-  void add_stored(const Entry& entry, std::size_t bytes, std::size_t n, Seconds now) {
-    if (pages_.size() <= n)
-      pages_.resize(n + 1);
+  void add_stored(const Entry& entry, std::size_t bytes, std::size_t number, Seconds now) {
+    if (pages_.size() <= number)
+      pages_.resize(number + 1);
     const auto first = page_of(entry);
     if (!first)
-      return insert(entry, bytes, n);
-    if (*first == n)
+      return insert(entry, bytes, number);
+    if (*first == number)
       return;
-    block_until_written(n, *first);
+    block_until_written(number, *first);
     mark_due(*first, PageUrgency::soon, now);
-    mark_due(n, PageUrgency::soon, now);
+    mark_due(number, PageUrgency::soon, now);
   }
 
   void remove(const Entry& entry) {
@@ -108,76 +108,77 @@
     page.bytes -= std::min(page.bytes, sizes_.extract(entry).mapped());
   }
 
-  void mark_due(std::size_t n, PageUrgency urgency, Seconds now) {
-    Page& page = pages_[n];
+  void mark_due(std::size_t number, PageUrgency urgency, Seconds now) {
+    Page& page = pages_[number];
     if (urgency <= page.urgency)
       return;
     if (page.urgency == PageUrgency::none) {
       page.due_since = now;
-      due_pages_.insert(n);
+      due_pages_.insert(number);
     }
     page.urgency = urgency;
   }
-  void clear_due(std::size_t n) {
-    pages_[n].urgency = PageUrgency::none;
-    due_pages_.erase(n);
+  void clear_due(std::size_t number) {
+    pages_[number].urgency = PageUrgency::none;
+    due_pages_.erase(number);
   }
   /// Must be called once the page's current entries are stored; unblocks the pages that wait for it.
-  void on_written(std::size_t n) {
-    for (const std::size_t other : std::exchange(pages_[n].blocks, {}))
-      pages_[other].blocked_by.erase(n);
+  void on_written(std::size_t number) {
+    for (const std::size_t other : std::exchange(pages_[number].blocks, {}))
+      pages_[other].blocked_by.erase(number);
   }
-  bool is_writable(std::size_t n) const {
-    return pages_[n].blocked_by.empty() && !pages_[n].version_lookup_pending;
+  bool is_writable(std::size_t number) const {
+    return pages_[number].blocked_by.empty() && !pages_[number].version_lookup_pending;
   }
   /// Sets the revision at which the page's key was read or written; 0: the key does not exist.
-  void set_version(std::size_t n, std::uint64_t version) {
-    if (pages_.size() <= n)
-      pages_.resize(n + 1);
-    pages_[n].version = version;
+  void set_version(std::size_t number, std::uint64_t version) {
+    if (pages_.size() <= number)
+      pages_.resize(number + 1);
+    pages_[number].version = version;
   }
 
   /// Moves entries to other pages until this page is within `limit` bytes; returns true if any was moved. One
   /// entry always stays.
-  bool split(std::size_t n, std::size_t limit, Seconds now) {
+  bool split(std::size_t number, std::size_t limit, Seconds now) {
     bool moved = false;
-    while (pages_[n].bytes > limit && pages_[n].entries.size() > 1) {
-      const Entry entry = pages_[n].entries.back();
+    while (pages_[number].bytes > limit && pages_[number].entries.size() > 1) {
+      const Entry entry = pages_[number].entries.back();
       const std::size_t bytes = sizes_.at(entry);
       remove(entry);
-      std::size_t to = 0;
-      while (to < pages_.size() && (pages_[to].bytes + bytes > limit || waits_for(to, n)))
-        ++to;
-      insert(entry, bytes, to);
-      mark_due(to, PageUrgency::soon, now);
-      block_until_written(n, to);
+      std::size_t target = 0;
+      while (target < pages_.size() && (pages_[target].bytes + bytes > limit || waits_for(target, number)))
+        ++target;
+      insert(entry, bytes, target);
+      mark_due(target, PageUrgency::soon, now);
+      block_until_written(number, target);
       moved = true;
     }
     return moved;
   }
 
  private:
-  void insert(const Entry& entry, std::size_t bytes, std::size_t n) {
-    if (pages_.size() <= n)
-      pages_.resize(n + 1);
-    pages_[n].entries.push_back(entry);
-    pages_[n].bytes += bytes;
-    page_of_.emplace(entry, n);
+  void insert(const Entry& entry, std::size_t bytes, std::size_t number) {
+    if (pages_.size() <= number)
+      pages_.resize(number + 1);
+    pages_[number].entries.push_back(entry);
+    pages_[number].bytes += bytes;
+    page_of_.emplace(entry, number);
     sizes_.emplace(entry, bytes);
   }
-  bool waits_for(std::size_t n, std::size_t other) const {
-    if (n == other)
+  bool waits_for(std::size_t number, std::size_t other) const {
+    if (number == other)
       return true;
-    return n < pages_.size() && std::any_of(pages_[n].blocked_by.begin(), pages_[n].blocked_by.end(),
-                                            [&](std::size_t first) { return waits_for(first, other); });
+    return number < pages_.size() &&
+           std::any_of(pages_[number].blocked_by.begin(), pages_[number].blocked_by.end(),
+                       [&](std::size_t first) { return waits_for(first, other); });
   }
   // Makes page `blocked` wait for page `first`, unless that would close a cycle: none of the pages of a cycle
   // could ever be written.
-  void block_until_written(std::size_t n, std::size_t first) {
-    if (waits_for(first, n))
+  void block_until_written(std::size_t blocked, std::size_t first) {
+    if (waits_for(first, blocked))
       return;
-    pages_[n].blocked_by.insert(first);
-    pages_[first].blocks.insert(n);
+    pages_[blocked].blocked_by.insert(first);
+    pages_[first].blocks.insert(blocked);
   }
 
   std::deque<Page> pages_;
--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -390,7 +390,7 @@
   for (const InventoryPages::Write& write : commit.inventory) {
     inventory_pages_.on_written(write, revision);
     for (const MachineIndex machine : write.joining) {
-      if (!inventory_pages_.take_joined(machine))
+      if (!inventory_pages_.mark_recorded(machine))
         continue;  // the machine was removed meanwhile
       events_.on_machine_recorded(machine);
       if (term != term_)
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -5,19 +5,19 @@
 
 namespace wingtrail::store {
 namespace {
-/// Of the budget: clocks drift, and requests of one second may arrive in the next.
+/// Fraction of the budget that is used: clocks drift, and requests of one second may arrive in the next.
 constexpr double kUsedFraction = 0.9;
-/// What a node may use at once at the least, however small its share: submissions come in bursts, and with a
-/// small budget some waited for more than a second otherwise.
+/// Minimum burst of a controller, in requests and in changes, however small its share is. Submissions come in
+/// bursts; with a small budget and no minimum, some waited for more than a second.
 constexpr double kMinimumBurst = 4;
-/// Of a node's changes, what only admissions may use.
+/// Fraction of a controller's changes that is reserved for admissions.
 constexpr double kAdmissionFraction = 0.1;
-/// Of a node's requests, what questions have in any case.
-constexpr double kQuestionFraction = 0.2;
-/// Weight of a new sample of latency in the means.
+/// Fraction of a controller's requests that is reserved for queries.
+constexpr double kQueryFraction = 0.2;
+/// Number of samples over which the mean latency and its mean deviation are smoothed.
 constexpr double kLatencySamples = 16;
-constexpr int kRangeLimit = 500;
-constexpr Seconds kLeaseTimeout = 1.0;
+constexpr int kRangeLimit = 500;        ///< keys per list request
+constexpr Seconds kLeaseTimeout = 1.0;  ///< in s
 constexpr int kStatusNoReply = 0;
 constexpr int kStatusThrottled = 429;
 constexpr int kStatusUnavailable = 503;
@@ -33,12 +33,12 @@
   requests_bucket_.set_minimum_burst(kMinimumBurst);
   writes_bucket_.set_minimum_burst(kMinimumBurst);
   admission_bucket_.set_minimum_burst(1);
-  question_bucket_.set_minimum_burst(1);
+  query_bucket_.set_minimum_burst(1);
 }
 
 void StateClient::configure(double requests, double writes, double writes_for_admission) {
   requests_bucket_.configure(requests);
-  question_bucket_.configure(requests * kQuestionFraction);
+  query_bucket_.configure(requests * kQueryFraction);
   writes_bucket_.configure(writes);
   admission_bucket_.configure(writes_for_admission);
 }
@@ -60,20 +60,21 @@
 
 bool StateClient::may_request(Seconds now, RequestPriority priority) const {
   return requests_bucket_.time_until(now, 1, request_floor(priority)) <= 0 ||
-         (priority == RequestPriority::question && question_bucket_.time_until(now, 1, 0) <= 0);
+         (priority == RequestPriority::question && query_bucket_.time_until(now, 1, 0) <= 0);
 }
 
-// Questions take what submissions leave, and have a part in any case, which then is missing for the others:
-// with none, users asked for minutes about a job that had long been over, while submissions kept coming.
+// Queries use the requests that submissions leave, and otherwise a reserved part, which then is charged to
+// the common budget too. Without a reserved part, queries of jobs that had long been over failed for minutes
+// while submissions kept coming.
 void StateClient::take_request(Seconds now, RequestPriority priority) {
   if (requests_bucket_.try_take(now, 1, request_floor(priority)))
     return;
-  question_bucket_.take_with_debt(now, 1);
+  query_bucket_.take_with_debt(now, 1);
   requests_bucket_.take_with_debt(now, 1);
 }
 
-// Admissions take what final states and commands leave, and have a little of their own: a leader that records
-// final states for a minute on end would otherwise admit nobody.
+// Admissions use the changes that final states and commands leave, and otherwise a small reserved part.
+// Without it, a leader that records final states for a minute on end would admit no jobs in that time.
 bool StateClient::take_writes(Seconds now, double writes, RequestPriority priority) {
   if (writes <= 0 || writes_bucket_.try_take(now, writes, write_floor(priority)))
     return true;
@@ -94,9 +95,10 @@
                                                                                           : 0.05;
 }
 
-// Final states and commands to workers come before admissions, admissions before what only a later leader
-// needs. Without shares users may overdraw a node's part of the writes for some seconds: their submissions
-// come in bursts and at one node, and the service itself still says when the whole is used up.
+// Final states and commands to workers have precedence over admissions, and admissions over writes that only
+// a later leader needs. Without a share source, users may overdraw a controller's share of the writes for
+// some seconds: submissions come in bursts and at one controller, and the service itself still refuses
+// requests once the whole budget is used up.
 double StateClient::write_floor(RequestPriority priority) const {
   if (may_overdraw_)
     return priority == RequestPriority::background ? 0.0 : -3.0;
@@ -114,9 +116,9 @@
 void StateClient::set_leading(bool leading) {
   if (share_source_)
     return;
-  const double part = default_share(leading, settings_.peers.size());
-  configure(settings_.state_requests_per_s * part * kUsedFraction,
-            settings_.state_writes_per_s * part * kUsedFraction, 0);
+  const double share = default_share(leading, settings_.peers.size());
+  configure(settings_.state_requests_per_s * share * kUsedFraction,
+            settings_.state_writes_per_s * share * kUsedFraction, 0);
 }
 
 void StateClient::send(std::string method, std::string path, wire::Value body, double writes,
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -1,4 +1,5 @@
-/// The client of the state service: requests, and the budget that they are charged to.
+/// @file
+/// Client of the state service, and the budget that its requests are charged to.
 #pragma once
 
 #include <algorithm>
@@ -14,43 +15,43 @@
 
 using ports::Reply;
 
-/// How much of the budget must be left for others. A lease is never held up, and users come before background
-/// work.
+/// Decides how much of the budget a request must leave to requests of higher priority. Lease requests are
+/// never delayed, and users have precedence over background work.
 enum class RequestPriority : std::uint8_t { lease, user, admission, question, background };
 
 /// The client of the state service.
 ///
-/// All controllers share one budget of requests and changes per second; each keeps to its share of it. What
-/// exceeds that is answered at once with status 429 and `delivered == false`, and nothing is sent. The other
-/// statuses are the service's own; 0 means that no reply came, so the request may or may not have been
-/// carried out.
+/// All controllers share one budget of requests and changes per second; each keeps to its budget share. A
+/// request that exceeds it is not sent, and its callback runs at once with status 429 and `delivered ==
+/// false`. All other statuses come from the service; 0 means that no reply came, so the request may or may
+/// not have been carried out.
 class StateClient {
  public:
   StateClient(ports::Outbox& out, const settings::Settings& settings);
-  /// Sets the node's share by its role, as long as no share source is set.
+  /// Sets the controller's budget share by its role. Has no effect once a share source is set.
   void set_leading(bool leading);
 
-  /// The share of a node's role: the leader does most of the writing and gets the larger one.
+  /// The budget share of a role. The leader does most of the writing and gets the larger share.
   static double default_share(bool leading, std::size_t others) {
     return others == 0 ? 1.0 : leading ? 0.5 : 0.5 / static_cast<double>(others);
   }
-  /// Fractions of the whole budget.
+  /// A budget share, as fractions of the whole budget.
   struct BudgetShare {
     double requests = 0;
     double writes = 0;
-    bool may_overdraw = false;  ///< for some seconds, as where no share source is set
+    bool may_overdraw = false;  ///< users may exceed the share of writes for some seconds
   };
-  /// From now on the node's share of the whole is asked for at every request.
+  /// Sets a function that is called at each request for the controller's current budget share.
   void set_share_source(std::function<BudgetShare()> share_of_whole);
-  /// Until a transaction of that many changes would be sent; 0: it would now.
+  /// Time in s until a transaction of `writes` changes would be sent; 0 if it would be sent now.
   Seconds time_until_writable(RequestPriority priority, double writes);
-  /// Changes per second that this node may make.
+  /// Changes per second that this controller may make.
   double write_rate() const {
     return writes_bucket_.rate();
   }
-  /// The share that this node has asked for lately, whether its requests were sent or throttled.
+  /// The share that this controller's recent requests amount to, whether they were sent or throttled.
   BudgetShare recent_demand() const;
-  /// What a reply of the service usually takes.
+  /// Time in s within which most replies of the service arrive.
   Seconds typical_latency() const {
     return mean_latency_s_ + 2 * latency_deviation_s_;
   }
@@ -58,31 +59,32 @@
   using Callback = std::function<void(const Reply&)>;
 
   void get(const std::string& key, RequestPriority priority, Callback then);
-  /// The keys after `after` that begin with the prefix, one batch at a time.
+  /// Lists the keys after `after` that begin with the prefix, up to a fixed number per request.
   void list(const std::string& prefix, const std::string& after, Callback then);
-  /// Must not be sent at or after `not_after`: the sender's authority ends there.
+  /// Sends a transaction. It must not be sent at or after `not_after`, when the sender's authority ends.
   void transact(wire::Transaction txn, RequestPriority priority, Seconds not_after, Callback then);
-  /// Replies once something has changed after that revision, at the latest after kWatchMs.
+  /// Long poll: replies once a key with the prefix has changed after revision `after`, at the latest after
+  /// kWatchMs.
   void watch(const std::string& prefix, std::uint64_t after, Callback then);
-  /// Replies at once with what has changed after that revision.
+  /// Replies at once with the changes after revision `after`.
   void read_changes(const std::string& prefix, std::uint64_t after, Callback then);
   void create_lease(int ttl_ms, Callback then);
   void renew_lease(std::uint64_t lease, Callback then);
   void revoke_lease(std::uint64_t lease);
 
-  /// Whether the service replied to this node lately.
+  /// True if the service has replied to this controller within kHealthyWindow.
   bool healthy() const {
     return out_.now() - last_reply_at_ < kHealthyWindow;
   }
-  /// After what time a reply is so late that another way is worth trying.
+  /// Time in s after which a reply is so late that a second attempt by another path is worthwhile.
   Seconds hedging_delay() const {
     return std::clamp(mean_latency_s_ + 4 * latency_deviation_s_, kMinHedgingDelay, kRequestTimeout / 2);
   }
-  /// Requests that were sent.
+  /// Number of requests that were sent.
   std::uint64_t requests() const {
     return requests_;
   }
-  /// Requests that the budget did not allow.
+  /// Number of requests that the budget did not allow.
   std::uint64_t throttled() const {
     return throttled_;
   }
@@ -109,10 +111,10 @@
   bool may_overdraw_ = true;
   TokenBucket requests_bucket_;
   TokenBucket writes_bucket_;
-  TokenBucket admission_bucket_;  // changes that only admissions may make
-  TokenBucket question_bucket_;   // requests that questions may make though others leave them none
+  TokenBucket admission_bucket_;  // changes reserved for admissions
+  TokenBucket query_bucket_;      // requests reserved for queries
   Seconds last_reply_at_ = -kHealthyWindow;
-  Seconds mean_latency_s_ = 0.01;  // watches left out
+  Seconds mean_latency_s_ = 0.01;  // without watches
   Seconds latency_deviation_s_ = 0.005;
   std::uint64_t requests_ = 0;
   std::uint64_t throttled_ = 0;
--- a/src/store/token_bucket.cpp
+++ b/src/store/token_bucket.cpp
@@ -2,7 +2,7 @@
 
 namespace wingtrail::store {
 namespace {
-/// What to wait when the rate is 0, until it may have been configured anew.
+/// Reported waiting time at a rate of 0, in s; the rate may have been set again by then.
 constexpr Seconds kWaitWithoutRate = 1.0;
 }  // namespace
 
--- a/src/store/token_bucket.hpp
+++ b/src/store/token_bucket.hpp
@@ -1,4 +1,5 @@
-/// A token bucket: a rate of whole or partial tokens, with bursts and debt.
+/// @file
+/// A token bucket with fractional tokens, bursts and debt.
 #pragma once
 
 #include <algorithm>
@@ -9,23 +10,23 @@
 
 using ports::Seconds;
 
-/// Holds at most a second's worth of tokens, or the minimum burst if that is more.
+/// A token bucket that holds at most the tokens of one second, or the minimum burst if that is more.
 class TokenBucket {
  public:
-  /// Sets the rate; tokens above the new burst are lost.
+  /// Sets the rate in tokens per second; tokens above the new burst are lost.
   void configure(double per_second) {
     rate_ = per_second;
     level_ = std::min(level_, burst());
   }
-  /// For rates so low that a second's worth is no whole request.
+  /// Sets a minimum burst, for rates of less than one token per second.
   void set_minimum_burst(double tokens) {
     minimum_burst_ = tokens;
   }
-  /// Takes the tokens unless that would leave less than `floor`, a part of a second's worth; false if so.
+  /// Takes the tokens and returns true, unless less than `floor` times the tokens of one second would remain.
   bool try_take(Seconds now, double tokens, double floor);
-  /// Takes the tokens in any case; the level may become negative.
+  /// Takes the tokens unconditionally; the level may become negative.
   void take_with_debt(Seconds now, double tokens);
-  /// Until try_take() would succeed; 0: it would now.
+  /// Time in s until try_take() would succeed; 0 if it would succeed now.
   Seconds time_until(Seconds now, double tokens, double floor) const;
   /// Tokens per second.
   double rate() const {
@@ -37,7 +38,8 @@
   double burst() const {
     return std::max(rate_, minimum_burst_);
   }
-  // What must be left. More tokens than a full bucket holds take a full one.
+  // Tokens that must remain. With a minimum burst, a full bucket may always be used: if it could not leave
+  // the floor, the request only needs the bucket to be full.
   double reserve(double tokens, double floor) const {
     return minimum_burst_ > 0 ? std::min(floor * rate_, burst() - tokens) : floor * rate_;
   }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -85,13 +85,13 @@
 mutant "one dependency is enough" jobs/dependency_graph.cpp 's/if \(!job->is_held\(\) && job->is_open\(\)\)\s+ready_/if (job->unmet_dependencies = 0; job->is_open()) ready_/'
 mutant "dependencies are forgotten at a failover" controller/leadership.cpp 's/for \(jobs::Job\* job : all\)\s+dependencies_\.add\(\*job\);//'
 mutant "a cancellation ends with the job itself" jobs/dependency_graph.cpp 's/orphans_\.push_back\(job->index\);//'
-mutant "only direct dependents are cancelled" jobs/dependency_graph.cpp 's/to_visit\.insert\(to_visit\.end\(\), nodes_\[n\]\.dependents\.begin\(\), nodes_\[n\]\.dependents\.end\(\)\);//'
+mutant "only direct dependents are cancelled" jobs/dependency_graph.cpp 's/to_visit\.insert\(to_visit\.end\(\), nodes_\[index\]\.dependents\.begin\(\), nodes_\[index\]\.dependents\.end\(\)\);//'
 mutant "a job that depends on a cancelled one waits" jobs/dependency_graph.cpp 's/if \(!end->done\)\s+on_cancelled\(end->at\);//'
 mutant "a dependency is met before its final state is committed" controller/leadership.cpp 's/state_writer_\.record_final_state\(job, wire::Phase::done, \{\}\);/state_writer_.record_final_state(job, wire::Phase::done, {}); dependencies_.on_ended(job.spec.ref, {true, out_.now()});/'
 mutant "a job may depend on what was never accepted" controller/job_submission.cpp 's/without_key\.push_back\(ref\);/(void)ref;/'
 mutant "waiting jobs are placed" jobs/job.hpp 's/return unmet_dependencies > 0 \|\| orphaned \|\|/return/'
 mutant "the limits of today alone" settings/settings.cpp 's/l\.value = std::min\(l\.value, next\.number\(l\.key, l\.lowest, 1e6, l\.value\)\);/next.number(l.key, l.lowest, 1e6, l.value);/'
-mutant "a split page loses its entries before they are elsewhere" jobs/record_pages.hpp 's/return pages_\[n\]\.blocked_by\.empty\(\) && /return /'
+mutant "a split page loses its entries before they are elsewhere" jobs/record_pages.hpp 's/return pages_\[number\]\.blocked_by\.empty\(\) && /return /'
 mutant "the first chunk of a record only" jobs/completion_pages.cpp 's/number <= last; \+\+number\)/number <= first; ++number)/'
 mutant "too large a page stays whole" jobs/page_values.hpp 's/pages\[page\]\.bytes > page_bytes && pages\.split\(page, page_bytes, now\)/false/'
 mutant "a cancellation marker decides" controller/job_cancellation.cpp 's/txn\.require\(live\.key, live\.version\);//'
@@ -175,6 +175,6 @@
 mutant "backlog: the newest cancellation first" jobs/final_state_queue.cpp 's/job\.record_order = decided_at;/job.record_order = kind == RecordKind::cancelled ? -decided_at : decided_at;/'
 mutant "backlog: a leader that can write has recorded all" controller/controller.cpp 's/out_\.now\(\) - std::max\(0\.0, f\.final_state_lag_s\)/out_.now()/'
 mutant "backlog: late cancellations leave markers" controller/job_cancellation.cpp 's/if \(outcome == PeerOutcome::unavailable && /if (false \&\& /'
-mutant "backlog: questions get what submissions leave" store/state_client.cpp 's/(constexpr double kQuestion\w+) = 0\.2/$1 = 0.0/'
+mutant "backlog: questions get what submissions leave" store/state_client.cpp 's/(constexpr double kQuery\w+) = 0\.2/$1 = 0.0/'
 echo "$caught passed, $missed failed"
 ((missed == 0))
