--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -65,17 +65,18 @@
                           [this] {
                             read_at_ = out_.now();
                           }}),
-      dependencies_(registry_, {[this](const std::string& ref) -> std::optional<jobs::DependencyGraph::End> {
-                                  const wire::FinalState* state = final_states_.find(ref);
-                                  if (!state)
-                                    return std::nullopt;
-                                  return jobs::DependencyGraph::End{
-                                      state->phase == wire::Phase::done,
-                                      state->ended_at ? to_steady_time(*state->ended_at) : 0};
-                                },
-                                [this](const jobs::Job& job) {
-                                  return scheduler_.expected_duration(job);
-                                }}),
+      dependencies_(registry_,
+                    {[this](const std::string& ref) -> std::optional<jobs::DependencyGraph::FinalState> {
+                       const wire::FinalState* state = final_states_.find(ref);
+                       if (!state)
+                         return std::nullopt;
+                       return jobs::DependencyGraph::FinalState{
+                           state->phase == wire::Phase::done,
+                           state->ended_at ? to_steady_time(*state->ended_at) : 0};
+                     },
+                     [this](const jobs::Job& job) {
+                       return scheduler_.expected_duration(job);
+                     }}),
       state_writer_(
           out_, store_, registry_, settings_,
           {[this] { return election_.fencing_token(); }, [this] { return election_.lease_expires_at(); },
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -10,8 +10,8 @@
   if (!final_states_.insert(ref, ended))
     return;
   if (election_.holds_leadership())
-    dependencies_.on_ended(ref, {ended.phase == wire::Phase::done,
-                                 ended.ended_at ? to_steady_time(*ended.ended_at) : out_.now()});
+    dependencies_.on_final_state(ref, {ended.phase == wire::Phase::done,
+                                       ended.ended_at ? to_steady_time(*ended.ended_at) : out_.now()});
 }
 
 // What the others may rely on when this leader does not answer them: up to when all that follows from
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -107,7 +107,7 @@
                               bool leader_deferred) {
   // Questions are repeated in a few seconds anyway; submissions and cancellations go before them.
   const auto priority =
-      detail == ReplyDetail::state ? store::RequestPriority::user : store::RequestPriority::question;
+      detail == ReplyDetail::state ? store::RequestPriority::user : store::RequestPriority::query;
   // A job that depends on a cancelled one may still be recorded as live, and only the leader knows. So this
   // controller goes by how far the leader said that it has recorded such final states: that the leader could
   // write lately is no proof, since more may wait than it can write. Nor is the record one if the leader has
--- a/src/jobs/dependency_graph.cpp
+++ b/src/jobs/dependency_graph.cpp
@@ -62,10 +62,10 @@
   };
   for (const std::string& ref : job.spec.depends_on) {
     ++visits_;
-    if (const auto end = hooks_.final_state(ref)) {
-      if (!end->done)
-        on_cancelled(end->at);
-      job.eligible_since = std::max(job.eligible_since, end->at);
+    if (const auto final_state = hooks_.final_state(ref)) {
+      if (!final_state->done)
+        on_cancelled(final_state->at);
+      job.eligible_since = std::max(job.eligible_since, final_state->at);
       continue;
     }
     const bool known = by_ref_.contains(ref);
@@ -105,7 +105,7 @@
   }
 }
 
-void DependencyGraph::on_ended(const std::string& ref, End end) {
+void DependencyGraph::on_final_state(const std::string& ref, FinalState final_state) {
   const auto it = by_ref_.find(ref);
   if (it == by_ref_.end())
     return;
@@ -116,12 +116,12 @@
     Job* job = registry_.job_at(nodes_[dependent].job);
     if (!job)
       continue;
-    if (!end.done) {
-      orphan_with_dependents(dependent, end.at);
+    if (!final_state.done) {
+      orphan_with_dependents(dependent, final_state.at);
       continue;
     }
     --job->unmet_dependencies;
-    job->eligible_since = std::max(job->eligible_since, end.at);
+    job->eligible_since = std::max(job->eligible_since, final_state.at);
     if (!job->is_held() && job->is_open())
       ready_.push_back(job->index);
   }
--- a/src/jobs/dependency_graph.hpp
+++ b/src/jobs/dependency_graph.hpp
@@ -21,14 +21,14 @@
 class DependencyGraph {
  public:
   /// The part of a job's final state that matters to its dependents.
-  struct End {
+  struct FinalState {
     bool done = false;  ///< true: done; false: cancelled
     Seconds at = 0;     ///< time of the final state by the steady clock, in s
   };
   /// Functions that supply the graph with data of other modules.
   struct Hooks {
     /// Returns the job's committed final state, if one is known.
-    std::function<std::optional<End>(const std::string& ref)> final_state;
+    std::function<std::optional<FinalState>(const std::string& ref)> final_state;
     /// Returns the expected time from the job's eligibility to start to its final state, in s.
     std::function<Seconds(const Job&)> expected_duration;
   };
@@ -38,7 +38,7 @@
   /// Adds a job that is new to the registry, with its dependencies.
   void add(Job& job);
   /// Applies a committed final state to the job's dependents. Idempotent.
-  void on_ended(const std::string& ref, End end);
+  void on_final_state(const std::string& ref, FinalState final_state);
   /// True if a job depends on the job `ref`, which is not known here.
   bool awaits_unknown(const std::string& ref) const;
   /// True if it is undecided whether the job is orphaned: a job that it depends on, directly or indirectly,
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -60,7 +60,7 @@
 
 bool StateClient::may_request(Seconds now, RequestPriority priority) const {
   return requests_bucket_.time_until(now, 1, request_floor(priority)) <= 0 ||
-         (priority == RequestPriority::question && query_bucket_.time_until(now, 1, 0) <= 0);
+         (priority == RequestPriority::query && query_bucket_.time_until(now, 1, 0) <= 0);
 }
 
 // Queries use the requests that submissions leave, and otherwise a reserved part, which then is charged to
@@ -90,9 +90,9 @@
 }
 
 double StateClient::request_floor(RequestPriority priority) {
-  return priority == RequestPriority::background || priority == RequestPriority::question ? 0.3
-         : priority == RequestPriority::admission                                         ? 0.15
-                                                                                          : 0.05;
+  return priority == RequestPriority::background || priority == RequestPriority::query ? 0.3
+         : priority == RequestPriority::admission                                      ? 0.15
+                                                                                       : 0.05;
 }
 
 // Final states and commands to workers have precedence over admissions, and admissions over writes that only
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -17,7 +17,7 @@
 
 /// Decides how much of the budget a request must leave to requests of higher priority. Lease requests are
 /// never delayed, and users have precedence over background work.
-enum class RequestPriority : std::uint8_t { lease, user, admission, question, background };
+enum class RequestPriority : std::uint8_t { lease, user, admission, query, background };
 
 /// The client of the state service.
 ///
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -19,9 +19,9 @@
  protected:
   settings::Settings settings;
   JobRegistry registry{settings};
-  std::map<std::string, DependencyGraph::End> over;
+  std::map<std::string, DependencyGraph::FinalState> over;
   DependencyGraph chains{registry,
-                         {[this](const std::string& r) -> std::optional<DependencyGraph::End> {
+                         {[this](const std::string& r) -> std::optional<DependencyGraph::FinalState> {
                             auto it = over.find(r);
                             return it == over.end() ? std::nullopt : std::optional(it->second);
                           },
@@ -48,7 +48,7 @@
     if (Job* job = registry.find(ref(n)))
       job->final_state_pending = job->final_state_recorded = true;
     over[ref(n)] = {done, at};
-    chains.on_ended(ref(n), {done, at});
+    chains.on_final_state(ref(n), {done, at});
   }
   std::vector<std::string> names(const std::vector<jobs::JobIndex>& jobs) {
     std::vector<std::string> out;
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -32,7 +32,7 @@
       for (submissions += submissions_per_s * kTick; submissions >= 1; --submissions)
         ask(RequestPriority::user, submissions_);
       for (questions += questions_per_s * kTick; questions >= 1; --questions)
-        ask(RequestPriority::question, questions_);
+        ask(RequestPriority::query, questions_);
       out_.drain();
     }
   }
