--- a/src/jobs/job.hpp
+++ b/src/jobs/job.hpp
@@ -46,7 +46,8 @@
   /// deadline count from here.
   Seconds eligible_since = 0;
 
-  // ---- dependencies, set by DependencyGraph. A held job takes no part in scheduling.
+  // ---- dependencies, set by DependencyGraph. A held job only waits for the final states of its dependencies
+  // and is otherwise ignored.
   std::uint32_t unmet_dependencies = 0;  ///< number of dependencies that are not known to be done
   bool orphaned = false;                 ///< a dependency is cancelled, so it can never start
   Seconds orphaned_at = 0;  ///< time of that cancellation, or of its submission if that was later
@@ -56,15 +57,15 @@
 
   // ---- remote placement, set by the controller's offloading
   bool placed_remotely = false;  ///< another cell holds it or may hold it: none of its tasks starts here
-  /// Bit set of the neighbour cells that it was offloaded to and that returned it.
+  /// Bit set of the neighbour cells to which it was offloaded and from which it came back.
   std::uint64_t visited_cells = 0;
   bool selected_for_offload = false;  ///< it would start sooner in another cell and is not started here
   std::string origin_cell;            ///< the cell where the user submitted it; empty: this cell
 
   // ---- tasks, set by the registry
   std::vector<Task> tasks;
-  std::vector<std::uint32_t>
-      pending_tasks;  ///< task numbers in no particular order; the last one is started next
+  /// Numbers of the pending tasks in no particular order; the last one is started next.
+  std::vector<std::uint32_t> pending_tasks;
   std::uint32_t done_tasks = 0;
   std::uint32_t running_tasks = 0;
   std::uint32_t placed_tasks = 0;             ///< running ones included
@@ -72,7 +73,7 @@
 
   // ---- final state, set by the state writer, except `cancelling` and `has_cancellation_marker`
   bool cancelling = false;           ///< its user requested its cancellation; its tasks must be stopped first
-  bool final_state_pending = false;  ///< its final state is decided; set also once it is persisted
+  bool final_state_pending = false;  ///< its final state is decided; stays set once it is persisted
   bool final_state_recorded = false;                     ///< its final state is persisted
   bool final_state_sent = false;                         ///< its final state was sent and may be persisted
   bool has_cancellation_marker = false;                  ///< the state service holds its cancellation marker
--- a/src/jobs/state_writer.hpp
+++ b/src/jobs/state_writer.hpp
@@ -48,8 +48,8 @@
   struct Events {
     std::function<void(Job&)> on_final_state;  ///< called once the job's final state is persisted
     std::function<void(const std::vector<CompletedTask>&)> on_completions_persisted;
-    std::function<void(MachineIndex)>
-        on_machine_recorded;  ///< called once the persisted inventory holds the machine
+    /// Called once the persisted inventory holds the machine.
+    std::function<void(MachineIndex)> on_machine_recorded;
     std::function<wire::Value(MachineIndex)> machine_record;  ///< returns the inventory record of a machine
   };
   /// Puts and deletes since the process started, by purpose.
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -22,9 +22,9 @@
 /// The client of the state service.
 ///
 /// All controllers share one budget of requests and changes per second; each keeps to its budget share. A
-/// request that exceeds it is not sent, and its callback runs at once with status 429 and `delivered ==
-/// false`. All other statuses come from the service; 0 means that no reply came, so the request may or may
-/// not have been carried out.
+/// request that exceeds it is not sent, and its callback runs at once with status 429 and
+/// `delivered == false`. All other statuses come from the service; 0 means that no reply came, so the request
+/// may or may not have been carried out.
 class StateClient {
  public:
   StateClient(ports::Outbox& out, const settings::Settings& settings);
