--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -10,7 +10,7 @@
   if (!final_states_.insert(ref, state))
     return;
   if (election_.holds_leadership())
-    dependencies_.on_ended(ref, {state.phase == wire::Phase::done,
+    dependencies_.on_final_state(ref, {state.phase == wire::Phase::done,
                                  state.ended_at ? to_steady_time(*state.ended_at) : out_.now()});
 }
 
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -109,7 +109,7 @@
                               bool leader_deferred) {
   // Users repeat queries every few seconds, so submissions and cancellations have priority over them.
   const auto priority =
-      detail == ReplyDetail::state ? store::RequestPriority::user : store::RequestPriority::question;
+      detail == ReplyDetail::state ? store::RequestPriority::user : store::RequestPriority::query;
   // A job that depends on a cancelled one may still be recorded as live, and only the leader knows that it is
   // orphaned. So this controller relies on the time up to which the leader reports such final states as
   // recorded. That the leader wrote something lately proves nothing, since its backlog may exceed what it can
