--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -82,8 +82,9 @@
 // they can be started elsewhere at once instead of after the worker's lease has expired.
 void Autoscaler::return_unhealthy() {
   // A machine in an unreachable zone continues to run its tasks unobserved, and a return would end them. A
-  // machine that is lost while its zone is reachable has no tasks left to lose. Without `is_isolated_failure()`, the
-  // machines of a zone that is becoming unreachable would be returned one after the other.
+  // machine that is lost while its zone is reachable has no tasks left to lose. Without
+  // `is_isolated_failure()`, the machines of a zone that is becoming unreachable would be returned one after
+  // the other.
   if (out_.now() >= ignore_timeouts_until_ && !workers_.unresponsive_machines().empty()) {
     std::vector<MachineIndex> lost;
     for (const MachineIndex index : workers_.unresponsive_machines()) {
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -11,7 +11,7 @@
     return;
   if (election_.holds_leadership())
     dependencies_.on_final_state(ref, {state.phase == wire::Phase::done,
-                                 state.ended_at ? to_steady_time(*state.ended_at) : out_.now()});
+                                       state.ended_at ? to_steady_time(*state.ended_at) : out_.now()});
 }
 
 // Updates the time up to which all final states that follow from cancellations are recorded. Peers rely on it
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -36,7 +36,8 @@
     if (origin.by_peer)
       return collaborators_.responder.try_later(origin);
     return collaborators_.peer_calls.forward(
-        origin, collaborators_.peer_calls.peer_with_state_service(), {"POST", wire::kJobsPath, bytes, kForwardTimeout},
+        origin, collaborators_.peer_calls.peer_with_state_service(),
+        {"POST", wire::kJobsPath, bytes, kForwardTimeout},
         [this, origin](PeerOutcome) { collaborators_.responder.try_later(origin); });
   }
   // The catalog may have changed since an earlier acceptance of the job, so a refusal first checks for one.
@@ -127,8 +128,9 @@
                                 const std::vector<std::string>& compared, const store::Reply& reply) {
   if (reply.status != 200 && reply.status != 409) {
     // The state service may be unavailable to this controller only, so a peer that it answers is asked.
-    const auto peer = check->origin.by_peer ? std::nullopt
-                                            : collaborators_.peer_calls.peer_with_state_service(peer::kLevelDependencies);
+    const auto peer = check->origin.by_peer
+                          ? std::nullopt
+                          : collaborators_.peer_calls.peer_with_state_service(peer::kLevelDependencies);
     return collaborators_.peer_calls.forward(
         check->origin, peer, {"POST", wire::kJobsPath, check->bytes, kCreationTimeout},
         [this, check, throttled = reply.status == 429](PeerOutcome) {
@@ -263,7 +265,8 @@
 
 void JobSubmission::create_at_peer(const std::shared_ptr<Creation>& creation) {
   const std::uint32_t level = creation->spec.depends_on.empty() ? 0 : peer::kLevelDependencies;
-  const auto peer = creation->origin.by_peer ? std::nullopt : collaborators_.peer_calls.peer_with_state_service(level);
+  const auto peer =
+      creation->origin.by_peer ? std::nullopt : collaborators_.peer_calls.peer_with_state_service(level);
   if (!peer)
     return;
   creation->sent_to_peer = true;
--- a/src/controller/leadership.cpp
+++ b/src/controller/leadership.cpp
@@ -225,27 +225,28 @@
         unknown.push_back(ref);
     });
   }
-  final_state_query_.start(std::move(unknown), [this, reading](const std::set<std::string>& with_final_state) {
-    if (reading->term != term_)
-      return;
-    const auto is_marker = [](const wire::Item& item) {
-      return item.key.ends_with(jobs::kCancellationSuffix);
-    };
-    for (const wire::Item& item : reading->items) {
-      if (is_marker(item))
-        continue;  // handled below, as its job may be in a batch that comes later in the list
-      if (!jobs::is_batch_key(item.key)) {
-        on_live_key_read(item.key, item.value, item.version);
-      } else if (!state_writer_.batches().fully_read(item.key)) {
-        on_batch_read(item.key, item.value, item.version, with_final_state);
-      }
-    }
-    for (const wire::Item& item : reading->items) {
-      if (is_marker(item))
-        cancellation_.on_marker(item.key);
-    }
-    watch_jobs(reading->revision, reading->term);
-  });
+  final_state_query_.start(
+      std::move(unknown), [this, reading](const std::set<std::string>& with_final_state) {
+        if (reading->term != term_)
+          return;
+        const auto is_marker = [](const wire::Item& item) {
+          return item.key.ends_with(jobs::kCancellationSuffix);
+        };
+        for (const wire::Item& item : reading->items) {
+          if (is_marker(item))
+            continue;  // handled below, as its job may be in a batch that comes later in the list
+          if (!jobs::is_batch_key(item.key)) {
+            on_live_key_read(item.key, item.value, item.version);
+          } else if (!state_writer_.batches().fully_read(item.key)) {
+            on_batch_read(item.key, item.value, item.version, with_final_state);
+          }
+        }
+        for (const wire::Item& item : reading->items) {
+          if (is_marker(item))
+            cancellation_.on_marker(item.key);
+        }
+        watch_jobs(reading->revision, reading->term);
+      });
 }
 
 void Controller::on_live_key_read(const std::string& key, const wire::Value& value, std::uint64_t version) {
