--- a/src/jobs/write_shares.hpp
+++ b/src/jobs/write_shares.hpp
@@ -17,7 +17,7 @@
 /// Kinds of records that compete for the changes of a transaction. Kinds of final states have the lowest
 /// numbers.
 enum class RecordKind : std::uint8_t {
-  cancelled,    ///< final state of a job whose user cancelled it and waits for the reply
+  cancelled,    ///< final state of a job whose user cancelled it and waits with an open connection
   orphaned,     ///< final state of a job that depends on a cancelled one; queries fail until it is recorded
   completed,    ///< final state of a job whose tasks are all completed
   inventory,    ///< inventory page; a machine gets no work before its page is written
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,3 +1,5 @@
+/// @file
+/// Unit tests of the dependency graph.
 #include "jobs/dependency_graph.hpp"
 
 #include <gtest/gtest.h>
@@ -11,193 +13,198 @@
 namespace wingtrail::jobs {
 namespace {
 
-std::string ref(int n) {
-  return "req-" + std::to_string(n);
+std::string ref(int number) {
+  return "req-" + std::to_string(number);
 }
 
 class DependencyGraphTest : public ::testing::Test {
  protected:
   settings::Settings settings;
   JobRegistry registry{settings};
-  std::map<std::string, DependencyGraph::FinalState> over;
-  DependencyGraph chains{registry,
-                         {[this](const std::string& r) -> std::optional<DependencyGraph::FinalState> {
-                            auto it = over.find(r);
-                            return it == over.end() ? std::nullopt : std::optional(it->second);
-                          },
-                          [](const Job& job) {
-                            return job.spec.estimate_s;
-                          }}};
+  std::map<std::string, DependencyGraph::FinalState> final_states;
+  DependencyGraph graph{registry,
+                        {[this](const std::string& job) -> std::optional<DependencyGraph::FinalState> {
+                           auto it = final_states.find(job);
+                           return it == final_states.end() ? std::nullopt : std::optional(it->second);
+                         },
+                         [](const Job& job) {
+                           return job.spec.estimate_s;
+                         }}};
   std::uint64_t revision = 0;
 
-  Job& add(int n, const std::vector<int>& needs, wire::Priority priority = wire::Priority::low,
-           std::optional<double> due = {}) {
-    wire::JobSpec s;
-    s.ref = ref(n);
-    s.tasks = 1;
-    s.estimate_s = 10;
-    s.priority = priority;
-    s.deadline_s = due;
-    for (const int k : needs)
-      s.depends_on.push_back(ref(k));
-    Job& job = registry.add(s, ++revision, 0);
-    chains.add(job);
+  Job& add(int number, const std::vector<int>& dependencies, wire::Priority priority = wire::Priority::low,
+           std::optional<double> deadline_s = {}) {
+    wire::JobSpec spec;
+    spec.ref = ref(number);
+    spec.tasks = 1;
+    spec.estimate_s = 10;
+    spec.priority = priority;
+    spec.deadline_s = deadline_s;
+    for (const int dependency : dependencies)
+      spec.depends_on.push_back(ref(dependency));
+    Job& job = registry.add(spec, ++revision, 0);
+    graph.add(job);
     return job;
   }
-  void end(int n, bool done, Seconds at = 1) {
-    if (Job* job = registry.find(ref(n)))
+  // Commits the job's final state: done or cancelled.
+  void finish(int number, bool done, Seconds at = 1) {
+    if (Job* job = registry.find(ref(number)))
       job->final_state_pending = job->final_state_recorded = true;
-    over[ref(n)] = {done, at};
-    chains.on_final_state(ref(n), {done, at});
+    final_states[ref(number)] = {done, at};
+    graph.on_final_state(ref(number), {done, at});
   }
-  std::vector<std::string> names(const std::vector<jobs::JobIndex>& jobs) {
-    std::vector<std::string> out;
-    out.reserve(jobs.size());
-    for (const jobs::JobIndex ix : jobs)
-      out.push_back(registry.job_at(ix)->spec.ref);
-    std::sort(out.begin(), out.end());
-    return out;
+  std::vector<std::string> sorted_refs(const std::vector<jobs::JobIndex>& jobs) {
+    std::vector<std::string> refs;
+    refs.reserve(jobs.size());
+    for (const jobs::JobIndex job : jobs)
+      refs.push_back(registry.job_at(job)->spec.ref);
+    std::sort(refs.begin(), refs.end());
+    return refs;
   }
   using Refs = std::vector<std::string>;
 };
 
-TEST_F(DependencyGraphTest, AJobIsReadyOnceAllItNeedsIsDone) {
-  over[ref(1)] = {true, 5};
+TEST_F(DependencyGraphTest, JobIsReadyOnceAllDependenciesAreDone) {
+  final_states[ref(1)] = {true, 5};
   add(2, {});
   add(3, {});
   Job& last = add(4, {1, 2, 3});
   EXPECT_EQ(last.unmet_dependencies, 2U);
-  end(2, true, 7);
-  EXPECT_TRUE(chains.take_ready().empty());
-  end(3, true, 9);
-  EXPECT_EQ(names(chains.take_ready()), Refs{ref(4)});
+  finish(2, true, 7);
+  EXPECT_TRUE(graph.take_ready().empty());
+  finish(3, true, 9);
+  EXPECT_EQ(sorted_refs(graph.take_ready()), Refs{ref(4)});
   EXPECT_DOUBLE_EQ(last.eligible_since, 9);
   EXPECT_DOUBLE_EQ(last.submitted_at, 0);
-  end(3, true, 9);  // told again
-  EXPECT_TRUE(chains.take_ready().empty());
-  end(4, true);
-  EXPECT_EQ(chains.node_count(), 0U);
+  finish(3, true, 9);  // repeated
+  EXPECT_TRUE(graph.take_ready().empty());
+  finish(4, true);
+  EXPECT_EQ(graph.node_count(), 0U);
 }
 
-// Unknown is not done: it may be live and not seen yet, or over before this leadership.
-TEST_F(DependencyGraphTest, WhatIsUnknownIsAskedAboutOnceAndHoldsTheJob) {
-  Job& a = add(2, {1});
+// An unknown dependency is not taken for done: it may be live and not seen yet, or over before this
+// leadership.
+TEST_F(DependencyGraphTest, UnknownDependencyIsLookedUpOnceAndHoldsTheJob) {
+  Job& dependent = add(2, {1});
   add(3, {1});
-  EXPECT_TRUE(a.is_held());
-  EXPECT_EQ(chains.take_unknown(), Refs{ref(1)});
-  EXPECT_TRUE(chains.take_unknown().empty());
-  EXPECT_TRUE(chains.awaits_unknown(ref(1)));
+  EXPECT_TRUE(dependent.is_held());
+  EXPECT_EQ(graph.take_unknown(), Refs{ref(1)});
+  EXPECT_TRUE(graph.take_unknown().empty());
+  EXPECT_TRUE(graph.awaits_unknown(ref(1)));
   add(1, {});  // its creation is seen late
-  EXPECT_FALSE(chains.awaits_unknown(ref(1)));
-  EXPECT_TRUE(a.is_held());
-  end(1, true);
-  EXPECT_EQ(names(chains.take_ready()), (Refs{ref(2), ref(3)}));
+  EXPECT_FALSE(graph.awaits_unknown(ref(1)));
+  EXPECT_TRUE(dependent.is_held());
+  finish(1, true);
+  EXPECT_EQ(sorted_refs(graph.take_ready()), (Refs{ref(2), ref(3)}));
 }
 
-TEST_F(DependencyGraphTest, ACancelledJobTakesAllThatNeedItWithIt) {
+TEST_F(DependencyGraphTest, CancelledJobOrphansAllItsDependents) {
   add(1, {});
   add(2, {1});
   add(3, {2});
   add(4, {3, 1});
   add(5, {});
-  end(1, false);
-  EXPECT_EQ(names(chains.take_orphans()), (Refs{ref(2), ref(3), ref(4)}));
-  EXPECT_TRUE(chains.take_ready().empty());
-  Job& late = add(6, {3});  // submitted while the ends are on their way
-  end(2, false), end(3, false);
+  finish(1, false);
+  EXPECT_EQ(sorted_refs(graph.take_orphans()), (Refs{ref(2), ref(3), ref(4)}));
+  EXPECT_TRUE(graph.take_ready().empty());
+  Job& late = add(6, {3});  // submitted before the orphans' final states are recorded
+  finish(2, false), finish(3, false);
   EXPECT_TRUE(late.orphaned);
-  EXPECT_EQ(names(chains.take_orphans()), Refs{ref(6)});
+  EXPECT_EQ(sorted_refs(graph.take_orphans()), Refs{ref(6)});
   Job& later = add(7, {5, 3});
   EXPECT_TRUE(later.orphaned);
   EXPECT_TRUE(later.is_held());
-  end(5, true);
-  EXPECT_TRUE(chains.take_ready().empty());
+  finish(5, true);
+  EXPECT_TRUE(graph.take_ready().empty());
 }
 
-TEST_F(DependencyGraphTest, UrgencyTravelsUpAndIsTakenBack) {
+TEST_F(DependencyGraphTest, UrgencyPropagatesToDependenciesAndIsRevoked) {
   Job& first = add(1, {});
   Job& middle = add(2, {1});
   Job& side = add(3, {1}, wire::Priority::normal);
-  chains.propagate_urgency();
+  graph.propagate_urgency();
   EXPECT_EQ(first.effective_priority, wire::Priority::normal);
   EXPECT_EQ(first.latest_finish, ports::kNever);
   Job& last = add(4, {2}, wire::Priority::high, 100);
-  chains.propagate_urgency();
+  graph.propagate_urgency();
   EXPECT_EQ(first.effective_priority, wire::Priority::high);
   EXPECT_EQ(middle.effective_priority, wire::Priority::high);
   EXPECT_EQ(side.effective_priority, wire::Priority::normal);
-  EXPECT_DOUBLE_EQ(middle.latest_finish, 90);  // the last needs ten seconds
+  EXPECT_DOUBLE_EQ(middle.latest_finish, 90);  // the last job's expected duration is 10 s
   EXPECT_DOUBLE_EQ(first.latest_finish, 80);
   EXPECT_EQ(last.latest_finish, ports::kNever);
-  end(4, false);
-  chains.propagate_urgency();
+  finish(4, false);
+  graph.propagate_urgency();
   EXPECT_EQ(middle.effective_priority, wire::Priority::low);
   EXPECT_EQ(first.effective_priority, wire::Priority::normal);
   EXPECT_EQ(first.latest_finish, ports::kNever);
 }
 
-TEST_F(DependencyGraphTest, ThousandsInARowOrInAFanCostNoMoreThanTheirNumber) {
+TEST_F(DependencyGraphTest, CostIsLinearForLongChainsAndWideFans) {
   constexpr int kMany = 5000;
   add(0, {});
   for (int i = 1; i <= kMany; ++i) {
     add(i, {i - 1});
     add(kMany + i, {0});
   }
-  add(3 * kMany, {kMany}, wire::Priority::high, 1e6);  // the last one comes late
-  chains.propagate_urgency();
+  add(3 * kMany, {kMany}, wire::Priority::high, 1e6);  // raises the urgency of the whole chain
+  graph.propagate_urgency();
   EXPECT_EQ(registry.find(ref(0))->effective_priority, wire::Priority::high);
-  EXPECT_LT(chains.visits(), 10U * kMany);
-  end(0, false);
-  EXPECT_EQ(chains.take_orphans().size(), 2U * kMany + 1);
+  EXPECT_LT(graph.visits(), 10U * kMany);
+  finish(0, false);
+  EXPECT_EQ(graph.take_orphans().size(), 2U * kMany + 1);
   for (int i = 1; i <= 2 * kMany; ++i)
-    end(i, false);
-  end(3 * kMany, false);
-  chains.propagate_urgency();
-  EXPECT_LT(chains.visits(), 30U * kMany);
-  EXPECT_EQ(chains.node_count(), 0U);
+    finish(i, false);
+  finish(3 * kMany, false);
+  graph.propagate_urgency();
+  EXPECT_LT(graph.visits(), 30U * kMany);
+  EXPECT_EQ(graph.node_count(), 0U);
 }
 
-// Against a plain walk over all jobs, for random graphs and ends in random order.
-TEST_F(DependencyGraphTest, AgreesWithAPlainWalk) {
+// Compares the graph with a reference that visits all jobs, for random graphs and final states in random
+// order.
+TEST_F(DependencyGraphTest, AgreesWithAReferenceImplementation) {
   pcg32 rng(5);
-  std::vector<std::vector<int>> needs;
-  std::map<int, int> fate;  // 1 done, 2 cancelled
+  std::vector<std::vector<int>> dependencies;  // by job
+  std::map<int, bool> done;                    // jobs with a final state; false: cancelled
   std::set<std::string> ready, orphans;
   for (int step = 0; step < 600; ++step) {
-    const int n = static_cast<int>(needs.size());
-    if (n < 200 && rng(3) > 0) {
-      std::vector<int> list;
-      for (std::uint32_t k = 0, most = rng(4); k < most && n > 0; ++k) {
-        const int need = static_cast<int>(rng(static_cast<std::uint32_t>(n)));
-        if (std::find(list.begin(), list.end(), need) == list.end())
-          list.push_back(need);
+    const int job_count = static_cast<int>(dependencies.size());
+    if (job_count < 200 && rng(3) > 0) {
+      std::vector<int> chosen;
+      for (std::uint32_t i = 0, limit = rng(4); i < limit && job_count > 0; ++i) {
+        const int dependency = static_cast<int>(rng(static_cast<std::uint32_t>(job_count)));
+        if (std::find(chosen.begin(), chosen.end(), dependency) == chosen.end())
+          chosen.push_back(dependency);
       }
-      needs.push_back(list);
-      Job& job = add(n, list);
+      dependencies.push_back(chosen);
+      Job& job = add(job_count, chosen);
       if (!job.is_held())
-        ready.insert(ref(n));
-    } else if (n > 0) {
-      const int k = static_cast<int>(rng(static_cast<std::uint32_t>(n)));
-      Job* job = registry.find(ref(k));
-      if (!fate.contains(k) && (!job->is_held() || job->orphaned || rng(4) == 0)) {
-        fate[k] = !job->is_held() && rng(4) > 0 ? 1 : 2;
-        end(k, fate[k] == 1);
+        ready.insert(ref(job_count));
+    } else if (job_count > 0) {
+      const int number = static_cast<int>(rng(static_cast<std::uint32_t>(job_count)));
+      Job* job = registry.find(ref(number));
+      if (!done.contains(number) && (!job->is_held() || job->orphaned || rng(4) == 0)) {
+        done[number] = !job->is_held() && rng(4) > 0;
+        finish(number, done[number]);
       }
     }
-    for (const jobs::JobIndex ix : chains.take_ready())
-      ready.insert(registry.job_at(ix)->spec.ref);
-    for (const jobs::JobIndex ix : chains.take_orphans())
-      orphans.insert(registry.job_at(ix)->spec.ref);
-    for (int i = 0; i < static_cast<int>(needs.size()); ++i) {
-      bool all = true, lost = false;
-      for (const int k : needs[i]) {
-        all &= fate.contains(k) && fate[k] == 1;
-        lost |= (fate.contains(k) && fate[k] == 2) || (!fate.contains(k) && orphans.contains(ref(k)));
+    for (const jobs::JobIndex job : graph.take_ready())
+      ready.insert(registry.job_at(job)->spec.ref);
+    for (const jobs::JobIndex job : graph.take_orphans())
+      orphans.insert(registry.job_at(job)->spec.ref);
+    for (int number = 0; number < static_cast<int>(dependencies.size()); ++number) {
+      bool all_done = true, orphaned = false;
+      for (const int dependency : dependencies[number]) {
+        const bool is_over = done.contains(dependency);
+        all_done &= is_over && done[dependency];
+        orphaned |= is_over ? !done[dependency] : orphans.contains(ref(dependency));
       }
-      if (fate.contains(i))
+      if (done.contains(number))
         continue;
-      ASSERT_EQ(ready.contains(ref(i)), all && !lost) << i << " in step " << step;
-      ASSERT_EQ(orphans.contains(ref(i)), lost) << i << " in step " << step;
+      ASSERT_EQ(ready.contains(ref(number)), all_done && !orphaned)
+          << "job " << number << " in step " << step;
+      ASSERT_EQ(orphans.contains(ref(number)), orphaned) << "job " << number << " in step " << step;
     }
   }
   EXPECT_GT(ready.size(), 50U);
--- a/tests/final_state_queue_test.cpp
+++ b/tests/final_state_queue_test.cpp
@@ -1,4 +1,5 @@
-/// The queue of final states and the stores of record pages, each by itself.
+/// @file
+/// Unit tests of the final state queue, the inventory pages and the completion pages.
 #include "jobs/final_state_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 namespace wingtrail::jobs {
 namespace {
 
-constexpr WriteLimits kLimits{2000, 2048, 12};
+constexpr WriteLimits kLimits{2000, 2048, 12};  // bytes per page and per value, changes per transaction
 
 settings::Settings settings_with_one_team() {
   settings::Settings settings;
@@ -39,14 +40,14 @@
   FinalStateQueue queue{registry, settings};
 };
 
-TEST_F(FinalStateQueueTest, TheOldestOfAKindGoesFirst) {
+TEST_F(FinalStateQueueTest, OldestFinalStateOfAKindIsSelectedFirst) {
   const JobIndex younger = decide("req-1", RecordKind::completed, 5).index;
   const JobIndex older = decide("req-2", RecordKind::completed, 3).index;
   EXPECT_EQ(queue.select({4, 0, 0}, 6).final_states, (std::vector<JobIndex>{older, younger}));
   EXPECT_TRUE(queue.empty());
 }
 
-TEST_F(FinalStateQueueTest, ChangesAreDividedAmongAllKindsThatWait) {
+TEST_F(FinalStateQueueTest, ChangesAreDividedAmongAllWaitingKinds) {
   for (int number = 0; number < 10; ++number)
     decide("req-" + std::to_string(number), RecordKind::completed, number);
   const auto selection = queue.select({6, 1, 1}, 20);
@@ -56,12 +57,12 @@
   EXPECT_TRUE(selection.left_out[index(RecordKind::completed)]);
 }
 
-TEST_F(FinalStateQueueTest, AFinalStateIsUnrecordedUntilItsTransactionIsApplied) {
+TEST_F(FinalStateQueueTest, FinalStateStaysUnrecordedUntilItsTransactionIsApplied) {
   Job& job = decide("req-1", RecordKind::cancelled, 3);
-  const auto lost = queue.select({4, 0, 0}, 4);
+  const auto failed = queue.select({4, 0, 0}, 4);
   EXPECT_EQ(queue.oldest_unrecorded(RecordKind::cancelled), 3);
-  queue.restore(lost);
-  EXPECT_EQ(queue.select({4, 0, 0}, 5).final_states, lost.final_states);
+  queue.restore(failed);
+  EXPECT_EQ(queue.select({4, 0, 0}, 5).final_states, failed.final_states);
   queue.on_recorded(job);
   EXPECT_FALSE(queue.oldest_unrecorded(RecordKind::cancelled));
   EXPECT_EQ(queue.backlogs(6)[index(RecordKind::cancelled)].recorded, 1U);
@@ -71,7 +72,7 @@
   return {{"host", "i-" + std::to_string(machine)}, {"images", {"img-0"}}};
 }
 
-TEST(InventoryPagesTest, WhatOneWritesAnotherLoads) {
+TEST(InventoryPagesTest, EncodedPageIsLoadedByANewLeader) {
   InventoryPages pages(kLimits);
   pages.set_record_source(record_of);
   pages.add(MachineIndex(7), 0);
@@ -83,17 +84,17 @@
   EXPECT_EQ(writes[0].joining, (std::vector<MachineIndex>{MachineIndex(7)}));
   EXPECT_EQ(space.changes, 3);
 
-  InventoryPages next(kLimits);
+  InventoryPages new_leader(kLimits);
   std::vector<wire::Value> loaded;
-  EXPECT_TRUE(next.load("r/0", pages.encode(0), 5, 0, [&loaded](const wire::Value& record) {
+  EXPECT_TRUE(new_leader.load("r/0", pages.encode(0), 5, 0, [&loaded](const wire::Value& record) {
     loaded.push_back(record);
     return MachineIndex(0);
   }));
   EXPECT_EQ(loaded, std::vector<wire::Value>{record_of(MachineIndex(7))});
-  EXPECT_FALSE(next.load("r/x", pages.encode(0), 5, 0, {}));
+  EXPECT_FALSE(new_leader.load("r/x", pages.encode(0), 5, 0, {}));
 }
 
-TEST(InventoryPagesTest, APageThatOnlyALaterLeaderNeedsHasNoShareOfTheChanges) {
+TEST(InventoryPagesTest, OpportunisticPageHasNoShareOfTheChanges) {
   InventoryPages pages(kLimits);
   pages.set_record_source(record_of);
   pages.add(MachineIndex(7), 0);
@@ -111,7 +112,7 @@
   EXPECT_EQ(pages.add_due(transaction, space, PageUrgency::opportunistic, due_at).size(), 1U);
 }
 
-TEST(InventoryPagesTest, APageWithoutAMachineThatIsGoneHasAShareOfTheChanges) {
+TEST(InventoryPagesTest, PageOfARemovedMachineHasAShareOfTheChanges) {
   InventoryPages pages(kLimits);
   pages.set_record_source(record_of);
   pages.add(MachineIndex(7), 0);
@@ -126,7 +127,7 @@
   EXPECT_EQ(pages.due_count(InventoryPages::kRemovalDelay), 1);
 }
 
-TEST(CompletionPagesTest, WhatALostWriteCoveredIsCoveredByTheNextOne) {
+TEST(CompletionPagesTest, TasksOfAFailedWriteAreCoveredByTheNextOne) {
   const settings::Settings settings = settings_with_one_team();
   JobRegistry registry(settings);
   Job& job = add_job(registry, "req-1", 40);
@@ -136,10 +137,10 @@
   const Seconds due_at = pages.next_due_at();
   wire::Transaction transaction;
   TransactionSpace space{4, 0};
-  const auto lost = pages.add_due(transaction, space, due_at);
-  ASSERT_EQ(lost.size(), 1U);
+  const auto failed = pages.add_due(transaction, space, due_at);
+  ASSERT_EQ(failed.size(), 1U);
   EXPECT_EQ(pages.due_count(due_at), 0);
-  pages.restore(lost[0], due_at);
+  pages.restore(failed[0], due_at);
   const auto writes = pages.add_due(transaction, space, pages.next_due_at());
   ASSERT_EQ(writes.size(), 1U);
   const auto persisted = pages.on_written(writes[0], 9);
--- a/tests/record_pages_test.cpp
+++ b/tests/record_pages_test.cpp
@@ -1,5 +1,7 @@
-// What one version writes and another reads: the layouts are encoded and decoded here by the test's own code,
-// as the version before chains does it, and by the state_writer under either limit.
+/// @file
+/// Compatibility and crash safety of record pages. Pages are written and read by the state writer under
+/// different limits, and by this test's own implementation of the former layout, that of the version before
+/// job chains.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,13 +14,13 @@
 namespace wingtrail::jobs {
 namespace {
 
-// A state service that keeps what it is given, and a state_writer that leads.
+// A simulated state service, and leaders that write their records to it.
 class RecordPagesTest : public ::testing::Test {
  protected:
   std::map<std::string, wire::Value> stored;
-  std::size_t largest = 0, most_changes = 0;
-  std::size_t refuse_above = 1 << 20;  // values larger than this are called malformed
-  int crash_after = -1;                // so many transactions are applied
+  std::size_t max_value_bytes = 0, max_changes = 0;  // of the transactions that were applied
+  std::size_t refuse_above = 1 << 20;                // larger values are refused as malformed; in bytes
+  int crash_after = -1;                              // transactions until the leader crashes; -1: never
 
   struct Leader {
     settings::Settings settings;
@@ -28,36 +30,41 @@
     StateWriter state_writer;
     std::vector<std::string> hosts;  // by index
     std::set<jobs::MachineIndex> recorded_machines;
-    explicit Leader(double value_kb, int transaction_changes)
-        : settings(with(value_kb, transaction_changes)),
+    Leader(double value_kb, int transaction_changes)
+        : settings(settings_of(value_kb, transaction_changes)),
           store(out, settings),
           registry(settings),
           state_writer(out, store, registry, settings,
                        {[] { return std::uint64_t{7}; }, [] { return 1e9; }, [] {}, "lead"}) {
       state_writer.set_events({[](Job&) {}, [](const std::vector<StateWriter::CompletedTask>&) {},
-                               [this](jobs::MachineIndex ix) { recorded_machines.insert(ix); },
-                               [this](jobs::MachineIndex ix) {
-                                 return record(hosts[ix]);
+                               [this](jobs::MachineIndex machine) { recorded_machines.insert(machine); },
+                               [this](jobs::MachineIndex machine) {
+                                 return record(hosts[machine]);
                                }});
       state_writer.begin_leadership();
     }
-    static settings::Settings with(double value_kb, int transaction_changes) {
-      settings::Settings s;
-      s.state_value_kb = value_kb;
-      s.max_transaction_changes = transaction_changes;
-      s.state_requests_per_s = s.state_writes_per_s = 1e6;
-      s.teams = {{"t"}};
-      return s;
+    static settings::Settings settings_of(double value_kb, int transaction_changes) {
+      settings::Settings settings;
+      settings.state_value_kb = value_kb;
+      settings.max_transaction_changes = transaction_changes;
+      settings.state_requests_per_s = settings.state_writes_per_s = 1e6;
+      settings.teams = {{"t"}};
+      return settings;
     }
     jobs::MachineIndex add_host(const std::string& name) {
       hosts.push_back(name);
       return jobs::MachineIndex(hosts.size() - 1);
     }
-    Job& job(const std::string& ref, std::uint32_t tasks) {
-      wire::JobSpec s;
-      s.ref = ref;
-      s.tasks = tasks;
-      return registry.add(s, 1, 0);
+    Job& add_job(const std::string& ref, std::uint32_t tasks) {
+      wire::JobSpec spec;
+      spec.ref = ref;
+      spec.tasks = tasks;
+      return registry.add(spec, 1, 0);
+    }
+    // Completes the task and passes it to the state writer.
+    void complete(Job& job, std::uint32_t task) {
+      registry.complete_task(job, task, kNoIndex);
+      state_writer.record_completion(job, task, jobs::MachineIndex(0), 1);
     }
   };
 
@@ -69,38 +76,38 @@
 
   std::map<std::string, std::uint64_t> versions;
   std::uint64_t revision = 100;
-  int lose = 0;  // so many transactions from now on get no answer
-  std::vector<wire::Value> late;
+  int replies_to_lose = 0;             // the next transactions get no reply and are not applied
+  std::vector<wire::Value> unapplied;  // those transactions; a test applies them later with apply()
   std::uint64_t version_of(const std::string& key) const {
     if (key == "lead")
       return 7;
     const auto it = versions.find(key);
     return !stored.contains(key) ? 0 : it == versions.end() ? 1 : it->second;
   }
-  // As the state service carries a transaction out.
-  void apply(const wire::Value& body, ports::Reply& r) {
+  // Applies a transaction if its conditions hold, like the state service, and fills in the reply.
+  void apply(const wire::Value& body, ports::Reply& reply) {
     wire::Value failed = wire::Value::array();
-    for (const auto& c : body["if"]) {
-      if (version_of(c["path"]) != c["stamp"])
-        failed.push_back(c["path"]);
+    for (const auto& condition : body["if"]) {
+      if (version_of(condition["path"]) != condition["stamp"])
+        failed.push_back(condition["path"]);
     }
-    r.status = failed.empty() ? 200 : 409;
-    r.body = {{"ledgerRev", revision + failed.empty()}, {"failed", failed}};
+    reply.status = failed.empty() ? 200 : 409;
+    reply.body = {{"ledgerRev", revision + failed.empty()}, {"failed", failed}};
     if (!failed.empty())
       return;
     ++revision;
-    for (const auto& op : body["apply"]) {
-      if (op.contains("put")) {
-        const auto key = op["put"].get<std::string>();
-        stored[key] = op["data"];
+    for (const auto& change : body["apply"]) {
+      if (change.contains("put")) {
+        const auto key = change["put"].get<std::string>();
+        stored[key] = change["data"];
         versions[key] = revision;
       } else {
-        stored.erase(op["delete"].get<std::string>());
+        stored.erase(change["delete"].get<std::string>());
       }
     }
   }
 
-  // Lets the state_writer write until nothing is left to do; false once it has "crashed".
+  // Runs the leader for 200 s, so that it writes all its records; returns false if it crashes before.
   bool run(Leader& leader) {
     for (int i = 0; i < 4000; ++i) {
       if (!step(leader))
@@ -108,52 +115,53 @@
     }
     return true;
   }
+  // Answers the leader's calls and advances its clock by 0.05 s; returns false if it crashes.
   bool step(Leader& leader) {
     for (auto& action : leader.out.drain()) {
       const auto& call = std::get<ports::Call>(action);
-      ports::Reply r;
+      ports::Reply reply;
       if (call.method == "GET") {
         const std::string key = call.path.substr(std::string("/kv/").size());
-        r.status = stored.contains(key) ? 200 : 404;
-        if (r.status == 200)
-          r.body = {{"path", key}, {"data", stored[key]}, {"stamp", version_of(key)}};
-        leader.out.complete(call.id, r);
+        reply.status = stored.contains(key) ? 200 : 404;
+        if (reply.status == 200)
+          reply.body = {{"path", key}, {"data", stored[key]}, {"stamp", version_of(key)}};
+        leader.out.complete(call.id, reply);
         continue;
       }
       std::size_t size = 0;
-      for (const auto& op : call.body["apply"]) {
-        if (op.contains("data"))
-          size = std::max(size, op["data"].dump().size());
+      for (const auto& change : call.body["apply"]) {
+        if (change.contains("data"))
+          size = std::max(size, change["data"].dump().size());
       }
       if (crash_after == 0)
         return false;
-      if (lose > 0) {  // no answer; `late` is carried out when the test says so
-        --lose;
-        late.push_back(call.body);
-        leader.out.complete(call.id, r);
+      if (replies_to_lose > 0) {
+        --replies_to_lose;
+        unapplied.push_back(call.body);
+        leader.out.complete(call.id, reply);
         continue;
       }
-      r.status = size > refuse_above ? 400 : 200;
-      if (r.status == 200) {
+      reply.status = size > refuse_above ? 400 : 200;
+      if (reply.status == 200) {
         if (crash_after > 0)
           --crash_after;
-        largest = std::max(largest, size);
-        most_changes = std::max(most_changes, call.body["apply"].size());
-        apply(call.body, r);
+        max_value_bytes = std::max(max_value_bytes, size);
+        max_changes = std::max(max_changes, call.body["apply"].size());
+        apply(call.body, reply);
       }
-      leader.out.complete(call.id, r);
+      leader.out.complete(call.id, reply);
     }
     leader.out.set_now(leader.out.now() + 0.05);
     leader.out.run_timers();
     return true;
   }
-  // Until a transaction has got no answer.
+  // Runs the leader until the replies to be lost are lost; returns false if that takes longer than 10 s.
   bool run_until_lost(Leader& leader) {
-    for (int i = 0; i < 200 && lose > 0; ++i) {
+    for (int i = 0; i < 200 && replies_to_lose > 0; ++i)
       step(leader);
-    }
-    return lose == 0;
+    return replies_to_lose == 0;
   }
+  // Loads all stored pages into the leader.
   void load(Leader& leader) {
     for (const auto& [key, value] : stored) {
       if (key.starts_with(kCompletionPrefix)) {
@@ -161,11 +169,11 @@
       }
       if (key.starts_with(kInventoryPrefix)) {
         EXPECT_TRUE(leader.state_writer.load_inventory_page(
-            key, value, version_of(key), [&leader](const wire::Value& r) {
-              const auto host = wire::text(r, "host").value();
-              for (jobs::MachineIndex ix{0}; ix < leader.hosts.size(); ++ix) {
-                if (leader.hosts[ix] == host)
-                  return ix;
+            key, value, version_of(key), [&leader](const wire::Value& stored_record) {
+              const auto host = wire::text(stored_record, "host").value();
+              for (jobs::MachineIndex machine{0}; machine < leader.hosts.size(); ++machine) {
+                if (leader.hosts[machine] == host)
+                  return machine;
               }
               return leader.add_host(host);
             }));
@@ -173,19 +181,20 @@
     }
   }
 
-  // The former layout, in as few words as it takes.
-  static wire::Value former_entry(const std::string& ref, std::uint32_t from, std::uint32_t to,
-                                  const std::set<std::uint32_t>& done) {
+  // Encodes the completed tasks among the job's tasks from `from` to before `end` in the former layout.
+  static wire::Value encode_former_entry(const std::string& ref, std::uint32_t from, std::uint32_t end,
+                                         const std::set<std::uint32_t>& done) {
     std::string bits;
-    for (std::uint32_t i = from; i < to; i += 6) {
+    for (std::uint32_t task = from; task < end; task += 6) {
       unsigned six = 0;
-      for (unsigned b = 0; b < 6; ++b)
-        six |= done.contains(i + b) ? 1U << b : 0;
+      for (unsigned bit = 0; bit < 6; ++bit)
+        six |= done.contains(task + bit) ? 1U << bit : 0;
       bits += six == '\\' - '0' ? 'z' : static_cast<char>('0' + six);
     }
     return {{"ref", ref}, {"from", from}, {"bits", bits}};
   }
-  std::set<std::uint32_t> former_reads(const std::string& ref) const {
+  // Reads the completed tasks of a job from all stored pages by the rules of the former layout.
+  std::set<std::uint32_t> read_former_completions(const std::string& ref) const {
     std::set<std::uint32_t> done;
     for (const auto& [key, value] : stored) {
       if (!key.starts_with(kCompletionPrefix))
@@ -203,108 +212,108 @@
     }
     return done;
   }
-  std::multiset<std::string> former_hosts() const {
-    std::multiset<std::string> out;
+  // Reads the hosts of all stored inventory pages by the rules of the former layout.
+  std::multiset<std::string> read_former_hosts() const {
+    std::multiset<std::string> hosts;
     for (const auto& [key, value] : stored) {
       if (!key.starts_with(kInventoryPrefix))
         continue;
-      for (const auto& h : value["hosts"]) {
+      for (const auto& host : value["hosts"]) {
         for (const char* field : {"addr", "type", "zone"})
-          EXPECT_TRUE(wire::text(h, field));
-        for (const auto& i : h["images"])
-          EXPECT_LT(i.get<std::size_t>(), value["images"].size());
-        out.insert(h["host"].get<std::string>());
+          EXPECT_TRUE(wire::text(host, field)) << "expected a text in field " << field;
+        for (const auto& image : host["images"])
+          EXPECT_LT(image.get<std::size_t>(), value["images"].size());
+        hosts.insert(host["host"].get<std::string>());
       }
     }
-    return out;
+    return hosts;
   }
-  static std::string name(int i) {
-    return "i-" + std::to_string(100000 + i);
+  static std::string host_name(int number) {
+    return "i-" + std::to_string(100000 + number);
   }
 };
 
-// A chunk of the former layout is several of ours; each part must stay recorded when its page is rewritten,
-// and a crash in the middle must lose nothing.
-TEST_F(RecordPagesTest, LargeArraysOfTheFormerLayoutSurviveTheSmallerLimits) {
+// Under smaller limits, a chunk of the former layout becomes several chunks. Each of them must stay recorded
+// when its page is written again, and a crash at any time must lose no completed task.
+TEST_F(RecordPagesTest, FormerCompletionPagesAreSplitWithoutLosingTasks) {
   constexpr std::uint32_t kTasks = 100'000, kChunk = 4096 * 6;
   std::set<std::uint32_t> done;
-  for (std::uint32_t i = 0; i < kTasks; ++i) {
-    if (i * 2654435761U % 7 < 3)
-      done.insert(i);
+  for (std::uint32_t task = 0; task < kTasks; ++task) {
+    if (task * 2654435761U % 7 < 3)
+      done.insert(task);
   }
   std::map<std::string, wire::Value> former;
-  for (std::uint32_t c = 0; c * kChunk < kTasks; ++c) {
-    former["p/" + std::to_string(c)] =
-        wire::Value::array({former_entry("req-1", c * kChunk, std::min(kTasks, (c + 1) * kChunk), done),
-                            former_entry("req-2", 0, 30, {c})});
+  for (std::uint32_t page = 0; page * kChunk < kTasks; ++page) {
+    const std::uint32_t end = std::min(kTasks, (page + 1) * kChunk);
+    former["p/" + std::to_string(page)] =
+        wire::Value::array({encode_former_entry("req-1", page * kChunk, end, done),
+                            encode_former_entry("req-2", 0, 30, {page})});
   }
   for (int crash = 0; crash < 24; ++crash) {
     stored = former;
     crash_after = crash;
-    Leader a(2, 4);
-    a.job("req-1", kTasks);
-    a.job("req-2", 30);
-    load(a);
-    ASSERT_EQ(a.registry.find("req-1")->done_tasks, done.size());
-    // One more task of each of the former chunks, so that every page is written anew.
-    std::set<std::uint32_t> more = done;
-    for (std::uint32_t t = 5; t < kTasks; t += kChunk) {
-      if (done.contains(t))
+    Leader leader(2, 4);
+    Job& job = leader.add_job("req-1", kTasks);
+    leader.add_job("req-2", 30);
+    load(leader);
+    ASSERT_EQ(job.done_tasks, done.size());
+    // Completes one more task of each former chunk, so that every page is written again.
+    std::set<std::uint32_t> all_done = done;
+    for (std::uint32_t task = 5; task < kTasks; task += kChunk) {
+      if (done.contains(task))
         continue;
-      a.registry.complete_task(*a.registry.find("req-1"), t, kNoIndex);
-      a.state_writer.record_completion(*a.registry.find("req-1"), t, jobs::MachineIndex(0), 1);
-      more.insert(t);
+      leader.complete(job, task);
+      all_done.insert(task);
     }
-    const bool whole = run(a);
-    EXPECT_LE(largest, 2048U);
-    EXPECT_LE(most_changes, 4U);
-    const auto read = former_reads("req-1");
-    EXPECT_TRUE(std::includes(read.begin(), read.end(), done.begin(), done.end())) << "crash after " << crash;
-    Leader b(2, 4);
-    b.job("req-1", kTasks);
-    b.job("req-2", 30);
+    const bool finished = run(leader);
+    EXPECT_LE(max_value_bytes, 2048U);
+    EXPECT_LE(max_changes, 4U);
+    const auto read = read_former_completions("req-1");
+    EXPECT_TRUE(std::includes(read.begin(), read.end(), done.begin(), done.end()))
+        << "completed tasks were lost in a crash after " << crash << " transactions";
+    Leader new_leader(2, 4);
+    const Job& loaded = new_leader.add_job("req-1", kTasks);
+    const Job& loaded_small = new_leader.add_job("req-2", 30);
     crash_after = -1;
-    load(b);
-    EXPECT_GE(b.registry.find("req-1")->done_tasks, done.size());
-    EXPECT_EQ(b.registry.find("req-2")->done_tasks, 5U);
-    if (!whole)
+    load(new_leader);
+    EXPECT_GE(loaded.done_tasks, done.size());
+    EXPECT_EQ(loaded_small.done_tasks, 5U);
+    if (!finished)
       continue;
-    EXPECT_EQ(read, more);
+    EXPECT_EQ(read, all_done);
   }
 }
 
-// And back: the reader of the former layout finds all that was written under the smaller limits.
-TEST_F(RecordPagesTest, WhatIsWrittenUnderSmallerLimitsReadsUnderLargerOnes) {
+// A reader of the former layout, and a leader with larger limits, find all tasks written under smaller
+// limits.
+TEST_F(RecordPagesTest, PagesWrittenUnderSmallerLimitsAreReadUnderLargerOnes) {
   Leader small(2, 4);
-  Job& job = small.job("req-1", 100'000);
-  for (std::uint32_t i = 0; i < 100'000; i += 3) {
-    small.registry.complete_task(job, i, kNoIndex);
-    small.state_writer.record_completion(job, i, jobs::MachineIndex(0), 1);
-  }
+  Job& job = small.add_job("req-1", 100'000);
+  for (std::uint32_t task = 0; task < 100'000; task += 3)
+    small.complete(job, task);
   ASSERT_TRUE(run(small));
-  EXPECT_EQ(former_reads("req-1").size(), job.done_tasks);
+  EXPECT_EQ(read_former_completions("req-1").size(), job.done_tasks);
   Leader large(8, 12);
-  Job& again = large.job("req-1", 100'000);
+  Job& loaded = large.add_job("req-1", 100'000);
   load(large);
-  EXPECT_EQ(again.done_tasks, job.done_tasks);
-  // Rewriting gathers the parts of a chunk; none is lost, whenever it crashes.
-  large.registry.complete_task(again, 1, kNoIndex);
-  large.state_writer.record_completion(again, 1, jobs::MachineIndex(0), 1);
+  EXPECT_EQ(loaded.done_tasks, job.done_tasks);
+  // The parts of a chunk are combined when they are written again. A crash meanwhile must lose none of them.
+  large.complete(loaded, 1);
   crash_after = 1;
   run(large);
-  EXPECT_GE(former_reads("req-1").size(), job.done_tasks);
+  EXPECT_GE(read_former_completions("req-1").size(), job.done_tasks);
 }
 
-TEST_F(RecordPagesTest, ARosterOfTheFormerLayoutIsDividedAndNoMachineIsLost) {
+TEST_F(RecordPagesTest, FormerInventoryPagesAreSplitWithoutLosingMachines) {
   std::map<std::string, wire::Value> former;
   std::set<std::string> all;
   for (int page = 0; page < 6; ++page) {
     wire::Value hosts = wire::Value::array();
     for (int i = 0; i < 45; ++i) {
-      wire::Value r = record(name(page * 45 + i));
-      r["images"] = {0, 1};
-      all.insert(r["host"].get<std::string>());
-      hosts.push_back(std::move(r));
+      wire::Value former_record = record(host_name(page * 45 + i));
+      former_record["images"] = {0, 1};
+      all.insert(former_record["host"].get<std::string>());
+      hosts.push_back(std::move(former_record));
     }
     former["r/" + std::to_string(page)] = {{"images", {"img-0007", "img-0012"}}, {"hosts", hosts}};
   }
@@ -314,119 +323,115 @@
     Leader leader(2, 4);
     load(leader);
     ASSERT_EQ(leader.hosts.size(), all.size());
-    // One machine of each page is gone, and a new one joins.
+    // One machine of each page is removed, and a new one is added.
     for (int page = 0; page < 6; ++page)
       leader.state_writer.remove_machine(jobs::MachineIndex(page * 45));
-    const jobs::MachineIndex fresh = leader.add_host("i-900000");
-    leader.state_writer.add_machine(fresh);
-    const bool whole = run(leader);
-    EXPECT_LE(largest, 2048U);
-    const auto read = former_hosts();
+    const jobs::MachineIndex added = leader.add_host("i-900000");
+    leader.state_writer.add_machine(added);
+    const bool finished = run(leader);
+    EXPECT_LE(max_value_bytes, 2048U);
+    const auto read = read_former_hosts();
     for (std::size_t i = 0; i < all.size(); ++i) {
-      EXPECT_TRUE(i % 45 == 0 || read.contains(leader.hosts[i])) << leader.hosts[i] << " after " << crash;
+      EXPECT_TRUE(i % 45 == 0 || read.contains(leader.hosts[i]))
+          << leader.hosts[i] << " was lost in a crash after " << crash << " transactions";
     }
-    EXPECT_EQ(leader.recorded_machines.contains(fresh), read.contains("i-900000"));
-    if (!whole)
+    EXPECT_EQ(leader.recorded_machines.contains(added), read.contains("i-900000"));
+    if (!finished)
       continue;
-    EXPECT_EQ(read.size(), all.size() - 6 + 1) << "each machine once, and none that is gone";
+    EXPECT_EQ(read.size(), all.size() - 6 + 1) << "expected each machine once, and no removed one";
   }
 }
 
-// A limit that the settings do not tell of: the page that is refused is made smaller, the others go on.
-TEST_F(RecordPagesTest, WhatTheStateServiceRefusesIsDividedFurther) {
+// The state service has a lower limit than the settings say: a refused page is split, and the others are
+// written.
+TEST_F(RecordPagesTest, PageRefusedByTheStateServiceIsSplitFurther) {
   refuse_above = 700;
   Leader leader(8, 12);
   for (int i = 0; i < 60; ++i)
-    leader.state_writer.add_machine(leader.add_host(name(i)));
+    leader.state_writer.add_machine(leader.add_host(host_name(i)));
   ASSERT_TRUE(run(leader));
   EXPECT_EQ(leader.recorded_machines.size(), 60U);
-  EXPECT_EQ(former_hosts().size(), 60U);
-  EXPECT_LE(largest, 700U);
+  EXPECT_EQ(read_former_hosts().size(), 60U);
+  EXPECT_LE(max_value_bytes, 700U);
   EXPECT_GT(leader.state_writer.malformed_commits(), 0U);
 }
 
-// A transaction without an answer that is carried out after newer ones of the same leader (LATER.md of the
-// hunt): it took the machines that had joined since out of the roster, so the next leader did not know to ask
-// them, and completed tasks that had been reaped since out of the progress.
-TEST_F(RecordPagesTest, AnOlderPageNeverStandsForANewerOne) {
-  for (const bool at_once : {false, true}) {
-    SCOPED_TRACE(at_once ? "carried out at once, only its answer lost" : "carried out late");
-    stored.clear(), versions.clear(), late.clear();
+// A transaction whose reply was lost is applied after newer ones of the same leader. Without a condition on
+// the pages' versions, it removed machines from the inventory that had joined since, so the next leader did
+// not know that it had to reconcile them, and removed tasks from the completion pages that had been
+// acknowledged since.
+TEST_F(RecordPagesTest, LateTransactionDoesNotReplaceNewerPages) {
+  for (const bool applied_at_once : {false, true}) {
+    SCOPED_TRACE(applied_at_once ? "applied at once, only the reply is lost" : "applied late");
+    stored.clear(), versions.clear(), unapplied.clear();
     Leader leader(8, 12);
-    Job& job = leader.job("req-1", 40);
-    const auto complete = [&](std::uint32_t task) {
-      leader.registry.complete_task(job, task, kNoIndex);
-      leader.state_writer.record_completion(job, task, jobs::MachineIndex(0), 1);
-    };
+    Job& job = leader.add_job("req-1", 40);
     leader.state_writer.add_machine(leader.add_host("i-000001"));
-    complete(3);
+    leader.complete(job, 3);
     ASSERT_TRUE(run(leader));
     leader.state_writer.add_machine(leader.add_host("i-000002"));
-    complete(4);
-    lose = 2;
-    if (at_once) {
-      lose = 1;
+    leader.complete(job, 4);
+    replies_to_lose = 2;
+    if (applied_at_once) {
+      replies_to_lose = 1;
       ASSERT_TRUE(run_until_lost(leader));
-      ports::Reply ignored;
-      apply(late.back(), ignored);
-      EXPECT_EQ(ignored.status, 200);
-      late.clear();
+      ports::Reply lost_reply;
+      apply(unapplied.back(), lost_reply);
+      EXPECT_EQ(lost_reply.status, 200);
+      unapplied.clear();
     }
     leader.state_writer.add_machine(leader.add_host("i-000003"));
-    complete(5);
+    leader.complete(job, 5);
     ASSERT_TRUE(run(leader));
-    EXPECT_EQ(lose, 0) << "else nothing was lost, and this shows nothing";
+    EXPECT_EQ(replies_to_lose, 0) << "expected all replies to be lost that were to be";
     EXPECT_EQ(leader.recorded_machines.size(), 3U);
-    EXPECT_EQ(leader.state_writer.page_lookups() > 0, at_once);
-    EXPECT_EQ(late.empty(), at_once);
-    for (const auto& body : late) {
-      ports::Reply ignored;
-      apply(body, ignored);
-      EXPECT_EQ(ignored.status, 409) << body.dump();
+    EXPECT_EQ(leader.state_writer.page_lookups() > 0, applied_at_once);
+    EXPECT_EQ(unapplied.empty(), applied_at_once);
+    for (const auto& body : unapplied) {
+      ports::Reply late_reply;
+      apply(body, late_reply);
+      EXPECT_EQ(late_reply.status, 409) << "a late transaction was applied: " << body.dump();
     }
-    EXPECT_EQ(former_hosts(), (std::multiset<std::string>{"i-000001", "i-000002", "i-000003"}));
-    EXPECT_EQ(former_reads("req-1"), (std::set<std::uint32_t>{3, 4, 5}));
-    // The next leader goes on from the versions that it reads.
-    Leader next(8, 12);
-    next.job("req-1", 40);
-    load(next);
-    next.state_writer.add_machine(next.add_host("i-000004"));
-    ASSERT_TRUE(run(next));
-    EXPECT_EQ(next.state_writer.page_lookups(), 0U);
-    EXPECT_EQ(former_hosts().size(), 4U);
+    EXPECT_EQ(read_former_hosts(), (std::multiset<std::string>{"i-000001", "i-000002", "i-000003"}));
+    EXPECT_EQ(read_former_completions("req-1"), (std::set<std::uint32_t>{3, 4, 5}));
+    // The next leader continues with the versions that it has loaded.
+    Leader new_leader(8, 12);
+    new_leader.add_job("req-1", 40);
+    load(new_leader);
+    new_leader.state_writer.add_machine(new_leader.add_host("i-000004"));
+    ASSERT_TRUE(run(new_leader));
+    EXPECT_EQ(new_leader.state_writer.page_lookups(), 0U);
+    EXPECT_EQ(read_former_hosts().size(), 4U);
   }
 }
 
-// The same of progress alone: with a page of the roster in the same transaction, that one's version would do.
-TEST_F(RecordPagesTest, OlderProgressNeverStandsForNewer) {
+// The same with completion pages only: if a transaction also holds an inventory page, the condition on that
+// page's version alone would refuse it.
+TEST_F(RecordPagesTest, LateTransactionDoesNotReplaceNewerCompletionPages) {
   Leader leader(8, 12);
-  Job& job = leader.job("req-1", 40);
-  const auto complete = [&](std::uint32_t task) {
-    leader.registry.complete_task(job, task, kNoIndex);
-    leader.state_writer.record_completion(job, task, jobs::MachineIndex(0), 1);
-  };
-  complete(3);
+  Job& job = leader.add_job("req-1", 40);
+  leader.complete(job, 3);
   ASSERT_TRUE(run(leader));
-  complete(4);
-  lose = 1;
+  leader.complete(job, 4);
+  replies_to_lose = 1;
   ASSERT_TRUE(run_until_lost(leader));
-  complete(5);
+  leader.complete(job, 5);
   ASSERT_TRUE(run(leader));
-  ASSERT_EQ(late.size(), 1U);
-  ports::Reply ignored;
-  apply(late.front(), ignored);
-  EXPECT_EQ(ignored.status, 409);
-  EXPECT_EQ(former_reads("req-1"), (std::set<std::uint32_t>{3, 4, 5}));
+  ASSERT_EQ(unapplied.size(), 1U);
+  ports::Reply late_reply;
+  apply(unapplied.front(), late_reply);
+  EXPECT_EQ(late_reply.status, 409);
+  EXPECT_EQ(read_former_completions("req-1"), (std::set<std::uint32_t>{3, 4, 5}));
 }
 
-TEST_F(RecordPagesTest, EndsTellTheTimeAndFormerOnesAreRead) {
-  const auto ended = wire::parse_final_state({{"phase", "done"}, {"tasks", 3}});
-  ASSERT_TRUE(ended);
-  EXPECT_FALSE(ended->ended_at);
-  const auto back = wire::parse_final_state(wire::final_state_record({wire::Phase::cancelled, 4, 1e9}));
-  ASSERT_TRUE(back && back->ended_at);
-  EXPECT_EQ(back->phase, wire::Phase::cancelled);
-  EXPECT_DOUBLE_EQ(*back->ended_at, 1e9);
+TEST_F(RecordPagesTest, FinalStatesHaveATimeAndFormerOnesWithoutItAreRead) {
+  const auto former = wire::parse_final_state({{"phase", "done"}, {"tasks", 3}});
+  ASSERT_TRUE(former);
+  EXPECT_FALSE(former->ended_at);
+  const auto parsed = wire::parse_final_state(wire::final_state_record({wire::Phase::cancelled, 4, 1e9}));
+  ASSERT_TRUE(parsed && parsed->ended_at);
+  EXPECT_EQ(parsed->phase, wire::Phase::cancelled);
+  EXPECT_DOUBLE_EQ(*parsed->ended_at, 1e9);
 }
 
 }  // namespace
--- a/tests/state_client_test.cpp
+++ b/tests/state_client_test.cpp
@@ -1,11 +1,12 @@
-// A controller's part of the state service's requests, when submissions alone would use more than that.
+// Division of a controller's budget of state service requests between queries and submissions, when
+// submissions alone would use more than the whole budget.
 //
-// What users saw: for more than 90 s every question about an accepted job was answered 429, also about jobs
-// whose ends had long been recorded. In order: an end was recorded, the controllers were ended or changed
-// their leader, so nobody had that end in memory and each question about it needed requests of the state
-// service; submissions that never stopped used all of them. The evidence: each of some twenty questions in a
-// row was put off with `requests_used_up`, at all controllers, for a job that the log told as recorded a
-// minute before. The cause: questions got requests only if submissions left a third of the budget.
+// The tests guard against queries that fail while submissions continue. For more than 90 s every query of an
+// accepted job was answered 429, even when its final state had long been recorded: after a restart of the
+// controllers or a change of the leader no controller had the final state in memory, each query needed
+// requests of the state service, and continuous submissions used all of them. About twenty queries in a row
+// were refused with `requests_used_up`, at all controllers, for a job whose final state had been recorded a
+// minute before. The cause was that queries got requests only if submissions left a third of the budget.
 #include "store/state_client.hpp"
 
 #include <gtest/gtest.h>
@@ -13,81 +14,91 @@
 namespace wingtrail::store {
 namespace {
 
-constexpr double kRequests = 40, kPlayed = 60, kTick = 0.01;
+constexpr double kRequestsPerS = 40;  // of the state service
+constexpr double kDurationS = 60, kTickS = 0.01;
 
-struct Answers {
-  int sent = 0, refused = 0;
+struct Counts {
+  int sent = 0, throttled = 0;
 };
 
+// A state client that submissions and queries use at fixed rates.
 class BusyClient {
  public:
-  explicit BusyClient(bool shared) : settings_(settings_of()), client_(out_, settings_) {
-    if (shared)
+  // `share_source`: the client has a share source, which gives it the whole budget.
+  explicit BusyClient(bool share_source) : settings_(settings_of()), client_(out_, settings_) {
+    if (share_source)
       client_.set_share_source([] { return StateClient::BudgetShare{1, 1, false}; });
   }
-  void play(double submissions_per_s, double questions_per_s) {
-    double submissions = 0, questions = 0;
-    for (double t = 0; t < kPlayed; t += kTick) {
-      out_.set_now(t);
-      for (submissions += submissions_per_s * kTick; submissions >= 1; --submissions)
-        ask(RequestPriority::user, submissions_);
-      for (questions += questions_per_s * kTick; questions >= 1; --questions)
-        ask(RequestPriority::query, questions_);
+  void run(double submissions_per_s, double queries_per_s) {
+    double submissions = 0, queries = 0;
+    for (double now = 0; now < kDurationS; now += kTickS) {
+      out_.set_now(now);
+      for (submissions += submissions_per_s * kTickS; submissions >= 1; --submissions)
+        send(RequestPriority::user, submissions_);
+      for (queries += queries_per_s * kTickS; queries >= 1; --queries)
+        send(RequestPriority::query, queries_);
       out_.drain();
     }
   }
-  void ask(RequestPriority urgency, Answers& answers) {
+  void send(RequestPriority priority, Counts& counts) {
     const auto before = client_.throttled();
-    client_.get("f/req-1", urgency, [](const Reply&) {});
-    ++(client_.throttled() > before ? answers.refused : answers.sent);
+    client_.get("f/req-1", priority, [](const Reply&) {});
+    ++(client_.throttled() > before ? counts.throttled : counts.sent);
   }
-  const Answers& submissions() const {
+  const Counts& submissions() const {
     return submissions_;
   }
-  const Answers& questions() const {
-    return questions_;
+  const Counts& queries() const {
+    return queries_;
   }
 
  private:
   static settings::Settings settings_of() {
     settings::Settings settings;
-    settings.state_requests_per_s = kRequests;
+    settings.state_requests_per_s = kRequestsPerS;
     return settings;
   }
   ports::Outbox out_;
   settings::Settings settings_;
   StateClient client_;
-  Answers submissions_, questions_;
+  Counts submissions_, queries_;
 };
 
-TEST(StateClientBudget, QuestionsAreAskedBesideSubmissionsThatNeverEnd) {
-  for (const bool shared : {true, false}) {
-    SCOPED_TRACE(shared ? "the budget is shared" : "each node has a fixed part");
-    BusyClient client(shared);
-    client.play(200, 10);
-    EXPECT_GT(client.submissions().refused, client.submissions().sent) << "they are no more than can be";
-    EXPECT_GT(client.questions().sent, 4 * kPlayed) << "a second";
-    EXPECT_GT(client.submissions().sent, 0.6 * kRequests * kPlayed);
-    EXPECT_LE(client.questions().sent + client.submissions().sent, kRequests * (kPlayed + 1));
+const char* budget_kind(bool share_source) {
+  return share_source ? "the share source sets the budget share" : "the role sets the budget share";
+}
+
+TEST(StateClientBudget, QueriesAreSentDuringContinuousSubmissions) {
+  for (const bool share_source : {true, false}) {
+    SCOPED_TRACE(budget_kind(share_source));
+    BusyClient client(share_source);
+    client.run(200, 10);
+    EXPECT_GT(client.submissions().throttled, client.submissions().sent)
+        << "expected more submissions than the budget allows";
+    EXPECT_GT(client.queries().sent, 4 * kDurationS) << "expected more than 4 queries per second";
+    EXPECT_GT(client.submissions().sent, 0.6 * kRequestsPerS * kDurationS);
+    EXPECT_LE(client.queries().sent + client.submissions().sent, kRequestsPerS * (kDurationS + 1));
   }
 }
 
-// What is kept for questions is nobody's loss while none come.
-TEST(StateClientBudget, SubmissionsHaveAllOfItWhileNobodyAsks) {
-  for (const bool shared : {true, false}) {
-    BusyClient client(shared);
-    client.play(200, 0);
-    EXPECT_GT(client.submissions().sent, 0.85 * kRequests * kPlayed);
-    EXPECT_LE(client.submissions().sent, kRequests * (kPlayed + 1));
+// The part reserved for queries is available to submissions while there are no queries.
+TEST(StateClientBudget, SubmissionsUseTheWholeBudgetWithoutQueries) {
+  for (const bool share_source : {true, false}) {
+    SCOPED_TRACE(budget_kind(share_source));
+    BusyClient client(share_source);
+    client.run(200, 0);
+    EXPECT_GT(client.submissions().sent, 0.85 * kRequestsPerS * kDurationS);
+    EXPECT_LE(client.submissions().sent, kRequestsPerS * (kDurationS + 1));
   }
 }
 
-// Nor do they take more than that from submissions.
-TEST(StateClientBudget, QuestionsLeaveSubmissionsTheirPart) {
-  for (const bool shared : {true, false}) {
-    BusyClient client(shared);
-    client.play(200, 200);
-    EXPECT_GT(client.submissions().sent, 0.6 * kRequests * kPlayed);
+// Queries take no more than their reserved part from submissions.
+TEST(StateClientBudget, QueriesDoNotStarveSubmissions) {
+  for (const bool share_source : {true, false}) {
+    SCOPED_TRACE(budget_kind(share_source));
+    BusyClient client(share_source);
+    client.run(200, 200);
+    EXPECT_GT(client.submissions().sent, 0.6 * kRequestsPerS * kDurationS);
   }
 }
 
