--- a/src/cells/remote_placements.cpp
+++ b/src/cells/remote_placements.cpp
@@ -5,25 +5,26 @@
 
 namespace wingtrail::cells {
 namespace {
-// How often the other cell is asked. A job's user expects to hear of its end within 3 s (PROTOCOL), of which
-// a report, the question and the write here take a second and more.
-constexpr Seconds kAskEvery = 1.0;
-constexpr Seconds kPressing = 0.4;   // of a cancellation, whose user waits
-constexpr std::size_t kAround = 60;  // bytes of a page that are no names
+// A user expects to see a job's end within 3 s (PROTOCOL). The heartbeat, the request to the holding cell and
+// the write in this cell take more than one second of that.
+constexpr Seconds kRequestInterval = 1.0;
+constexpr Seconds kCancelRequestInterval = 0.4;  // shorter, since the user is waiting
+constexpr std::size_t kPageOverheadBytes = 60;   // of a page, besides the names of its jobs
+constexpr std::size_t kRefOverheadBytes = 3;     // of each name
 }  // namespace
 
 wire::Value RemotePlacements::Page::value() const {
   return {{"cell", cell}, {"refs", refs}};
 }
 
-std::string RemotePlacements::key(const PageState& s) const {
-  return kRemotePlacementPrefix + cells_[s.cell] + "/" + std::to_string(s.number);
+std::string RemotePlacements::key(const PageState& page) const {
+  return kRemotePlacementPrefix + cells_[page.cell] + "/" + std::to_string(page.number);
 }
 
 void RemotePlacements::clear() {
   placements_.clear();
-  for (auto& d : questions_due_)
-    d.clear();
+  for (auto& due : requests_due_)
+    due.clear();
   pages_.clear();
   pages_due_.clear();
   pending_writes_.clear();
@@ -35,14 +36,14 @@
   pages_due_.insert(page);
 }
 
-void RemotePlacements::stop_asking(const std::string& ref, const RemotePlacement& stay) {
-  questions_due_[stay.cell].erase({stay.ask_at, ref});
+void RemotePlacements::unschedule_request(const std::string& ref, const RemotePlacement& placement) {
+  requests_due_[placement.cell].erase({placement.next_request_at, ref});
 }
 
-void RemotePlacements::ask_later(const std::string& ref, RemotePlacement& stay, Seconds at) {
-  stop_asking(ref, stay);
-  stay.ask_at = at;
-  questions_due_[stay.cell].emplace(at, ref);
+void RemotePlacements::schedule_request(const std::string& ref, RemotePlacement& placement, Seconds at) {
+  unschedule_request(ref, placement);
+  placement.next_request_at = at;
+  requests_due_[placement.cell].emplace(at, ref);
 }
 
 bool RemotePlacements::load(const std::string& key, const wire::Value& value, std::uint64_t version,
@@ -54,42 +55,42 @@
     return false;
   const char* end = key.data() + key.size();
   std::size_t number = 0;
-  const auto [p, ec] = std::from_chars(key.data() + slash + 1, end, number);
-  if (ec != std::errc() || p != end)
+  const auto [parsed_end, ec] = std::from_chars(key.data() + slash + 1, end, number);
+  if (ec != std::errc() || parsed_end != end)
     return false;
-  // A neighbour that the settings no longer name still holds what it was given.
+  // A neighbour that the settings no longer name still holds its jobs.
   auto known = std::find(cells_.begin(), cells_.end(), *name);
   if (known == cells_.end()) {
     cells_.push_back(*name);
-    questions_due_.emplace_back();
+    requests_due_.emplace_back();
     known = cells_.end() - 1;
   }
   const std::size_t id = ++last_page_;
-  PageState& sheet = pages_[id];
-  sheet.cell = static_cast<std::size_t>(known - cells_.begin());
-  sheet.number = number;
-  sheet.version = version;
+  PageState& page_state = pages_[id];
+  page_state.cell = static_cast<std::size_t>(known - cells_.begin());
+  page_state.number = number;
+  page_state.version = version;
   for (const wire::Value& item : *refs) {
     if (!item.is_string())
       return false;
     const auto ref = item.get<std::string>();
     if (!live(ref))
       continue;
-    sheet.refs.insert(ref);
-    sheet.bytes += ref.size() + 3;
-    RemotePlacement& stay = placements_[ref];
-    stay = {};
-    stay.cell = sheet.cell;
-    stay.page = id;
-    stay.state = State::offered;
-    ask_later(ref, stay, now);
+    page_state.refs.insert(ref);
+    page_state.bytes += ref.size() + kRefOverheadBytes;
+    RemotePlacement& placement = placements_[ref];
+    placement = {};
+    placement.cell = page_state.cell;
+    placement.page = id;
+    placement.state = State::offered;
+    schedule_request(ref, placement, now);
   }
-  on_page_settled(id);
+  delete_if_empty(id);
   return true;
 }
 
-// A page that names nobody goes.
-void RemotePlacements::on_page_settled(std::size_t page) {
+// Deletes a page that names no job: first in the state service, if it may exist there.
+void RemotePlacements::delete_if_empty(std::size_t page) {
   const auto it = pages_.find(page);
   if (it == pages_.end() || !it->second.refs.empty())
     return;
@@ -103,29 +104,30 @@
 }
 
 void RemotePlacements::offload(const std::string& ref, std::size_t cell) {
-  const std::size_t size = ref.size() + 3;
+  const std::size_t size = ref.size() + kRefOverheadBytes;
   const auto open = open_page_by_cell_.find(cell);
   std::size_t page = 0;
   if (open != open_page_by_cell_.end() && pages_.contains(open->second) &&
-      pages_.at(open->second).bytes + size + kAround <= page_bytes_) {
+      pages_.at(open->second).bytes + size + kPageOverheadBytes <= page_bytes_) {
     page = open->second;
   } else {
-    // Numbers of pages in use are not used again: one that is being deleted would take the new one with it.
+    // The number of a page that still exists is not reused: a pending deletion of the old page would delete
+    // the new one.
     std::size_t number = 1;
-    for (const auto& [id, p] : pages_)
-      number = std::max(number, p.number + 1);
+    for (const auto& [id, existing] : pages_)
+      number = std::max(number, existing.number + 1);
     page = ++last_page_;
     pages_[page].cell = cell;
     pages_[page].number = number;
     open_page_by_cell_[cell] = page;
   }
-  PageState& sheet = pages_.at(page);
-  sheet.refs.insert(ref);
-  sheet.bytes += size;
-  RemotePlacement& stay = placements_[ref];
-  stay = {};
-  stay.cell = cell;
-  stay.page = page;
+  PageState& page_state = pages_.at(page);
+  page_state.refs.insert(ref);
+  page_state.bytes += size;
+  RemotePlacement& placement = placements_[ref];
+  placement = {};
+  placement.cell = cell;
+  placement.page = page;
   mark_due(page);
 }
 
@@ -133,19 +135,19 @@
   const auto it = placements_.find(ref);
   if (it == placements_.end())
     return;
-  RemotePlacement& stay = it->second;
-  const bool more = cancel && !stay.cancel;
-  stay.cancel |= cancel;
-  switch (stay.state) {
+  RemotePlacement& placement = it->second;
+  const bool newly_cancelled = cancel && !placement.cancel;
+  placement.cancel |= cancel;
+  switch (placement.state) {
     case State::offered:
     case State::remote:
-      stay.state = State::recalling;
-      return ask_later(ref, stay, now);
+      placement.state = State::recalling;
+      return schedule_request(ref, placement, now);
     case State::recalling:
-      if (more)
-        ask_later(ref, stay, now);
+      if (newly_cancelled)
+        schedule_request(ref, placement, now);
       return;
-    default:  // when the page is written it comes back, or is on its way back
+    default:  // on_written() returns a recording one that was cancelled; the others are on their way back
       return;
   }
 }
@@ -155,49 +157,52 @@
   if (it == placements_.end())
     return;
   const std::size_t page = it->second.page;
-  stop_asking(ref, it->second);
+  unschedule_request(ref, it->second);
   placements_.erase(it);
-  const auto sheet = pages_.find(page);
-  if (sheet == pages_.end())
+  const auto page_state = pages_.find(page);
+  if (page_state == pages_.end())
     return;
-  if (sheet->second.refs.erase(ref) > 0)
-    sheet->second.bytes -= ref.size() + 3;
-  std::erase(sheet->second.returning, ref);
-  on_page_settled(page);
+  if (page_state->second.refs.erase(ref) > 0)
+    page_state->second.bytes -= ref.size() + kRefOverheadBytes;
+  std::erase(page_state->second.returning, ref);
+  delete_if_empty(page);
 }
 
-// The other cell has recorded that it never runs there again. Here that counts once the page without it is
-// written.
-void RemotePlacements::return_home(const std::string& ref, RemotePlacement& stay) {
-  stop_asking(ref, stay);
-  stay.state = State::returning;
-  PageState& sheet = pages_.at(stay.page);
-  if (sheet.refs.erase(ref) > 0)
-    sheet.bytes -= ref.size() + 3;
-  sheet.returning.push_back(ref);
-  mark_due(stay.page);
+// The holding cell has recorded that the job never runs there again. The job belongs to this cell again once
+// the page without it is written.
+void RemotePlacements::begin_return(const std::string& ref, RemotePlacement& placement) {
+  unschedule_request(ref, placement);
+  placement.state = State::returning;
+  PageState& page_state = pages_.at(placement.page);
+  if (page_state.refs.erase(ref) > 0)
+    page_state.bytes -= ref.size() + kRefOverheadBytes;
+  page_state.returning.push_back(ref);
+  mark_due(placement.page);
 }
 
 void RemotePlacements::abandon_cell(std::size_t cell) {
-  for (auto& [ref, stay] : placements_) {
-    if (stay.cell == cell && stay.state != State::leaving && stay.state != State::returning &&
-        stay.state != State::ended)
-      return_home(ref, stay);
+  for (auto& [ref, placement] : placements_) {
+    if (placement.cell == cell && placement.state != State::recording &&
+        placement.state != State::returning && placement.state != State::ended)
+      begin_return(ref, placement);
   }
 }
 
-std::vector<RemotePlacements::Page> RemotePlacements::next_write(std::size_t most) {
+std::vector<RemotePlacements::Page> RemotePlacements::next_write(std::size_t max_pages) {
   std::vector<Page> out;
   if (writing())
     return out;
-  for (auto it = pages_due_.begin(); it != pages_due_.end() && out.size() < most;) {
-    PageState& sheet = pages_.at(*it);
-    if (sheet.unsure) {
+  for (auto it = pages_due_.begin(); it != pages_due_.end() && out.size() < max_pages;) {
+    PageState& page_state = pages_.at(*it);
+    if (page_state.unsure) {
       ++it;
       continue;
     }
-    Page page{key(sheet), cells_[sheet.cell], {sheet.refs.begin(), sheet.refs.end()}, sheet.version};
-    pending_writes_.push_back({*it, page.refs, std::exchange(sheet.returning, {})});
+    Page page{key(page_state),
+              cells_[page_state.cell],
+              {page_state.refs.begin(), page_state.refs.end()},
+              page_state.version};
+    pending_writes_.push_back({*it, page.refs, std::exchange(page_state.returning, {})});
     it = pages_due_.erase(it);
     out.push_back(std::move(page));
   }
@@ -205,70 +210,70 @@
 }
 
 std::vector<std::string> RemotePlacements::on_written(std::uint64_t revision) {
-  std::vector<std::string> home, unwanted;
-  for (PendingWrite& f : std::exchange(pending_writes_, {})) {
-    const auto sheet = pages_.find(f.page);
-    if (sheet != pages_.end())
-      sheet->second.version = f.named.empty() ? 0 : revision;
-    for (const std::string& ref : f.named) {
+  std::vector<std::string> returned, cancelled;
+  for (PendingWrite& write : std::exchange(pending_writes_, {})) {
+    const auto page_state = pages_.find(write.page);
+    if (page_state != pages_.end())
+      page_state->second.version = write.named.empty() ? 0 : revision;
+    for (const std::string& ref : write.named) {
       const auto it = placements_.find(ref);
-      if (it == placements_.end() || it->second.state != State::leaving)
+      if (it == placements_.end() || it->second.state != State::recording)
         continue;
-      // Cancelled while it was being written: no other cell has been told of it, so there is nothing to
-      // prove.
+      // Cancelled while the page was being written: the job was never offered, so no other cell has to
+      // confirm its return.
       if (it->second.cancel) {
-        unwanted.push_back(ref);
+        cancelled.push_back(ref);
         continue;
       }
       it->second.state = State::offered;
-      ask_later(ref, it->second, 0);
+      schedule_request(ref, it->second, 0);
     }
-    for (std::string& ref : f.returning) {
+    for (std::string& ref : write.returning) {
       if (placements_.erase(ref) > 0)
-        home.push_back(std::move(ref));
+        returned.push_back(std::move(ref));
     }
-    on_page_settled(f.page);
+    delete_if_empty(write.page);
   }
-  for (const std::string& ref : unwanted)
-    return_home(ref, placements_.at(ref));
-  return home;
+  for (const std::string& ref : cancelled)
+    begin_return(ref, placements_.at(ref));
+  return returned;
 }
 
 void RemotePlacements::on_write_failed(bool unsure) {
-  for (PendingWrite& f : std::exchange(pending_writes_, {})) {
-    const auto sheet = pages_.find(f.page);
-    if (sheet == pages_.end())
+  for (PendingWrite& write : std::exchange(pending_writes_, {})) {
+    const auto page_state = pages_.find(write.page);
+    if (page_state == pages_.end())
       continue;
-    sheet->second.unsure |= unsure;
-    auto& returning = sheet->second.returning;
-    for (std::string& ref : f.returning) {
+    page_state->second.unsure |= unsure;
+    auto& returning = page_state->second.returning;
+    for (std::string& ref : write.returning) {
       if (placements_.contains(ref))
         returning.push_back(std::move(ref));
     }
-    mark_due(f.page);
+    mark_due(write.page);
   }
 }
 
 std::vector<std::string> RemotePlacements::on_write_refused() {
-  std::vector<std::string> home;
-  for (const PendingWrite& f : pending_writes_) {
-    for (const std::string& ref : f.named) {
+  std::vector<std::string> returned;
+  for (const PendingWrite& write : pending_writes_) {
+    for (const std::string& ref : write.named) {
       const auto it = placements_.find(ref);
-      if (it == placements_.end() || it->second.state != State::leaving)
+      if (it == placements_.end() || it->second.state != State::recording)
         continue;
-      PageState& sheet = pages_.at(f.page);
-      if (sheet.refs.erase(ref) > 0)
-        sheet.bytes -= ref.size() + 3;
+      PageState& page_state = pages_.at(write.page);
+      if (page_state.refs.erase(ref) > 0)
+        page_state.bytes -= ref.size() + kRefOverheadBytes;
       placements_.erase(it);
-      home.push_back(ref);
+      returned.push_back(ref);
     }
   }
   on_write_failed(false);
-  // Nobody joins pages of that size any more.
-  page_bytes_ = std::max<std::size_t>(kAround + 30, page_bytes_ / 2);
+  // No further job joins these pages, and new pages are half as large at most.
+  page_bytes_ = std::max<std::size_t>(kPageOverheadBytes + 30, page_bytes_ / 2);
   for (const auto& [cell, page] : std::exchange(open_page_by_cell_, {}))
-    on_page_settled(page);
-  return home;
+    delete_if_empty(page);
+  return returned;
 }
 
 std::vector<std::string> RemotePlacements::pages_to_read() const {
@@ -280,72 +285,75 @@
   return out;
 }
 
-void RemotePlacements::on_page_read(const std::string& looked_at, std::uint64_t version) {
-  for (auto& [id, sheet] : pages_) {
-    if (!sheet.unsure || key(sheet) != looked_at)
+void RemotePlacements::on_page_read(const std::string& page_key, std::uint64_t version) {
+  for (auto& [id, page_state] : pages_) {
+    if (!page_state.unsure || key(page_state) != page_key)
       continue;
-    sheet.unsure = false;
-    sheet.version = version;
-    return on_page_settled(id);
+    page_state.unsure = false;
+    page_state.version = version;
+    return delete_if_empty(id);
   }
 }
 
-std::vector<peer::JobMessage> RemotePlacements::next_questions(std::size_t cell, std::size_t most,
-                                                               Seconds now) {
+std::vector<peer::JobMessage> RemotePlacements::next_requests(std::size_t cell, std::size_t max_requests,
+                                                              Seconds now) {
   std::vector<peer::JobMessage> out;
-  auto& due = questions_due_[cell];
-  while (!due.empty() && due.begin()->first <= now && out.size() < most) {
+  auto& due = requests_due_[cell];
+  while (!due.empty() && due.begin()->first <= now && out.size() < max_requests) {
     const std::string ref = due.begin()->second;
-    RemotePlacement& stay = placements_.at(ref);
-    const JobVerb word = stay.state == State::offered     ? JobVerb::offer
-                         : stay.state == State::recalling ? (stay.cancel ? JobVerb::cancel : JobVerb::recall)
-                                                          : JobVerb::state;
-    ask_later(ref, stay, now + (stay.cancel ? kPressing : kAskEvery));
-    out.push_back({ref, static_cast<std::uint8_t>(word), {}, 0, 0});
+    RemotePlacement& placement = placements_.at(ref);
+    const JobVerb verb = placement.state == State::offered ? JobVerb::offer
+                         : placement.state == State::recalling
+                             ? (placement.cancel ? JobVerb::cancel : JobVerb::recall)
+                             : JobVerb::state;
+    schedule_request(ref, placement, now + (placement.cancel ? kCancelRequestInterval : kRequestInterval));
+    out.push_back({ref, static_cast<std::uint8_t>(verb), {}, 0, 0});
   }
   return out;
 }
 
-RemotePlacements::Event RemotePlacements::on_reply(std::size_t cell, const peer::JobMessage& said,
+RemotePlacements::Event RemotePlacements::on_reply(std::size_t cell, const peer::JobMessage& reply,
                                                    Seconds now) {
-  const auto it = placements_.find(said.ref);
-  // Answers may come late: of a stay that is over, or from a cell that it left since.
+  const auto it = placements_.find(reply.ref);
+  // A late reply may be about a placement that has ended, or come from a cell that no longer holds the job.
   if (it == placements_.end() || it->second.cell != cell)
     return Event::none;
-  RemotePlacement& stay = it->second;
-  if (stay.state == State::leaving || stay.state == State::returning || stay.state == State::ended)
+  RemotePlacement& placement = it->second;
+  if (placement.state == State::recording || placement.state == State::returning ||
+      placement.state == State::ended)
     return Event::none;
-  switch (said.verb()) {
+  switch (reply.verb()) {
     case JobVerb::held:
-      stay.done = said.done_tasks;
-      stay.running = said.running_tasks;
-      // One that has begun there stays there, unless it is to end.
-      if (stay.state == State::offered || (stay.state == State::recalling && !stay.cancel))
-        stay.state = State::remote;
+      placement.done = reply.done_tasks;
+      placement.running = reply.running_tasks;
+      // A recall ends if the job has started there; a cancellation goes on.
+      if (placement.state == State::offered || (placement.state == State::recalling && !placement.cancel))
+        placement.state = State::remote;
       return Event::none;
     case JobVerb::done:
-      stop_asking(said.ref, stay);
-      stay.state = State::ended;
+      unschedule_request(reply.ref, placement);
+      placement.state = State::ended;
       return Event::done;
     case JobVerb::withdrawn:
-      if (!stay.cancel) {
-        return_home(said.ref, stay);
+      if (!placement.cancel) {
+        begin_return(reply.ref, placement);
         return Event::none;
       }
-      stop_asking(said.ref, stay);
-      stay.state = State::ended;
+      unschedule_request(reply.ref, placement);
+      placement.state = State::ended;
       return Event::withdrawn;
     case JobVerb::refused:
     case JobVerb::never:
-      // An offer that was sent twice may still come to be taken; only a record that it never will ends that.
-      if (stay.state != State::offered)
+      // A duplicate of the offer may still be accepted. Only a tombstone in the other cell rules that out, so
+      // the job is recalled.
+      if (placement.state != State::offered)
         return Event::none;
-      stay.state = State::recalling;
-      ask_later(said.ref, stay, now);
+      placement.state = State::recalling;
+      schedule_request(reply.ref, placement, now);
       return Event::none;
     case JobVerb::unknown:
-      if (stay.state == State::remote)
-        stay.state = State::offered;
+      if (placement.state == State::remote)
+        placement.state = State::offered;
       return Event::none;
     default:
       return Event::none;
@@ -362,12 +370,13 @@
                                                 [cell](const auto& s) { return s.second.cell == cell; }));
 }
 
-std::vector<std::string> RemotePlacements::idle_jobs(std::size_t cell, std::size_t most) const {
+std::vector<std::string> RemotePlacements::idle_jobs(std::size_t cell, std::size_t max_jobs) const {
   std::vector<std::string> out;
-  for (const auto& [ref, stay] : placements_) {
-    if (out.size() >= most)
+  for (const auto& [ref, placement] : placements_) {
+    if (out.size() >= max_jobs)
       break;
-    if (stay.cell == cell && stay.state == State::remote && stay.running == 0 && stay.done == 0)
+    if (placement.cell == cell && placement.state == State::remote && placement.running == 0 &&
+        placement.done == 0)
       out.push_back(ref);
   }
   return out;
--- a/src/cells/remote_placements.hpp
+++ b/src/cells/remote_placements.hpp
@@ -1,12 +1,13 @@
-// The home's account of jobs that another cell holds, or is asked to. Each step that changes the holder is
-// persisted here before it counts: a job is *away* from when a page that names it is written, and home again
-// from when one without it is, after the other cell has recorded that it never runs there again. In between
-// nothing of it starts here (docs/cells.md has the table of states and messages).
-//
-// Pages: j/away/CELL/N, each the names of many jobs, since the state service counts changes. Only the leader
-// writes them, on condition that it still leads and that the page is the one it knows: a transaction without
-// an answer may be carried out after newer ones, and an older page in place of a newer one would give jobs
-// back that are held elsewhere.
+/// @file
+/// Remote placements: the origin cell's record of the jobs that another cell holds or has been offered. A
+/// change of holder is persisted before it takes effect. From the write of a page that names a job until the
+/// write of that page without it, no task of the job starts in this cell; the second write follows only after
+/// the holding cell has recorded that the job never runs there again.
+///
+/// Each page j/away/CELL/N names many jobs, since the state service limits the number of changes. Only the
+/// leader writes pages; each write requires that it still leads and that the page has the version it knows. A
+/// transaction without a reply may be applied after newer ones, and an older page in place of a newer one
+/// would return jobs to this cell that another cell holds.
 #pragma once
 
 #include <cstdint>
@@ -34,95 +35,106 @@
 class RemotePlacements {
  public:
   enum class State : std::uint8_t {
-    leaving,    // the page that names it is being written
-    offered,    // it may be held there, for all that is known
-    remote,     // it is held there
-    recalling,  // it is to come back, or to end there
-    returning,  // it never runs there again; the page without it is being written
-    ended,      // it is over there; its end is being recorded here
+    recording,  ///< the page that names the job is being written
+    offered,    ///< the neighbour has been or may have been offered the job, and may hold it
+    remote,     ///< the neighbour confirmed that it holds the job
+    recalling,  ///< the neighbour is asked to give the job back or to cancel it
+    returning,  ///< the job never runs there again; the page without it is being written
+    ended,      ///< the job has ended there; its final state is being recorded in this cell
   };
+  /// What a reply changes for the job: it is done, or it was cancelled in the holding cell.
   enum class Event : std::uint8_t { none, done, withdrawn };
   struct RemotePlacement {
     std::size_t cell = 0, page = 0;
-    State state = State::leaving;
-    bool cancel = false;  // its user wants it cancelled
-    Seconds ask_at = 0;   // when it is asked about next
-    std::uint32_t done = 0, running = 0;
+    State state = State::recording;
+    bool cancel = false;                  ///< the user has cancelled the job
+    Seconds next_request_at = 0;          ///< when the neighbour is asked about the job next
+    std::uint32_t done = 0, running = 0;  ///< tasks, by the neighbour's last reply
   };
 
-  // `cells`: names, in the order in which neighbours are numbered. `page_bytes`: that a page may have.
+  /// `cells`: the neighbours' names, in the order of their indices. `page_bytes`: the largest size of a page.
   RemotePlacements(std::vector<std::string> cells, std::size_t page_bytes)
-      : cells_(std::move(cells)), page_bytes_(page_bytes), questions_due_(cells_.size()) {}
+      : cells_(std::move(cells)), page_bytes_(page_bytes), requests_due_(cells_.size()) {}
 
   void clear();
-  // What an earlier leadership persisted; `live`: whether the job is not over. False: the page makes no
-  // sense.
+  /// Takes over a page that an earlier leader persisted; `live` says whether a job has no final state yet.
+  /// Returns false if the page is malformed.
   bool load(const std::string& key, const wire::Value& value, std::uint64_t version,
             const std::function<bool(const std::string&)>& live, Seconds now);
 
-  // Hands the job on. The caller sees to it that nothing of it has started, or will.
+  /// Begins to offload the job to the cell. The caller ensures that none of its tasks has started here, or
+  /// will.
   void offload(const std::string& ref, std::size_t cell);
-  // It is to come back, if nothing of it has started there, or, with `cancel`, to end there.
+  /// Asks the holding cell to give the job back unless a task of it has started there; with `cancel`, to
+  /// cancel the job in any case.
   void recall(const std::string& ref, bool cancel, Seconds now);
-  // Its end is recorded here.
+  /// Forgets the job: its final state is recorded in this cell.
   void on_job_over(const std::string& ref);
-  // The neighbour never comes back, on its operators' word: what it held is home again.
+  /// Returns all jobs of a neighbour that its operators have declared decommissioned to this cell.
   void abandon_cell(std::size_t cell);
 
-  // ---- what is persisted; one write is under way at a time
+  // ---- persistence; at most one write is in flight
+
   struct Page {
     std::string key, cell;
-    std::vector<std::string> refs;  // empty: the page goes
-    std::uint64_t version = 0;      // that it must have; 0: there must be none
+    std::vector<std::string> refs;  ///< if empty, the page is deleted
+    std::uint64_t version = 0;      ///< the version that the write requires; 0: the page must not exist
     wire::Value value() const;
   };
-  std::vector<Page> next_write(std::size_t most);
-  // As of that revision. Returns the jobs that are home again.
+  /// The next pages to write, `max_pages` at most; empty while a write is in flight.
+  std::vector<Page> next_write(std::size_t max_pages);
+  /// The write was applied at that revision. Returns the jobs that now belong to this cell again.
   std::vector<std::string> on_written(std::uint64_t revision);
-  // It was not applied or, if `unsure`, may have been or may yet be: then its pages are looked at before they
-  // are written again.
+  /// The write was not applied or, if `unsure`, may have been or may still be: its pages are then read before
+  /// they are written again.
   void on_write_failed(bool unsure);
-  // It never will be: its pages are too large for the state service. Who was to go is home again.
+  /// The write can never be applied: its pages are too large for the state service. Returns the jobs that
+  /// were to be offloaded by it; they remain in this cell.
   std::vector<std::string> on_write_refused();
   bool writing() const {
     return !pending_writes_.empty();
   }
-  std::vector<std::string> pages_to_read() const;                    // keys of pages
-  void on_page_read(const std::string& key, std::uint64_t version);  // 0: it is not there
+  /// Keys of the pages to read after an unsure write.
+  std::vector<std::string> pages_to_read() const;
+  /// The page was read with that version; 0: it does not exist.
+  void on_page_read(const std::string& key, std::uint64_t version);
+
+  // ---- messages between cells
 
-  // ---- what is said
-  // What is to be asked of that cell now, and is not being asked; the answer, or that there is none, is told
-  // by heard() for each.
-  std::vector<peer::JobMessage> next_questions(std::size_t cell, std::size_t most, Seconds now);
-  Event on_reply(std::size_t cell, const peer::JobMessage& said, Seconds now);
+  /// The requests to send to the cell now, `max_requests` at most. Each is repeated at an interval until a
+  /// reply settles the job.
+  std::vector<peer::JobMessage> next_requests(std::size_t cell, std::size_t max_requests, Seconds now);
+  Event on_reply(std::size_t cell, const peer::JobMessage& reply, Seconds now);
 
   const RemotePlacement* find(const std::string& ref) const;
   std::size_t size() const {
     return placements_.size();
   }
-  std::size_t count_at(std::size_t cell) const;  // that are away there, or on their way
-  // Jobs that are held there with nothing running; for what is done once a second at most.
-  std::vector<std::string> idle_jobs(std::size_t cell, std::size_t most) const;
+  /// Number of jobs with a remote placement at the cell, in any state.
+  std::size_t count_at(std::size_t cell) const;
+  /// Jobs that the cell holds with no task running or done, `max_jobs` at most. Scans all placements: call at
+  /// most once a second.
+  std::vector<std::string> idle_jobs(std::size_t cell, std::size_t max_jobs) const;
 
  private:
   struct PageState {
     std::size_t cell = 0, number = 0, bytes = 0;
-    std::set<std::string> refs;  // that it is to name
-    std::uint64_t version = 0;   // as far as it is known
-    bool unsure = false;
-    std::vector<std::string> returning;  // no longer among them
+    std::set<std::string> refs;          // the jobs that it is to name
+    std::uint64_t version = 0;           // the last one known
+    bool unsure = false;                 // a write without a reply may have changed it
+    std::vector<std::string> returning;  // removed from refs, until that is written
   };
-  std::string key(const PageState& s) const;
-  void ask_later(const std::string& ref, RemotePlacement& stay, Seconds at);
-  void stop_asking(const std::string& ref, const RemotePlacement& stay);
-  void on_page_settled(std::size_t page);
-  void return_home(const std::string& ref, RemotePlacement& stay);
+  std::string key(const PageState& page) const;
+  void schedule_request(const std::string& ref, RemotePlacement& placement, Seconds at);
+  void unschedule_request(const std::string& ref, const RemotePlacement& placement);
+  void delete_if_empty(std::size_t page);
+  void begin_return(const std::string& ref, RemotePlacement& placement);
   void mark_due(std::size_t page);
 
   std::vector<std::string> cells_;
   std::size_t page_bytes_;
   std::unordered_map<std::string, RemotePlacement> placements_;
-  std::vector<std::set<std::pair<Seconds, std::string>>> questions_due_;  // by cell
+  std::vector<std::set<std::pair<Seconds, std::string>>> requests_due_;  // by cell
   std::map<std::size_t, PageState> pages_;
   std::set<std::size_t> pages_due_;
   struct PendingWrite {
@@ -130,7 +142,7 @@
     std::vector<std::string> named, returning;
   };
   std::vector<PendingWrite> pending_writes_;
-  std::map<std::size_t, std::size_t> open_page_by_cell_;  // by cell: the page that takes more
+  std::map<std::size_t, std::size_t> open_page_by_cell_;  // by cell: the page that new jobs join
   std::size_t last_page_ = 0;
 };
 
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -76,7 +76,7 @@
   if (v.query_in_flight)
     return;
   peer::CellMessage say;
-  say.jobs = remote_placements_.next_questions(c, kMaxJobMessages, out_.now());
+  say.jobs = remote_placements_.next_requests(c, kMaxJobMessages, out_.now());
   for (peer::JobMessage& w : say.jobs) {
     const jobs::Job* job = registry_.find(w.ref);
     if (w.verb() != JobVerb::offer || !job)
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -210,7 +210,7 @@
     }
   }
   void ask(std::size_t c) {
-    for (const peer::JobMessage& w : stays_.next_questions(c, 5, now_)) {
+    for (const peer::JobMessage& w : stays_.next_requests(c, 5, now_)) {
       if (odds(5))
         messages_.emplace(now_ + 0.1 * rng_(300), std::pair(c, w));  // once more, much later
       if (odds(4))
@@ -306,9 +306,9 @@
   ASSERT_EQ(pages.size(), 1U);
   EXPECT_EQ(pages[0].refs.size(), 200U);
   EXPECT_LT(pages[0].value().dump().size(), 6000U);
-  EXPECT_TRUE(stays.next_questions(0, 500, 100).empty()) << "nothing is said before it is written";
+  EXPECT_TRUE(stays.next_requests(0, 500, 100).empty()) << "nothing is said before it is written";
   EXPECT_TRUE(stays.on_written(7).empty());
-  EXPECT_EQ(stays.next_questions(0, 500, 100).size(), 200U);
+  EXPECT_EQ(stays.next_requests(0, 500, 100).size(), 200U);
 }
 
 TEST(RemotePlacements, APageThatIsFullIsFollowedByAnother) {
@@ -355,7 +355,7 @@
       "j/away/north/1", page, 9, [](const std::string& r) { return r == "req-1"; }, 0));
   EXPECT_NE(stays.find("req-1"), nullptr);
   EXPECT_EQ(stays.find("req-2"), nullptr) << "it is over";
-  EXPECT_TRUE(stays.next_questions(0, 10, 100).empty());
+  EXPECT_TRUE(stays.next_requests(0, 10, 100).empty());
   EXPECT_FALSE(stays.load(
       "j/away/north/x", page, 9, [](const std::string&) { return true; }, 0));
 }
