--- a/src/cells/offload_planner.cpp
+++ b/src/cells/offload_planner.cpp
@@ -4,85 +4,91 @@
 
 namespace wingtrail::cells {
 namespace {
-// From the decision until the other cell's leader may start it: a write here, an offer, a write there.
-constexpr Seconds kHandOver = 1.5;
-// Estimates of what waits are often wrong by half (PROTOCOL); over many jobs less so.
-constexpr double kUnsure = 0.25;
-// A job may be so many times as large as the room that is told.
-constexpr double kOver = 3;
-// Of a cell's cores, guests that may wait beside the free ones: what comes free is used at once, and not only
-// when it is enough for a whole array (two cells of 720 cores, a surge of five times: 0.82 in time instead of
-// 0.95).
-constexpr double kQueued = 0.1;
-// What more can be had is not known before the cloud is asked: no more than that part of what there is at a
-// time.
-constexpr double kGrows = 0.25;
+// From the decision until the other cell's leader may start the job: a write here, an offer, a write there.
+constexpr Seconds kTransferDelay = 1.5;
+// Margin for wrong estimates of the waiting work. A single estimate is often wrong by half (PROTOCOL); the
+// sum over many jobs less so.
+constexpr double kEstimateMargin = 0.25;
+// A job may need this many times the cores that the neighbour accepts: it starts with what is free and
+// continues as other tasks end.
+constexpr double kMaxOversize = 3;
+// Share of a cell's cores by which it accepts foreign jobs beyond its free cores. With a queue, cores that
+// become free are used at once; without it, only once a whole job array fits (two cells of 720 cores, a surge
+// of five times the load: 0.82 of the arrays in time instead of 0.95).
+constexpr double kQueuedShare = 0.1;
+// Share of a cell's cores up to which it accepts foreign jobs for machines still to be rented, since only the
+// cloud's reply shows how many can be.
+constexpr double kRentedShare = 0.25;
+// That limit is at least this share of the rentable cores.
+constexpr double kMinRentableShare = 0.1;
 }  // namespace
 
 Seconds local_wait_s(const LocalCapacity& here, const std::string& team, double ahead_core_s,
                      double team_ahead_core_s) {
   const double cores = std::max(here.cores, 1.0);
-  // More machines shorten it to their boot, but not what a team's own limit holds back.
-  const Seconds room = std::min(ahead_core_s / cores, here.boot_s);
+  // More machines limit the wait to their boot time, except for jobs that wait for their team's quota.
+  const Seconds cell_wait_s = std::min(ahead_core_s / cores, here.boot_s);
   const auto limit = here.teams.find(team);
   if (limit == here.teams.end())
-    return room;
-  return std::max(room, team_ahead_core_s / std::max(limit->second, 1.0));
+    return cell_wait_s;
+  return std::max(cell_wait_s, team_ahead_core_s / std::max(limit->second, 1.0));
 }
 
 OffloadPlan plan_offloads(const LocalCapacity& here, const std::vector<WaitingJob>& waiting,
-                          std::vector<NeighbourCapacity> there, std::size_t most) {
-  OffloadPlan out;
+                          std::vector<NeighbourCapacity> neighbours, std::size_t max_offloads) {
+  OffloadPlan plan;
   double ahead = 0;
   std::map<std::string, double> team_ahead;
-  for (std::size_t i = 0; i < waiting.size() && out.offloads.size() < most; ++i) {
-    const WaitingJob& w = waiting[i];
-    const Seconds stays = local_wait_s(here, w.team, ahead, team_ahead[w.team]);
-    std::size_t best = there.size();
-    Seconds soonest = ports::kNever;
-    bool full = false;
-    for (std::size_t c = 0; c < there.size() && c < w.may_offload.size(); ++c) {
-      if (!w.may_offload[c] || !there[c].reachable)
+  for (std::size_t i = 0; i < waiting.size() && plan.offloads.size() < max_offloads; ++i) {
+    const WaitingJob& job = waiting[i];
+    const Seconds starts_here_s = local_wait_s(here, job.team, ahead, team_ahead[job.team]);
+    std::size_t best = neighbours.size();
+    Seconds earliest_s = ports::kNever;
+    bool lacks_capacity = false;
+    for (std::size_t c = 0; c < neighbours.size() && c < job.may_offload.size(); ++c) {
+      if (!job.may_offload[c] || !neighbours[c].reachable)
         continue;
-      const Seconds begins = kHandOver + there[c].age_s + there[c].wait_s + w.fetch_s;
-      if (!here.draining && begins >= stays * (1 - kUnsure))
+      const Seconds starts_there_s =
+          kTransferDelay + neighbours[c].age_s + neighbours[c].wait_s + job.fetch_s;
+      if (!here.draining && starts_there_s >= starts_here_s * (1 - kEstimateMargin))
         continue;
-      const auto limit = there[c].teams.find(w.team);
-      if (limit == there[c].teams.end() || (!here.draining && limit->second < w.cores))
+      const auto limit = neighbours[c].teams.find(job.team);
+      if (limit == neighbours[c].teams.end() || (!here.draining && limit->second < job.cores))
         continue;
-      // Its room need not be there at once: it begins with what there is, and goes on as other work ends.
-      if (!here.draining && w.cores > kOver * there[c].accepts_cores) {
-        full = true;
+      if (!here.draining && job.cores > kMaxOversize * neighbours[c].accepts_cores) {
+        lacks_capacity = true;
         continue;
       }
-      if (begins < soonest)
-        soonest = begins, best = c;
+      if (starts_there_s < earliest_s)
+        earliest_s = starts_there_s, best = c;
     }
-    if (best == there.size()) {
-      if (full)
-        out.soon.push_back(i);
-      ahead += w.core_seconds;
-      team_ahead[w.team] += w.core_seconds;
+    if (best == neighbours.size()) {  // the job remains here
+      if (lacks_capacity)
+        plan.soon.push_back(i);
+      ahead += job.core_seconds;
+      team_ahead[job.team] += job.core_seconds;
       continue;
     }
-    out.offloads.push_back({i, best});
-    there[best].accepts_cores -= w.cores;
-    there[best].teams[w.team] -= w.cores;
+    plan.offloads.push_back({i, best});
+    neighbours[best].accepts_cores -= job.cores;
+    neighbours[best].teams[job.team] -= job.cores;
   }
-  for (const NeighbourCapacity& t : there)
-    out.would_offload |=
-        t.reachable && kHandOver + t.age_s + t.wait_s < local_wait_s(here, "", ahead, 0) * (1 - kUnsure);
-  out.would_offload |= here.draining;
-  return out;
+  for (const NeighbourCapacity& neighbour : neighbours)
+    plan.would_offload |= neighbour.reachable && kTransferDelay + neighbour.age_s + neighbour.wait_s <
+                                                     local_wait_s(here, "", ahead, 0) * (1 - kEstimateMargin);
+  plan.would_offload |= here.draining;
+  return plan;
 }
 
-double acceptable_guest_cores(const GuestCapacity& r) {
-  if (r.draining || r.overloaded)
+double acceptable_guest_cores(const GuestCapacity& capacity) {
+  if (capacity.draining || capacity.overloaded)
     return 0;
-  const double spare = r.free + kQueued * r.cores - r.own_waiting - r.guests_waiting;
-  return spare > 0
-             ? spare
-             : std::max(0.0, spare + std::min(r.rentable, std::max(kGrows * r.cores, 0.1 * r.rentable)));
+  const double spare =
+      capacity.free + kQueuedShare * capacity.cores - capacity.own_waiting - capacity.guests_waiting;
+  if (spare > 0)
+    return spare;
+  const double max_rented = std::max(kRentedShare * capacity.cores, kMinRentableShare * capacity.rentable);
+  return std::max(0.0, spare + std::min(capacity.rentable, max_rented));
 }
 
 }  // namespace wingtrail::cells
--- a/src/controller/offload_planning.cpp
+++ b/src/controller/offload_planning.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which waiting jobs are offloaded to which neighbouring cell (cells/offload_planner.hpp decides; here is
-/// what it decides by, and what follows).
+/// Collects the figures by which cells/offload_planner.hpp decides which waiting jobs are offloaded to which
+/// neighbouring cell, and carries its plan out.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -10,28 +10,28 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr std::size_t kMaxOffloadsPerPlan = 100;  // more than a neighbour can record until the next plan
+constexpr std::size_t kMaxOffloadsPerPlan = 100;  // a neighbour cannot record that many until the next plan
 constexpr std::size_t kMaxJobsConsidered = 3000;
 }  // namespace
 
-// Whole arrays of this cell's own of which nothing has started, and nothing could have been by an earlier
-// leader: whatever is placed, in doubt or done keeps a job here.
+// Only whole job arrays and gangs of this cell's own, of which no task is placed or done, and none can have
+// been started by an earlier leader (the job is reconciled).
 bool Controller::may_be_offloaded(const jobs::Job& job) const {
   return job.is_open() && !job.is_held() && !job.is_service() && job.origin_cell.empty() &&
          job.placed_tasks == 0 && job.done_tasks == 0 && job.zone == jobs::kNoIndex &&
          scheduler_.filters().reconciled().admits(job);
 }
 
-// Nothing of it is begun here before the next plan.
+// No task of the job starts here before the next plan.
 void Controller::hold_for_offloading(jobs::Job& job) {
   job.selected_for_offload = true;
   selected_for_offload_.push_back(job.index);
 }
 
 struct Controller::WaitingWork {
-  std::vector<jobs::Job*> jobs;  // this cell's own arrays and gangs that wait for machines
+  std::vector<jobs::Job*> jobs;  // this cell's own job arrays and gangs that wait for machines
   double own_core_seconds = 0;
-  double guest_core_seconds = 0;  // of jobs of other cells
+  double foreign_core_seconds = 0;
 };
 
 double Controller::core_seconds(const jobs::Job& job) const {
@@ -56,7 +56,7 @@
     const bool own = job->origin_cell.empty();
     const double cores = static_cast<double>(job->pending_tasks.size()) * job->spec.task_resources.cpus;
     (own ? foreign_job_capacity_.own_waiting : foreign_job_capacity_.guests_waiting) += cores;
-    (own ? work.own_core_seconds : work.guest_core_seconds) += core_seconds(*job);
+    (own ? work.own_core_seconds : work.foreign_core_seconds) += core_seconds(*job);
     if (own && !job->is_service())
       work.jobs.push_back(job);
   }
@@ -69,8 +69,8 @@
       foreign_job_capacity_.free += free_cores;
   }
   foreign_job_capacity_.rentable = autoscaler_.rentable_cores();
-  // Without delegated renewal a cancellation is recorded before its tasks are gone, and its home may start
-  // them at once.
+  // Without delegated lease renewal, a cancellation is recorded before the job's tasks have ended, and the
+  // origin cell might start them at once. Such a cell accepts no foreign jobs.
   foreign_job_capacity_.draining = settings_.cells.drain || !delegation_support_.enabled();
   foreign_job_capacity_.overloaded = overload_.is_overloaded();
   cells::LocalCapacity here;
@@ -167,23 +167,25 @@
   WaitingWork work = collect_waiting_work();
   const cells::LocalCapacity here = measure_local_capacity();
   foreign_job_capacity_known_ = true;
-  // What is free starts at once; more takes a boot, or until what waits has been worked off.
+  // A foreign job starts at once if the free cores exceed those that waiting tasks need. Otherwise it waits
+  // for a machine to boot or, if none can be rented, until the waiting work is done.
   const bool starts_at_once =
       foreign_job_capacity_.free > foreign_job_capacity_.own_waiting + foreign_job_capacity_.guests_waiting;
   foreign_job_wait_s_ = starts_at_once ? 0
                         : foreign_job_capacity_.rentable > 0
                             ? here.boot_s
-                            : (work.own_core_seconds + work.guest_core_seconds) / std::max(1.0, here.cores);
+                            : (work.own_core_seconds + work.foreign_core_seconds) / std::max(1.0, here.cores);
 
   const std::size_t remote_jobs = remote_placements_.size();
   std::vector<cells::NeighbourCapacity> neighbours = neighbour_capacities(here, starts_at_once);
-  const bool some_accept = std::any_of(neighbours.begin(), neighbours.end(), [&here](const auto& neighbour) {
+  const bool any_accepts = std::any_of(neighbours.begin(), neighbours.end(), [&here](const auto& neighbour) {
     return neighbour.reachable && (here.draining || neighbour.accepts_cores > 0);
   });
-  if (!peers_support_cells() || work.jobs.empty() || !some_accept)
+  if (!peers_support_cells() || work.jobs.empty() || !any_accepts)
     return;
-  std::sort(work.jobs.begin(), work.jobs.end(),
-            [this](const jobs::Job* a, const jobs::Job* b) { return scheduler_.precedes(*a, *b); });
+  std::sort(work.jobs.begin(), work.jobs.end(), [this](const jobs::Job* left, const jobs::Job* right) {
+    return scheduler_.precedes(*left, *right);
+  });
   if (work.jobs.size() > kMaxJobsConsidered)
     work.jobs.resize(kMaxJobsConsidered);
   std::vector<cells::WaitingJob> candidates;
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Offloading: what this cell's leader hands over to neighbouring cells, and how it follows what became of
-/// it. remote_jobs.cpp is the other side. docs/cells.md has the table of states and messages, docs/safety.md
-/// why each rule holds over cells.
+/// The origin cell's side of offloading: the leader offers jobs to neighbouring cells and follows their state
+/// there. remote_jobs.cpp is the holding cell's side. docs/cells.md has the table of states and messages,
+/// docs/safety.md the reasons why each rule holds across cells.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -13,11 +13,12 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kDigestInterval = 1.0;  // how often a neighbour is sent this cell's digest
+constexpr Seconds kDigestInterval = 1.0;  // between digests sent to one neighbour
 constexpr Seconds kPlanInterval = 1.0;
 constexpr Seconds kUnknownCellsLogInterval = 60;
-constexpr std::size_t kMaxTransactionBytes = 40UL * 1024;  // of values; the protocol allows 64 KiB in all
-constexpr std::size_t kMaxJobMessages = 60;                // with their records, within a frame's 64 KiB
+// Of the values in a transaction; the protocol allows 64 KiB for all of it.
+constexpr std::size_t kMaxTransactionBytes = 40UL * 1024;
+constexpr std::size_t kMaxJobMessages = 60;  // in a message; their records fit a frame of 64 KiB
 
 using peer::JobVerb;
 }  // namespace
@@ -26,7 +27,7 @@
   return settings.value_bytes() * 3 / 4;
 }
 
-// A peer of an older version would start jobs that are placed remotely.
+// As leader, a peer of an older version would start jobs that are placed remotely.
 bool Controller::peers_support_cells() const {
   return peers_.all_have_level(peer::kLevelCells);
 }
@@ -48,8 +49,9 @@
   if (!settings_.cells.enabled() && remote_placements_.size() == 0)
     return;
   for (std::size_t c = 0; c < neighbours_.size(); ++c) {
-    const auto& gone = settings_.cells.decommissioned;
-    if (std::find(gone.begin(), gone.end(), settings_.cells.neighbours[c].name) != gone.end()) {
+    const auto& decommissioned = settings_.cells.decommissioned;
+    if (std::find(decommissioned.begin(), decommissioned.end(), settings_.cells.neighbours[c].name) !=
+        decommissioned.end()) {
       remote_placements_.abandon_cell(c);
     } else {
       query_cell(c);
@@ -58,11 +60,11 @@
   }
   if (out_.now() > unknown_cells_logged_at_ + kUnknownCellsLogInterval) {
     unknown_cells_logged_at_ = out_.now();
-    std::size_t strange = remote_placements_.size();
+    std::size_t unknown = remote_placements_.size();
     for (std::size_t c = 0; c < neighbours_.size(); ++c)
-      strange -= remote_placements_.count_at(c);
-    if (strange > 0)
-      spdlog::error("cells: jobs held by unknown cells jobs={}", strange);
+      unknown -= remote_placements_.count_at(c);
+    if (unknown > 0)
+      spdlog::error("cells: jobs held by unknown cells jobs={}", unknown);
   }
   if (settings_.cells.enabled() && out_.now() >= offloading_planned_at_ + kPlanInterval) {
     offloading_planned_at_ = out_.now();
@@ -72,86 +74,86 @@
 }
 
 void Controller::query_cell(std::size_t c) {
-  NeighbourState& v = neighbours_[c];
-  if (v.query_in_flight)
+  NeighbourState& neighbour = neighbours_[c];
+  if (neighbour.query_in_flight)
     return;
-  peer::CellMessage say;
-  say.jobs = remote_placements_.next_requests(c, kMaxJobMessages, out_.now());
-  for (peer::JobMessage& w : say.jobs) {
-    const jobs::Job* job = registry_.find(w.ref);
-    if (w.verb() != JobVerb::offer || !job)
+  peer::CellMessage message;
+  message.jobs = remote_placements_.next_requests(c, kMaxJobMessages, out_.now());
+  for (peer::JobMessage& request : message.jobs) {
+    const jobs::Job* job = registry_.find(request.ref);
+    if (request.verb() != JobVerb::offer || !job)
       continue;
-    // What it needs is done, and that is for this cell to know.
+    // The dependencies of an offloaded job are done, and only this cell has their records.
     wire::JobSpec spec = job->spec;
     spec.depends_on.clear();
-    w.record =
+    request.record =
         wire::encode_cbor(wire::job_record(spec, out_.time_of_day() - (out_.now() - job->submitted_at)));
   }
-  const bool tell = out_.now() >= v.digest_sent_at + kDigestInterval;
-  if (say.jobs.empty() && !tell)
+  const bool digest_due = out_.now() >= neighbour.digest_sent_at + kDigestInterval;
+  if (message.jobs.empty() && !digest_due)
     return;
-  if (tell) {
-    say.digest.push_back(make_digest(c));
-    v.digest_sent_at = out_.now();
+  if (digest_due) {
+    message.digest.push_back(make_digest(c));
+    neighbour.digest_sent_at = out_.now();
   }
   ports::Call call;
   call.target = ports::Target::cell;
   call.cell = static_cast<std::uint32_t>(c);
-  call.peer = static_cast<std::uint32_t>(v.controller);
+  call.peer = static_cast<std::uint32_t>(neighbour.controller);
   call.method = "POST";
   call.path = peer::kPeerPath;
-  call.frame = make_cell_frame(settings_.cells.name, peer::encode(say));
+  call.frame = make_cell_frame(settings_.cells.name, peer::encode(message));
   call.timeout_s = kCellCallTimeout;
   call.not_after = election_.lease_expires_at();
-  v.query_in_flight = true;
-  out_.call(std::move(call), [this, c, term = term_](const ports::Reply& r) {
-    NeighbourState& view = neighbours_[c];
-    view.query_in_flight = false;
-    const bool answered = r.frame && r.frame->status == 200;
+  neighbour.query_in_flight = true;
+  out_.call(std::move(call), [this, c, term = term_](const ports::Reply& reply) {
+    NeighbourState& replying = neighbours_[c];
+    replying.query_in_flight = false;
+    const bool answered = reply.frame && reply.frame->status == 200;
     if (!answered)
-      view.controller = (view.controller + 1) % settings_.cells.neighbours[c].nodes.size();
+      replying.controller = (replying.controller + 1) % settings_.cells.neighbours[c].nodes.size();
     if (answered && term == term_ && is_active_leader())
-      on_cell_reply(c, *r.frame);
+      on_cell_reply(c, *reply.frame);
   });
 }
 
-// A digest that was held up on its way says what was.
-void Controller::on_digest(NeighbourState& v, const peer::CapacityDigest& digest) {
-  if (v.digest && digest.leadership < v.digest->leadership)
+// Ignores a delayed digest of an earlier leader.
+void Controller::on_digest(NeighbourState& neighbour, const peer::CapacityDigest& digest) {
+  if (neighbour.digest && digest.leadership < neighbour.digest->leadership)
     return;
-  v.digest = digest;
-  v.last_digest_at = out_.now();
+  neighbour.digest = digest;
+  neighbour.last_digest_at = out_.now();
 }
 
 peer::Frame Controller::make_cell_frame(const std::string& cell, std::string cell_message) const {
-  peer::Frame f = make_frame();
-  f.cell = cell;
-  f.cell_message = std::move(cell_message);
-  f.deferred_attempts.clear();  // they are this cell's own
-  return f;
+  peer::Frame frame = make_frame();
+  frame.cell = cell;
+  frame.cell_message = std::move(cell_message);
+  frame.deferred_attempts.clear();  // these concern only this cell
+  return frame;
 }
 
-void Controller::on_cell_reply(std::size_t c, const peer::Frame& f) {
-  const auto said = peer::decode_cell_message(f.cell_message);
-  if (!said || f.cell != settings_.cells.neighbours[c].name)
+void Controller::on_cell_reply(std::size_t c, const peer::Frame& frame) {
+  const auto reply = peer::decode_cell_message(frame.cell_message);
+  if (!reply || frame.cell != settings_.cells.neighbours[c].name)
     return;
-  NeighbourState& v = neighbours_[c];
-  if (!said->digest.empty()) {
-    on_digest(v, said->digest.front());
-    while (!v.offered.empty() && v.offered.front().first < out_.now() - kOfferInTransit)
-      v.offered.pop_front();
+  NeighbourState& neighbour = neighbours_[c];
+  if (!reply->digest.empty()) {
+    on_digest(neighbour, reply->digest.front());
+    while (!neighbour.offered.empty() && neighbour.offered.front().first < out_.now() - kOfferInTransit)
+      neighbour.offered.pop_front();
   }
-  for (const peer::JobMessage& w : said->jobs)
-    on_job_message(c, w);
+  for (const peer::JobMessage& message : reply->jobs)
+    on_job_message(c, message);
 }
 
-void Controller::on_job_message(std::size_t c, const peer::JobMessage& said) {
-  const cells::RemotePlacements::Event event = remote_placements_.on_reply(c, said, out_.now());
-  jobs::Job* job = registry_.find(said.ref);
+void Controller::on_job_message(std::size_t c, const peer::JobMessage& message) {
+  const cells::RemotePlacements::Event event = remote_placements_.on_reply(c, message, out_.now());
+  jobs::Job* job = registry_.find(message.ref);
   if (!job || event == cells::RemotePlacements::Event::none)
     return;
   if (event == cells::RemotePlacements::Event::done) {
-    // The other cell has recorded it; it is told once it is recorded here.
+    // The holding cell has recorded the final state. Users see it once it is recorded here, too.
     ++stats_.remote_jobs_done;
     return state_writer_.record_final_state(*job, wire::Phase::done, {});
   }
@@ -160,20 +162,20 @@
 }
 
 void Controller::log_reachability(std::size_t c) {
-  NeighbourState& v = neighbours_[c];
-  const bool there = out_.now() < v.last_digest_at + kReachableWithin;
-  if (there == v.reachable)
+  NeighbourState& neighbour = neighbours_[c];
+  const bool reachable = out_.now() < neighbour.last_digest_at + kReachableWithin;
+  if (reachable == neighbour.reachable)
     return;
-  v.reachable = there;
+  neighbour.reachable = reachable;
   const std::string& name = settings_.cells.neighbours[c].name;
-  if (there)
-    spdlog::info("cells: reachable cell={} accepts_cores={:.0f} wait_s={:.0f}", name, v.digest->accepts_cores,
-                 v.digest->wait_s);
+  if (reachable)
+    spdlog::info("cells: reachable cell={} accepts_cores={:.0f} wait_s={:.0f}", name,
+                 neighbour.digest->accepts_cores, neighbour.digest->wait_s);
   else
     spdlog::warn("cells: unreachable cell={} jobs_held={}", name, remote_placements_.count_at(c));
 }
 
-// Pages that a write without a reply may have changed.
+// Reads the pages that a write without a reply may have changed.
 void Controller::read_uncertain_pages() {
   for (const std::string& key : remote_placements_.pages_to_read()) {
     if (!pages_being_read_.insert(key).second)
@@ -221,7 +223,7 @@
     return schedule_locally(remote_placements_.on_write_refused());
   }
   const auto failed = reply.status == 409 ? wire::failed_keys(reply.body) : std::vector<std::string>{};
-  // Certainly not applied: throttled here, refused, or its conditions failed.
+  // A write that was throttled here or refused, or whose conditions failed, was certainly not applied.
   remote_placements_.on_write_failed(reply.delivered && reply.status != 429 && reply.status != 503);
   if (std::find(failed.begin(), failed.end(), leadership::kLeaderKey) != failed.end())
     election_.on_superseded("a write of remote placements found another leader");
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Jobs of other cells: what this cell offers to take, what it takes, and how it gives jobs back.
-/// offloading.cpp is the other side. docs/cells.md has the table of states and messages, docs/safety.md why
-/// each rule holds over cells.
+/// The holding cell's side of offloading: digests of this cell's capacity, which foreign jobs it accepts, and
+/// how it gives them back. offloading.cpp is the origin cell's side. docs/cells.md has the table of states
+/// and messages, docs/safety.md the reasons why each rule holds across cells.
 #include <algorithm>
 
 #include "controller/cell_timing.hpp"
@@ -12,10 +12,10 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kReplyWithin = 0.4;  // what takes longer to find out is said in the next reply
+constexpr Seconds kReplyWithin = 0.4;  // what takes longer to look up is answered to the repeated request
 constexpr Seconds kRelayTimeout = kCellCallTimeout - 0.3;
 constexpr Seconds kRetryDelay = 0.3;
-constexpr double kUnlimitedCores = 1e9;  // of a team without a quota
+constexpr double kUnlimitedCores = 1e9;  // reported for a team without a quota
 
 using peer::JobVerb;
 
@@ -29,7 +29,7 @@
 
 peer::CapacityDigest Controller::make_digest(std::size_t to) {
   peer::CapacityDigest digest;
-  // All neighbours may come at the same time: each is offered a part.
+  // All reachable neighbours may offload at the same time, so each is offered an equal part.
   const auto reachable =
       std::count_if(neighbours_.begin(), neighbours_.end(), [this](const NeighbourState& neighbour) {
         return out_.now() < neighbour.last_digest_at + kReachableWithin;
@@ -54,12 +54,12 @@
   return digest;
 }
 
-// A reply to another cell in the making: what can be said of each job.
+// A reply to another cell while the answers for its jobs are collected.
 struct Controller::CellReply {
   peer::CellMessage message;
   bool sent = false;
 
-  void say(std::size_t i, JobVerb verb) {
+  void set_verb(std::size_t i, JobVerb verb) {
     message.jobs[i].verb_code = code_of(verb);
   }
 };
@@ -72,7 +72,7 @@
   out_.answer(std::move(answer));
 }
 
-// Only the leader knows, takes and ends jobs; it is asked on the neighbour's behalf, once.
+// Only the leader knows, accepts and cancels jobs. A request is relayed to it once, never further.
 void Controller::relay_to_leader(std::uint64_t id, const peer::Frame& frame) {
   const auto leader = frame.relayed ? std::nullopt : peer_calls_.reachable_leader();
   if (!leader)
@@ -96,19 +96,19 @@
 
 void Controller::on_cell_message(std::uint64_t id, const peer::Frame& frame) {
   const auto& known = settings_.cells.neighbours;
-  const auto from = std::find_if(known.begin(), known.end(), [&frame](const settings::Neighbour& neighbour) {
-    return neighbour.name == frame.cell;
-  });
-  const auto asked = peer::decode_cell_message(frame.cell_message);
-  if (from == known.end() || !asked)
-    return answer_cell(id, from == known.end() ? 404 : 400, {});
+  const auto sender =
+      std::find_if(known.begin(), known.end(),
+                   [&frame](const settings::Neighbour& neighbour) { return neighbour.name == frame.cell; });
+  const auto request = peer::decode_cell_message(frame.cell_message);
+  if (sender == known.end() || !request)
+    return answer_cell(id, sender == known.end() ? 404 : 400, {});
   if (!is_active_leader())
     return relay_to_leader(id, frame);
   auto reply = std::make_shared<CellReply>();
-  reply->message.jobs = asked->jobs;
-  if (!asked->digest.empty()) {
-    const auto cell = static_cast<std::size_t>(from - known.begin());
-    on_digest(neighbours_[cell], asked->digest.front());
+  reply->message.jobs = request->jobs;
+  if (!request->digest.empty()) {
+    const auto cell = static_cast<std::size_t>(sender - known.begin());
+    on_digest(neighbours_[cell], request->digest.front());
     reply->message.digest.push_back(make_digest(cell));
   }
   bool complete = true;
@@ -126,32 +126,33 @@
   out_.after(kReplyWithin, send);
 }
 
-// Says at once what is known; what has to be found out first is filled in if that is soon enough.
+// Answers from memory at once. An answer that needs a read is filled in if it arrives before the reply is
+// sent.
 void Controller::answer_job_message(const std::shared_ptr<CellReply>& reply, std::size_t i,
                                     const std::string& from) {
   peer::JobMessage& message = reply->message.jobs[i];
-  const JobVerb asked = message.verb();
+  const JobVerb requested = message.verb();
   if (const wire::FinalState* state = final_states_.find(message.ref))
-    return reply->say(i, verb_of(state->phase));
+    return reply->set_verb(i, verb_of(state->phase));
   if (!wire::valid_ref(message.ref) || tombstones_in_progress_.contains(message.ref))
-    return reply->say(i, JobVerb::none);
-  if (asked == JobVerb::offer)
+    return reply->set_verb(i, JobVerb::none);
+  if (requested == JobVerb::offer)
     return on_offer(reply, i, from);
-  if (asked == JobVerb::recall || asked == JobVerb::cancel)
+  if (requested == JobVerb::recall || requested == JobVerb::cancel)
     return on_recall(reply, i, from);
-  if (asked != JobVerb::state)
-    return reply->say(i, JobVerb::none);
+  if (requested != JobVerb::state)
+    return reply->set_verb(i, JobVerb::none);
   if (const jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
-      return reply->say(i, JobVerb::withdrawn);  // a job of this cell's own with the same reference
-    // Its final state is being recorded: that it is live would be an older answer soon.
+      return reply->set_verb(i, JobVerb::withdrawn);  // a job of this cell's own with the same reference
+    // If its final state is being recorded, `held` would soon be outdated.
     if (!job->is_open() || job->final_state_sent)
-      return reply->say(i, JobVerb::none);
+      return reply->set_verb(i, JobVerb::none);
     message.done_tasks = job->done_tasks;
     message.running_tasks = job->running_tasks;
-    return reply->say(i, job->cancelling ? JobVerb::ending : JobVerb::held);
+    return reply->set_verb(i, job->cancelling ? JobVerb::ending : JobVerb::held);
   }
-  reply->say(i, JobVerb::none);
+  reply->set_verb(i, JobVerb::none);
   lookup_.look_up(message.ref, store::RequestPriority::user, LookupDetail::live_record,
                   [this, reply, i](const LookupResult& result) {
                     if (result.live && is_active_leader())
@@ -159,9 +160,9 @@
                     if (reply->sent)
                       return;
                     if (result.outcome == LookupOutcome::absent)
-                      reply->say(i, JobVerb::unknown);
+                      reply->set_verb(i, JobVerb::unknown);
                     if (result.outcome == LookupOutcome::found && !result.live)
-                      reply->say(i, verb_of(*result.phase));
+                      reply->set_verb(i, verb_of(*result.phase));
                   });
 }
 
@@ -169,52 +170,53 @@
   const peer::JobMessage& message = reply->message.jobs[i];
   if (const jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
-      return reply->say(i, JobVerb::withdrawn);
+      return reply->set_verb(i, JobVerb::withdrawn);
     if (!job->is_open() || job->final_state_sent || job->cancelling)
-      return reply->say(i, JobVerb::none);
-    return reply->say(i, JobVerb::held);
+      return reply->set_verb(i, JobVerb::none);
+    return reply->set_verb(i, JobVerb::held);
   }
   const auto record = wire::decode_cbor(message.record);
   auto spec = record ? wire::parse_job(*record) : wire::malformed("not CBOR");
   if (!spec || spec->ref != message.ref)
-    return reply->say(i, JobVerb::never);
+    return reply->set_verb(i, JobVerb::never);
   if (catalog_.types().empty() || !foreign_job_capacity_known_)
-    return reply->say(i, JobVerb::none);
+    return reply->set_verb(i, JobVerb::none);
   if (unrunnable_reason(*spec, settings_, catalog_.types()))
-    return reply->say(i, JobVerb::never);
+    return reply->set_verb(i, JobVerb::never);
   if (!accepts_offer(*spec, from)) {
-    // One that an earlier leader took says so when it is asked for.
+    // If an earlier leader accepted the job, a later request finds its live record.
     ++stats_.offers_refused;
-    return reply->say(i, JobVerb::refused);
+    return reply->set_verb(i, JobVerb::refused);
   }
-  wire::Value kept = wire::job_record(*spec, wire::submitted_at(*record).value_or(out_.time_of_day()));
-  kept[jobs::kOriginCellField] = from;
-  if (kept.dump().size() > settings_.value_bytes())
-    return reply->say(i, JobVerb::never);
-  create_offered_job(reply, i, *spec, kept, from);
+  wire::Value stored = wire::job_record(*spec, wire::submitted_at(*record).value_or(out_.time_of_day()));
+  stored[jobs::kOriginCellField] = from;
+  if (stored.dump().size() > settings_.value_bytes())
+    return reply->set_verb(i, JobVerb::never);
+  create_offered_job(reply, i, *spec, stored, from);
 }
 
 bool Controller::accepts_offer(const wire::JobSpec& spec, const std::string& from) {
   const double cores = spec.tasks * spec.task_resources.cpus;
   const auto& known = settings_.cells.neighbours;
-  const auto home = std::find_if(known.begin(), known.end(),
-                                 [&from](const auto& neighbour) { return neighbour.name == from; });
-  NeighbourState& neighbour = neighbours_[static_cast<std::size_t>(home - known.begin())];
-  // A cell that is being drained hands over what will have to wait here, too.
-  const bool home_draining = neighbour.digest && neighbour.digest->draining &&
-                             !foreign_job_capacity_.draining && !foreign_job_capacity_.overloaded;
-  // What the last digest promised holds: a refusal costs a tombstone, and the job can't come here again.
+  const auto origin = std::find_if(known.begin(), known.end(),
+                                   [&from](const auto& neighbour) { return neighbour.name == from; });
+  NeighbourState& neighbour = neighbours_[static_cast<std::size_t>(origin - known.begin())];
+  // Jobs of a draining cell are accepted even if they have to wait here.
+  const bool origin_draining = neighbour.digest && neighbour.digest->draining &&
+                               !foreign_job_capacity_.draining && !foreign_job_capacity_.overloaded;
+  // An offer within the capacity of the last digest is accepted, because a refusal costs a tombstone, after
+  // which the job can never be offloaded to this cell again.
   const bool promised = neighbour.promised > 0 && out_.now() < neighbour.promised_at + kOfferInTransit;
   neighbour.promised -= cores;
-  return home_draining || promised || cells::acceptable_guest_cores(foreign_job_capacity_) > 0;
+  return origin_draining || promised || cells::acceptable_guest_cores(foreign_job_capacity_) > 0;
 }
 
 void Controller::create_offered_job(const std::shared_ptr<CellReply>& reply, std::size_t i,
                                     const wire::JobSpec& spec, const wire::Value& record,
                                     const std::string& from) {
   foreign_job_capacity_.guests_waiting +=
-      spec.tasks * spec.task_resources.cpus;  // until they are counted again
-  reply->say(i, JobVerb::none);
+      spec.tasks * spec.task_resources.cpus;  // until the next plan counts them
+  reply->set_verb(i, JobVerb::none);
   wire::JobSpec queued_as = spec;
   queued_as.job_class = "from " + from;  // jobs of other cells wait in a queue of their own
   creation_queue_.enqueue(
@@ -226,9 +228,10 @@
           if (is_active_leader())
             on_job_read(record, result.revision, result.batch_key);
           if (!reply->sent)
-            reply->say(i, JobVerb::held);
+            reply->set_verb(i, JobVerb::held);
         } else if (result.outcome == Outcome::exists) {
-          // Live since another try of the same offer, or over; it is said when it is asked about next.
+          // A duplicate of the offer has created the job, or it has a final state. The next request about it
+          // is answered with that.
           lookup_.look_up(ref, store::RequestPriority::user, LookupDetail::live_record,
                           [this](const LookupResult& found) {
                             if (found.live && is_active_leader())
@@ -238,27 +241,27 @@
       });
 }
 
-// The job is to come back to its home, or to be cancelled. What has started here stays, unless it is
-// cancelled.
+// Gives the job back to its origin cell, or cancels it. A recalled job that has started here remains here; a
+// cancellation ends it in any case.
 void Controller::on_recall(const std::shared_ptr<CellReply>& reply, std::size_t i, const std::string& from) {
   peer::JobMessage& message = reply->message.jobs[i];
   const bool cancels = message.verb() == JobVerb::cancel;
   if (jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
-      return reply->say(i, JobVerb::withdrawn);
+      return reply->set_verb(i, JobVerb::withdrawn);
     if (!job->is_open())
-      return reply->say(i, JobVerb::none);
+      return reply->set_verb(i, JobVerb::none);
     const bool started =
         job->placed_tasks > 0 || job->done_tasks > 0 || !scheduler_.filters().reconciled().admits(*job);
     if (!cancels && started && !job->cancelling) {
       message.done_tasks = job->done_tasks;
       message.running_tasks = job->running_tasks;
-      return reply->say(i, JobVerb::held);
+      return reply->set_verb(i, JobVerb::held);
     }
     cancellation_.cancel(*job);
-    return reply->say(i, JobVerb::ending);
+    return reply->set_verb(i, JobVerb::ending);
   }
-  reply->say(i, JobVerb::none);
+  reply->set_verb(i, JobVerb::none);
   lookup_.look_up(message.ref, store::RequestPriority::user, LookupDetail::live_record,
                   [this, ref = message.ref](const LookupResult& result) {
                     if (!is_active_leader())
@@ -270,10 +273,10 @@
                   });
 }
 
-// Neither live nor over here, so far. An offer that is on its way, or was sent twice, may yet be taken, and
-// the home wants to start the job: it gets a tombstone, a final state, beside which it can never be created.
-// Until that is certain nothing is known of the job here: a creation in a batch does not exclude the final
-// state.
+// For a job that has neither a live record nor a final state here. A delayed or duplicate offer might still
+// be accepted while the origin cell is about to start the job. The tombstone, a final state, keeps the job
+// from being created here. Until it is certainly recorded, requests about the job are answered with `none`,
+// since a creation in a job batch does not exclude the final state.
 void Controller::put_tombstone(const std::string& ref) {
   if (registry_.find(ref) || final_states_.contains(ref) || !tombstones_in_progress_.insert(ref).second)
     return;
@@ -285,23 +288,23 @@
   wire::Transaction txn;
   txn.require(leadership::kLeaderKey, election_.fencing_token());
   txn.require(jobs::kLiveJobPrefix + ref, 0).require(jobs::kFinalStatePrefix + ref, 0);
-  const wire::FinalState ended{wire::Phase::cancelled, 0, out_.time_of_day()};
-  txn.put(jobs::kFinalStatePrefix + ref, wire::final_state_record(ended));
+  const wire::FinalState tombstone{wire::Phase::cancelled, 0, out_.time_of_day()};
+  txn.put(jobs::kFinalStatePrefix + ref, wire::final_state_record(tombstone));
   store_.transact(std::move(txn), store::RequestPriority::user, election_.lease_expires_at(),
-                  [this, ref, ended, term = term_](const store::Reply& r) {
+                  [this, ref, tombstone, term = term_](const store::Reply& reply) {
                     if (term != term_)
                       return;
-                    // Without an answer it may have been applied, or be applied late, beside a creation that
-                    // came after it: so it is written again until that is known.
-                    if (r.status == 0 && r.delivered) {
+                    // Without a reply the write may have been applied, or may be applied late, next to a
+                    // later creation of the job. So it is repeated until its result is known.
+                    if (reply.status == 0 && reply.delivered) {
                       return out_.after(kRetryDelay, [this, ref, term] {
                         if (term == term_)
                           write_tombstone(ref);
                       });
                     }
                     tombstones_in_progress_.erase(ref);
-                    if (r.status == 200)
-                      on_final_state(ref, ended);
+                    if (reply.status == 200)
+                      on_final_state(ref, tombstone);
                   });
 }
 
--- a/src/peer/cell_message.cpp
+++ b/src/peer/cell_message.cpp
@@ -4,12 +4,12 @@
 
 namespace wingtrail::peer {
 
-std::string encode(const CellMessage& between) {
-  return pack(between);
+std::string encode(const CellMessage& message) {
+  return pack(message);
 }
 
 std::optional<CellMessage> decode_cell_message(std::string_view bytes) {
-  // Lists of some hundred jobs, maps of some hundred names; nothing is nested deeper than zones by type.
+  // A message has some hundred jobs and maps of some hundred names; the deepest nesting is zones_by_type.
   return unpack<CellMessage>(bytes, msgpack::unpack_limit(4096, 4096, 64UL * 1024, 64UL * 1024, 0, 8));
 }
 
