--- a/src/cells/offload_planner.cpp
+++ b/src/cells/offload_planner.cpp
@@ -80,11 +80,11 @@
   return plan;
 }
 
-double acceptable_guest_cores(const GuestCapacity& capacity) {
+double acceptable_foreign_cores(const ForeignJobCapacity& capacity) {
   if (capacity.draining || capacity.overloaded)
     return 0;
   const double spare =
-      capacity.free + kQueuedShare * capacity.cores - capacity.own_waiting - capacity.guests_waiting;
+      capacity.free + kQueuedShare * capacity.cores - capacity.own_waiting - capacity.foreign_waiting;
   if (spare > 0)
     return spare;
   const double max_rented = std::max(kRentedShare * capacity.cores, kMinRentableShare * capacity.rentable);
--- a/src/cells/offload_planner.hpp
+++ b/src/cells/offload_planner.hpp
@@ -71,17 +71,17 @@
                      double team_ahead_core_s);
 
 /// This cell's cores, as far as they decide how many foreign jobs it accepts.
-struct GuestCapacity {
-  double free = 0;            ///< on its machines
-  double rentable = 0;        ///< of machines that can still be rented
-  double own_waiting = 0;     ///< of this cell's own waiting tasks
-  double guests_waiting = 0;  ///< of waiting tasks of foreign jobs
-  double cores = 0;           ///< free, or in use by job arrays and foreign jobs
+struct ForeignJobCapacity {
+  double free = 0;             ///< on its machines
+  double rentable = 0;         ///< of machines that can still be rented
+  double own_waiting = 0;      ///< of this cell's own waiting tasks
+  double foreign_waiting = 0;  ///< of waiting tasks of foreign jobs
+  double cores = 0;            ///< free, or in use by job arrays and foreign jobs
   bool draining = false, overloaded = false;
 };
 /// The cores of foreign jobs that the cell accepts: its free cores less those of all waiting tasks, plus some
 /// that may wait until other tasks end; when none of that is left, part of what can be rented. None while the
 /// cell is draining, or overloaded, when it defers its own users' submissions.
-double acceptable_guest_cores(const GuestCapacity& capacity);
+double acceptable_foreign_cores(const ForeignJobCapacity& capacity);
 
 }  // namespace wingtrail::cells
--- a/src/cells/remote_placements.cpp
+++ b/src/cells/remote_placements.cpp
@@ -334,14 +334,14 @@
       unschedule_request(reply.ref, placement);
       placement.state = State::ended;
       return Event::done;
-    case JobVerb::withdrawn:
+    case JobVerb::cancelled:
       if (!placement.cancel) {
         begin_return(reply.ref, placement);
         return Event::none;
       }
       unschedule_request(reply.ref, placement);
       placement.state = State::ended;
-      return Event::withdrawn;
+      return Event::cancelled;
     case JobVerb::refused:
     case JobVerb::never:
       // A duplicate of the offer may still be accepted. Only a tombstone in the other cell rules that out, so
--- a/src/cells/remote_placements.hpp
+++ b/src/cells/remote_placements.hpp
@@ -43,7 +43,7 @@
     ended,      ///< the job has ended there; its final state is being recorded in this cell
   };
   /// What a reply changes for the job: it is done, or it was cancelled in the holding cell.
-  enum class Event : std::uint8_t { none, done, withdrawn };
+  enum class Event : std::uint8_t { none, done, cancelled };
   struct RemotePlacement {
     std::size_t cell = 0, page = 0;
     State state = State::recording;
--- a/src/controller/offload_planning.cpp
+++ b/src/controller/offload_planning.cpp
@@ -55,7 +55,7 @@
       continue;
     const bool own = job->origin_cell.empty();
     const double cores = static_cast<double>(job->pending_tasks.size()) * job->spec.task_resources.cpus;
-    (own ? foreign_job_capacity_.own_waiting : foreign_job_capacity_.guests_waiting) += cores;
+    (own ? foreign_job_capacity_.own_waiting : foreign_job_capacity_.foreign_waiting) += cores;
     (own ? work.own_core_seconds : work.foreign_core_seconds) += core_seconds(*job);
     if (own && !job->is_service())
       work.jobs.push_back(job);
@@ -170,7 +170,7 @@
   // A foreign job starts at once if the free cores exceed those that waiting tasks need. Otherwise it waits
   // for a machine to boot or, if none can be rented, until the waiting work is done.
   const bool starts_at_once =
-      foreign_job_capacity_.free > foreign_job_capacity_.own_waiting + foreign_job_capacity_.guests_waiting;
+      foreign_job_capacity_.free > foreign_job_capacity_.own_waiting + foreign_job_capacity_.foreign_waiting;
   foreign_job_wait_s_ = starts_at_once ? 0
                         : foreign_job_capacity_.rentable > 0
                             ? here.boot_s
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -23,7 +23,7 @@
   return static_cast<std::uint8_t>(verb);
 }
 JobVerb verb_of(wire::Phase phase) {
-  return phase == wire::Phase::done ? JobVerb::done : JobVerb::withdrawn;
+  return phase == wire::Phase::done ? JobVerb::done : JobVerb::cancelled;
 }
 }  // namespace
 
@@ -34,7 +34,7 @@
       std::count_if(neighbours_.begin(), neighbours_.end(), [this](const NeighbourState& neighbour) {
         return out_.now() < neighbour.last_digest_at + kReachableWithin;
       });
-  digest.accepts_cores = cells::acceptable_guest_cores(foreign_job_capacity_) /
+  digest.accepts_cores = cells::acceptable_foreign_cores(foreign_job_capacity_) /
                          static_cast<double>(std::max<std::ptrdiff_t>(1, reachable));
   NeighbourState& neighbour = neighbours_[to];
   if (digest.accepts_cores >= neighbour.promised || out_.now() >= neighbour.promised_at + kOfferInTransit) {
@@ -144,7 +144,7 @@
     return reply->set_verb(i, JobVerb::none);
   if (const jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
-      return reply->set_verb(i, JobVerb::withdrawn);  // a job of this cell's own with the same reference
+      return reply->set_verb(i, JobVerb::cancelled);  // a job of this cell's own with the same reference
     // If its final state is being recorded, `held` would soon be outdated.
     if (!job->is_open() || job->final_state_sent)
       return reply->set_verb(i, JobVerb::none);
@@ -170,7 +170,7 @@
   const peer::JobMessage& message = reply->message.jobs[i];
   if (const jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
-      return reply->set_verb(i, JobVerb::withdrawn);
+      return reply->set_verb(i, JobVerb::cancelled);
     if (!job->is_open() || job->final_state_sent || job->cancelling)
       return reply->set_verb(i, JobVerb::none);
     return reply->set_verb(i, JobVerb::held);
@@ -208,13 +208,13 @@
   // which the job can never be offloaded to this cell again.
   const bool promised = neighbour.promised > 0 && out_.now() < neighbour.promised_at + kOfferInTransit;
   neighbour.promised -= cores;
-  return origin_draining || promised || cells::acceptable_guest_cores(foreign_job_capacity_) > 0;
+  return origin_draining || promised || cells::acceptable_foreign_cores(foreign_job_capacity_) > 0;
 }
 
 void Controller::create_offered_job(const std::shared_ptr<CellReply>& reply, std::size_t i,
                                     const wire::JobSpec& spec, const wire::Value& record,
                                     const std::string& from) {
-  foreign_job_capacity_.guests_waiting +=
+  foreign_job_capacity_.foreign_waiting +=
       spec.tasks * spec.task_resources.cpus;  // until the next plan counts them
   reply->set_verb(i, JobVerb::none);
   wire::JobSpec queued_as = spec;
@@ -248,7 +248,7 @@
   const bool cancels = message.verb() == JobVerb::cancel;
   if (jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
-      return reply->set_verb(i, JobVerb::withdrawn);
+      return reply->set_verb(i, JobVerb::cancelled);
     if (!job->is_open())
       return reply->set_verb(i, JobVerb::none);
     const bool started =
--- a/tests/cells_test.cpp
+++ b/tests/cells_test.cpp
@@ -18,7 +18,7 @@
 
 // A neighbour as far as its state service goes: what is recorded of each job, and whether tasks have begun.
 struct Neighbour {
-  enum class State { absent, live, done, withdrawn };
+  enum class State { absent, live, done, cancelled };
   struct Job {
     State state = State::absent;
     bool begun = false;
@@ -33,8 +33,8 @@
     };
     if (job.state == State::done)
       return say(JobVerb::done);
-    if (job.state == State::withdrawn)
-      return say(JobVerb::withdrawn);
+    if (job.state == State::cancelled)
+      return say(JobVerb::cancelled);
     const bool live = job.state == State::live;
     switch (asked.verb()) {
       case JobVerb::offer:
@@ -49,8 +49,8 @@
           return say(JobVerb::held);
         [[fallthrough]];
       case JobVerb::cancel:
-        job.state = State::withdrawn;
-        return say(JobVerb::withdrawn);
+        job.state = State::cancelled;
+        return say(JobVerb::cancelled);
       default:
         return say(JobVerb::none);
     }
@@ -419,16 +419,16 @@
 }
 
 TEST(OffloadPlanner, TakesWhatIsFreeThenWhatCanBeHad) {
-  EXPECT_EQ(acceptable_guest_cores({100, 800, 30, 20, 0, false, false}), 50);
-  EXPECT_EQ(acceptable_guest_cores({100, 800, 80, 30, 0, false, false}), 70) << "a tenth of what may be had";
-  EXPECT_EQ(acceptable_guest_cores({100, 80000, 400, 30, 2000, false, false}), 7870);
-  EXPECT_EQ(acceptable_guest_cores({100, 800, 400, 30, 2000, false, false}), 370)
+  EXPECT_EQ(acceptable_foreign_cores({100, 800, 30, 20, 0, false, false}), 50);
+  EXPECT_EQ(acceptable_foreign_cores({100, 800, 80, 30, 0, false, false}), 70) << "a tenth of what may be had";
+  EXPECT_EQ(acceptable_foreign_cores({100, 80000, 400, 30, 2000, false, false}), 7870);
+  EXPECT_EQ(acceptable_foreign_cores({100, 800, 400, 30, 2000, false, false}), 370)
       << "at most a quarter of what there is";
-  EXPECT_EQ(acceptable_guest_cores({100, 0, 80, 30, 0, false, false}), 0);
-  EXPECT_EQ(acceptable_guest_cores({0, 0, 0, 20, 1000, false, false}), 80) << "some wait for what ends next";
-  EXPECT_EQ(acceptable_guest_cores({0, 0, 150, 0, 1000, false, false}), 0) << "unless own work does";
-  EXPECT_EQ(acceptable_guest_cores({100, 800, 0, 0, 0, true, false}), 0) << "drained";
-  EXPECT_EQ(acceptable_guest_cores({100, 800, 0, 0, 0, false, true}), 0) << "its own users are put off";
+  EXPECT_EQ(acceptable_foreign_cores({100, 0, 80, 30, 0, false, false}), 0);
+  EXPECT_EQ(acceptable_foreign_cores({0, 0, 0, 20, 1000, false, false}), 80) << "some wait for what ends next";
+  EXPECT_EQ(acceptable_foreign_cores({0, 0, 150, 0, 1000, false, false}), 0) << "unless own work does";
+  EXPECT_EQ(acceptable_foreign_cores({100, 800, 0, 0, 0, true, false}), 0) << "drained";
+  EXPECT_EQ(acceptable_foreign_cores({100, 800, 0, 0, 0, false, true}), 0) << "its own users are put off";
 }
 
 // Against all ways to divide a few jobs between two cells that serve them one after the other: the sum of the
