--- a/tests/cells_benchmark.cpp
+++ b/tests/cells_benchmark.cpp
@@ -1,7 +1,7 @@
-// Measures what several cells do for each other, in virtual time: a surge in the first of them, with and
-// without its neighbour, against one cell of both sizes; a cell whose controllers are away; a cell that is
-// drained.
-//   cells_lab [--machines N] [--cells N] [--factor F] [--seed N]
+// Measures offloading between cells in virtual time: a surge in the first cell without neighbours, with them,
+// and in a single cell as large as all of them; a surge while the controllers of the second cell are down;
+// the draining of a cell.
+//   cells_benchmark [--machines N] [--cells N] [--factor F] [--seed N] [--trace]
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -15,142 +15,151 @@
 namespace wingtrail::simulation {
 namespace {
 
-struct Lab {
-  int machines = 300;  // of each cell
+struct Benchmark {
+  int machines = 300;  // in each cell
   std::size_t cells = 2;
-  double factor = 5;  // of the surge in the first
+  double factor = 5;  // load of the surge in the first cell, relative to the usual load
   std::uint64_t seed = 1;
 
+  // Cores of one cell: half of its machines have 16 and half have 8.
   double cores() const {
     return machines * 12.0;
-  }  // half have 16 and half have 8
-  // Arrays like those of the fleet sites: some dozens of tasks of 2 cores and 25 s.
+  }
+  // Job arrays like those of the fleet sites: some dozens of tasks of 2 cores and 25 s. All times are in
+  // seconds; the surge lasts from kSurgeStart to kSurgeEnd, and kInTime is the limit for an array.
   static constexpr std::uint32_t kTasks = 60;
-  static constexpr double kRun = 25, kInTime = 70, kFrom = 60, kTo = 120, kEnd = 240;
-  double usual() const {
-    return 0.5 * cores() / (kTasks * 2 * kRun);
-  }  // arrays a second: half of the cell
+  static constexpr double kRunTime = 25, kInTime = 70, kSurgeStart = 60, kSurgeEnd = 120, kSubmitEnd = 240;
+  // The usual load of a cell in job arrays per second: half of its cores.
+  double usual_arrays_per_s() const {
+    return 0.5 * cores() / (kTasks * 2 * kRunTime);
+  }
 
-  SimulationPlan plan(double times) const {
-    SimulationPlan p;
-    p.seed = seed;
-    p.fault_every_s = 0;
-    p.budget_limits = false;
-    p.machines = static_cast<int>(machines * times);
-    p.max_machines = static_cast<std::size_t>(p.machines);
-    p.scripted = true;
-    p.idle_return_s = 1e4;
-    p.headroom = 5;
-    p.peer_agreement = p.fair_admission = true;
-    p.write_rps = 35;
-    return p;
+  // A cell `size` times as large as usual.
+  SimulationPlan plan(double size) const {
+    SimulationPlan plan;
+    plan.seed = seed;
+    plan.fault_every_s = 0;
+    plan.budget_limits = false;
+    plan.machines = static_cast<int>(machines * size);
+    plan.max_machines = static_cast<std::size_t>(plan.machines);
+    plan.scripted = true;
+    plan.idle_return_s = 1e4;
+    plan.headroom = 5;
+    plan.peer_agreement = plan.fair_admission = true;
+    plan.write_rps = 35;
+    return plan;
   }
   wire::JobSpec job(std::size_t cell, int n) const {
-    wire::JobSpec s;
-    s.ref = "req-" + std::to_string(100000 * (cell + 1) + static_cast<std::size_t>(n));
-    s.job_class = "batch";
-    s.team = n % 2 == 0 ? "red" : "blue";
-    s.image = "img-0";
-    s.image_gb = 0.5;
-    s.task_resources = {2, 0, 2};
-    s.tasks = kTasks;
-    s.allows_spot = true;
-    s.estimate_s = kRun;
-    return s;
+    wire::JobSpec spec;
+    spec.ref = "req-" + std::to_string(100000 * (cell + 1) + static_cast<std::size_t>(n));
+    spec.job_class = "batch";
+    spec.team = n % 2 == 0 ? "red" : "blue";
+    spec.image = "img-0";
+    spec.image_gb = 0.5;
+    spec.task_resources = {2, 0, 2};
+    spec.tasks = kTasks;
+    spec.allows_spot = true;
+    spec.estimate_s = kRunTime;
+    return spec;
   }
 
-  bool trace = false;
-  static void trace_line(SimulatedCells& all, double t) {
+  bool trace = false;  // print a line every 5 s
+  static void print_trace(SimulatedCells& clusters, double t) {
     std::cout << std::setw(6) << t;
-    for (std::size_t c = 0; c < all.size(); ++c) {
-      const auto s = all[c].leader_stats();
-      if (!s)
+    for (std::size_t c = 0; c < clusters.size(); ++c) {
+      const auto stats = clusters[c].leader_stats();
+      if (!stats)
         continue;
-      double held = 0, waiting = 0;
-      for (const auto& l : s->loads)
-        held += l.cores_in_use, waiting += l.cores_waiting;
-      std::cout << " | " << held << " cores in use, " << waiting << " wait, " << all[c].startable_here()
-                << " jobs not begun";
-      for (const auto& n : s->cells)
-        std::cout << "; " << n.remote_jobs << " at " << n.name << ", which takes " << n.accepts_cores
-                  << " after " << n.wait_s;
+      double cores_in_use = 0, cores_waiting = 0;
+      for (const auto& load : stats->loads)
+        cores_in_use += load.cores_in_use, cores_waiting += load.cores_waiting;
+      std::cout << " | " << cores_in_use << " cores in use, " << cores_waiting << " cores waiting, "
+                << clusters[c].startable_here() << " jobs not started";
+      for (const auto& neighbour : stats->cells)
+        std::cout << "; " << neighbour.remote_jobs << " jobs in " << neighbour.name << ", which accepts "
+                  << neighbour.accepts_cores << " cores after " << neighbour.wait_s << " s";
     }
     std::cout << "\n";
   }
   struct Result {
-    double first = 0, others = 0;
-    std::size_t guests = 0, undone = 0, broken = 0;
-    double writes = 0;
+    double first = 0, others = 0;  // share of arrays done in time: the first cell; the least of the others
+    std::size_t foreign_tasks = 0, unfinished = 0, broken_rules = 0;
+    double max_writes = 0;  // largest of all cells, as a share of the write budget
   };
-  // `others`: whether the other cells have their usual load; `away_at`: the second one's controllers are away
-  // for a minute from then.
-  Result surge(std::vector<SimulationPlan> plans, double with, double away_at = -1) const {
-    SimulatedCells all(std::move(plans), seed);
-    all.begin();
-    std::vector<double> due(all.size());
+  // `first_load`: the load of the first cell besides the surge, relative to the usual one; the others have
+  // the usual load. `down_at`: the controllers of the second cell are down for a minute from then on;
+  // negative: never.
+  Result surge(std::vector<SimulationPlan> plans, double first_load, double down_at = -1) const {
+    SimulatedCells clusters(std::move(plans), seed);
+    clusters.begin();
+    std::vector<double> due(clusters.size());
     int n = 0;
-    for (double t = 0; t < kEnd; t += 0.1) {
-      for (std::size_t c = 0; c < all.size(); ++c) {
-        const bool surges = c == 0 && t >= kFrom && t < kTo;
-        const double per_s = usual() * (surges ? with + factor - 1 : c == 0 ? with : 1);
+    for (double t = 0; t < kSubmitEnd; t += 0.1) {
+      for (std::size_t c = 0; c < clusters.size(); ++c) {
+        const bool surges = c == 0 && t >= kSurgeStart && t < kSurgeEnd;
+        const double per_s = usual_arrays_per_s() * (surges   ? first_load + factor - 1
+                                                     : c == 0 ? first_load
+                                                              : 1);
         for (due[c] += 0.1 * per_s; due[c] >= 1; --due[c])
-          all[c].submit_job(job(c, ++n), kRun);
+          clusters[c].submit_job(job(c, ++n), kRunTime);
       }
-      if (away_at >= 0 && t >= away_at && t < away_at + 0.05 + 0.1 / 2)
-        all.down(1, 60);
-      all.step(t + 0.1);
+      if (down_at >= 0 && t >= down_at && t < down_at + 0.05 + 0.1 / 2)
+        clusters.down(1, 60);
+      clusters.step(t + 0.1);
       if (trace && std::fmod(t + 1e-6, 5) < 0.05)
-        trace_line(all, t);
+        print_trace(clusters, t);
     }
-    Result r;
-    for (double t = kEnd + 60; t < 2000; t += 60) {
-      all.step(t);
-      r.undone = 0;
-      for (std::size_t c = 0; c < all.size(); ++c)
-        r.undone += all[c].unfinished_jobs();
-      if (r.undone == 0)
+    Result result;
+    for (double t = kSubmitEnd + 60; t < 2000; t += 60) {
+      clusters.step(t);
+      result.unfinished = 0;
+      for (std::size_t c = 0; c < clusters.size(); ++c)
+        result.unfinished += clusters[c].unfinished_jobs();
+      if (result.unfinished == 0)
         break;
     }
-    r.first = all[0].completed_within_share("batch", kInTime, kFrom, kTo + 20);
-    r.others = 1;
-    for (std::size_t c = 1; c < all.size(); ++c)
-      r.others = std::min(r.others, all[c].completed_within_share("batch", kInTime, kFrom, kTo + 60));
-    for (std::size_t c = 0; c < all.size(); ++c) {
-      r.guests += all[c].run_report().remote_tasks_started;
-      r.writes = std::max(r.writes, all[c].run_report().max_writes);
+    result.first = clusters[0].completed_within_share("batch", kInTime, kSurgeStart, kSurgeEnd + 20);
+    result.others = 1;
+    for (std::size_t c = 1; c < clusters.size(); ++c)
+      result.others = std::min(
+          result.others, clusters[c].completed_within_share("batch", kInTime, kSurgeStart, kSurgeEnd + 60));
+    for (std::size_t c = 0; c < clusters.size(); ++c) {
+      result.foreign_tasks += clusters[c].run_report().remote_tasks_started;
+      result.max_writes = std::max(result.max_writes, clusters[c].run_report().max_writes);
     }
-    r.broken = all.broken_rules().size();
-    for (const auto& b : all.broken_rules())
-      std::cout << b << "\n";
-    return r;
+    result.broken_rules = clusters.broken_rules().size();
+    for (const auto& rule : clusters.broken_rules())
+      std::cout << rule << "\n";
+    return result;
   }
-  // Seconds until a drained cell has handed on `jobs` that wait.
-  double drained(int jobs) const {
-    SimulatedCells all(std::vector<SimulationPlan>(2, plan(1)), seed);
-    all.begin();
-    all.step(20);
+  // Measures the seconds until a draining cell with `jobs` waiting jobs has none left that could start there.
+  double measure_drain(int jobs) const {
+    SimulatedCells clusters(std::vector<SimulationPlan>(2, plan(1)), seed);
+    clusters.begin();
+    clusters.step(20);
     for (int n = 1; n <= jobs; ++n) {
-      wire::JobSpec s = job(0, n);
-      s.tasks = 20;
-      all[0].submit_job(s, 120);
+      wire::JobSpec spec = job(0, n);
+      spec.tasks = 20;
+      clusters[0].submit_job(spec, 120);
       if (n % 20 == 0)
-        all.step(20 + n / 20 * 0.5);
+        clusters.step(20 + n / 20 * 0.5);
     }
-    all.step(60);
-    const std::size_t waiting = all[0].unstarted_jobs();
-    for (std::size_t i = 0; i < all[0].nodes(); ++i)
-      all[0].restart_with([](settings::Settings& s) { s.cells.drain = true; }, i);
+    clusters.step(60);
+    const std::size_t waiting = clusters[0].unstarted_jobs();
+    for (std::size_t i = 0; i < clusters[0].nodes(); ++i)
+      clusters[0].restart_with([](settings::Settings& settings) { settings.cells.drain = true; }, i);
     double t = 60;
-    while (t < 600 && all[0].startable_here() > 0)
-      all.step(t += 1);
-    std::cout << "drained: " << waiting << " jobs waited; all of them were handed on or had begun after "
-              << t - 60 << " s; " << all.broken_rules().size() << " rules broken\n";
+    while (t < 600 && clusters[0].startable_here() > 0)
+      clusters.step(t += 1);
+    std::cout << "drained: " << waiting << " jobs waited; all of them were offloaded or had started after "
+              << t - 60 << " s; " << clusters.broken_rules().size() << " rules broken\n";
     return t - 60;
   }
-  void tell(const char* what, const Result& r) const {
-    std::cout << std::left << std::setw(44) << what << std::fixed << std::setprecision(3) << r.first << "  "
-              << r.others << "  " << std::setw(7) << r.guests << std::setprecision(2) << r.writes << "  "
-              << r.undone << " undone, " << r.broken << " rules broken" << std::endl;
+  void print(const char* scenario, const Result& result) const {
+    std::cout << std::left << std::setw(44) << scenario << std::fixed << std::setprecision(3) << result.first
+              << "  " << result.others << "  " << std::setw(7) << result.foreign_tasks << std::setprecision(2)
+              << result.max_writes << "  " << result.unfinished << " unfinished, " << result.broken_rules
+              << " rules broken" << std::endl;
   }
 };
 
@@ -159,22 +168,24 @@
 
 int main(int argc, char** argv) {
   using namespace wingtrail::simulation;
-  Lab lab;
-  CLI::App app("What several cells do for each other, in virtual time");
-  app.add_option("--machines", lab.machines, "of each cell");
-  app.add_option("--cells", lab.cells, "how many")->check(CLI::Range(2, 5));
-  app.add_option("--factor", lab.factor, "how many times the usual load comes in the surge");
-  app.add_option("--seed", lab.seed, "what happens");
-  app.add_flag("--trace", lab.trace, "tell every five seconds");
+  Benchmark benchmark;
+  CLI::App app("Measures offloading between cells in virtual time");
+  app.add_option("--machines", benchmark.machines, "machines in each cell");
+  app.add_option("--cells", benchmark.cells, "number of cells")->check(CLI::Range(2, 5));
+  app.add_option("--factor", benchmark.factor, "load of the surge, relative to the usual load");
+  app.add_option("--seed", benchmark.seed, "seed of the simulation");
+  app.add_flag("--trace", benchmark.trace, "print the state every 5 s");
   CLI11_PARSE(app, argc, argv);
   spdlog::set_level(spdlog::level::off);
-  const auto others = static_cast<double>(lab.cells);
-  std::cout << "arrays of the surge done in " << Lab::kInTime
-            << " s; the others' own, least of all cells; tasks elsewhere; most changes of the budget\n";
-  lab.tell("alone", lab.surge({lab.plan(1)}, 1));
-  lab.tell("with its neighbours", lab.surge(std::vector<SimulationPlan>(lab.cells, lab.plan(1)), 1));
-  lab.tell("one cell of all sizes", lab.surge({lab.plan(others)}, others));
-  lab.tell("the second's controllers away for 60 s amid it",
-           lab.surge(std::vector<SimulationPlan>(lab.cells, lab.plan(1)), 1, 80));
-  lab.drained(500);
+  const auto all_cells = static_cast<double>(benchmark.cells);
+  std::cout << "arrays of the surge done in " << Benchmark::kInTime
+            << " s: first cell; least of the other cells; foreign tasks started; most writes as a share of "
+               "the budget\n";
+  benchmark.print("alone", benchmark.surge({benchmark.plan(1)}, 1));
+  benchmark.print("with its neighbours",
+                  benchmark.surge(std::vector<SimulationPlan>(benchmark.cells, benchmark.plan(1)), 1));
+  benchmark.print("single cell as large as all", benchmark.surge({benchmark.plan(all_cells)}, all_cells));
+  benchmark.print("second cell's controllers down for 60 s",
+                  benchmark.surge(std::vector<SimulationPlan>(benchmark.cells, benchmark.plan(1)), 1, 80));
+  benchmark.measure_drain(500);
 }
--- a/tests/cells_simulation_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -100,12 +100,12 @@
 enum class Fault {
   origin_leader,   // the leader of the origin cell crashes
   holding_leader,  // the leader of the holding cell crashes
-  both_leaders,
-  link,          // messages to the holding cell are lost
-  link_back,     // messages to the origin cell are lost
-  origin_down,   // all controllers of the origin cell are down
-  holding_down,  // all controllers of the holding cell are down
-  delayed,       // all messages between the cells are held back for a while
+  both_leaders,    // both crash
+  link,            // messages to the holding cell are lost
+  link_back,       // messages to the origin cell are lost
+  origin_down,     // all controllers of the origin cell are down
+  holding_down,    // all controllers of the holding cell are down
+  delayed,         // all messages between the cells are held back for a while
   count
 };
 class HandOver : public testing::TestWithParam<int> {};
