--- a/src/cells/offload_planner.hpp
+++ b/src/cells/offload_planner.hpp
@@ -46,6 +46,7 @@
 struct Offload {
   std::size_t waiting = 0, cell = 0;
 };
+/// The decisions of one plan.
 struct OffloadPlan {
   std::vector<Offload> offloads;
   /// Indices of waiting jobs that would start sooner in a neighbour which lacks the capacity at present. They
--- a/src/cells/remote_placements.cpp
+++ b/src/cells/remote_placements.cpp
@@ -189,10 +189,10 @@
 }
 
 std::vector<RemotePlacements::Page> RemotePlacements::next_write(std::size_t max_pages) {
-  std::vector<Page> out;
+  std::vector<Page> pages;
   if (writing())
-    return out;
-  for (auto it = pages_due_.begin(); it != pages_due_.end() && out.size() < max_pages;) {
+    return pages;
+  for (auto it = pages_due_.begin(); it != pages_due_.end() && pages.size() < max_pages;) {
     PageState& page_state = pages_.at(*it);
     if (page_state.unsure) {
       ++it;
@@ -204,9 +204,9 @@
               page_state.version};
     pending_writes_.push_back({*it, page.refs, std::exchange(page_state.returning, {})});
     it = pages_due_.erase(it);
-    out.push_back(std::move(page));
+    pages.push_back(std::move(page));
   }
-  return out;
+  return pages;
 }
 
 std::vector<std::string> RemotePlacements::on_written(std::uint64_t revision) {
@@ -277,12 +277,12 @@
 }
 
 std::vector<std::string> RemotePlacements::pages_to_read() const {
-  std::vector<std::string> out;
+  std::vector<std::string> keys;
   for (const std::size_t id : pages_due_) {
     if (pages_.at(id).unsure)
-      out.push_back(key(pages_.at(id)));
+      keys.push_back(key(pages_.at(id)));
   }
-  return out;
+  return keys;
 }
 
 void RemotePlacements::on_page_read(const std::string& page_key, std::uint64_t version) {
@@ -297,9 +297,9 @@
 
 std::vector<peer::JobMessage> RemotePlacements::next_requests(std::size_t cell, std::size_t max_requests,
                                                               Seconds now) {
-  std::vector<peer::JobMessage> out;
+  std::vector<peer::JobMessage> requests;
   auto& due = requests_due_[cell];
-  while (!due.empty() && due.begin()->first <= now && out.size() < max_requests) {
+  while (!due.empty() && due.begin()->first <= now && requests.size() < max_requests) {
     const std::string ref = due.begin()->second;
     RemotePlacement& placement = placements_.at(ref);
     const JobVerb verb = placement.state == State::offered ? JobVerb::offer
@@ -307,9 +307,9 @@
                              ? (placement.cancel ? JobVerb::cancel : JobVerb::recall)
                              : JobVerb::state;
     schedule_request(ref, placement, now + (placement.cancel ? kCancelRequestInterval : kRequestInterval));
-    out.push_back({ref, static_cast<std::uint8_t>(verb), {}, 0, 0});
+    requests.push_back({ref, static_cast<std::uint8_t>(verb), {}, 0, 0});
   }
-  return out;
+  return requests;
 }
 
 RemotePlacements::Event RemotePlacements::on_reply(std::size_t cell, const peer::JobMessage& reply,
@@ -371,15 +371,15 @@
 }
 
 std::vector<std::string> RemotePlacements::idle_jobs(std::size_t cell, std::size_t max_jobs) const {
-  std::vector<std::string> out;
+  std::vector<std::string> refs;
   for (const auto& [ref, placement] : placements_) {
-    if (out.size() >= max_jobs)
+    if (refs.size() >= max_jobs)
       break;
     if (placement.cell == cell && placement.state == State::remote && placement.running == 0 &&
         placement.done == 0)
-      out.push_back(ref);
+      refs.push_back(ref);
   }
-  return out;
+  return refs;
 }
 
 }  // namespace wingtrail::cells
--- a/src/cells/remote_placements.hpp
+++ b/src/cells/remote_placements.hpp
@@ -2,7 +2,8 @@
 /// Remote placements: the origin cell's record of the jobs that another cell holds or has been offered. A
 /// change of holder is persisted before it takes effect. From the write of a page that names a job until the
 /// write of that page without it, no task of the job starts in this cell; the second write follows only after
-/// the holding cell has recorded that the job never runs there again.
+/// the holding cell has recorded that the job never runs there again (docs/cells.md has the table of states
+/// and messages).
 ///
 /// Each page j/away/CELL/N names many jobs, since the state service limits the number of changes. Only the
 /// leader writes pages; each write requires that it still leads and that the page has the version it knows. A
@@ -28,12 +29,16 @@
 using ports::Seconds;
 
 inline constexpr const char* kRemotePlacementPrefix = "j/away/";
+/// Whether the key of the state service is that of a page of remote placements.
 inline bool is_remote_placement_key(std::string_view key) {
   return key.starts_with(kRemotePlacementPrefix);
 }
 
+/// The remote placements of all jobs of this cell, with the pages to write and the requests to send for them.
+/// Does no input or output itself.
 class RemotePlacements {
  public:
+  /// Where a remote placement stands in its course.
   enum class State : std::uint8_t {
     recording,  ///< the page that names the job is being written
     offered,    ///< the neighbour has been or may have been offered the job, and may hold it
@@ -45,7 +50,8 @@
   /// What a reply changes for the job: it is done, or it was cancelled in the holding cell.
   enum class Event : std::uint8_t { none, done, cancelled };
   struct RemotePlacement {
-    std::size_t cell = 0, page = 0;
+    std::size_t cell = 0;  ///< index of the neighbour
+    std::size_t page = 0;  ///< of the page that names the job
     State state = State::recording;
     bool cancel = false;                  ///< the user has cancelled the job
     Seconds next_request_at = 0;          ///< when the neighbour is asked about the job next
@@ -56,6 +62,7 @@
   RemotePlacements(std::vector<std::string> cells, std::size_t page_bytes)
       : cells_(std::move(cells)), page_bytes_(page_bytes), requests_due_(cells_.size()) {}
 
+  /// Forgets everything, when a leadership starts or ends.
   void clear();
   /// Takes over a page that an earlier leader persisted; `live` says whether a job has no final state yet.
   /// Returns false if the page is malformed.
@@ -75,6 +82,7 @@
 
   // ---- persistence; at most one write is in flight
 
+  /// A page to write or delete.
   struct Page {
     std::string key, cell;
     std::vector<std::string> refs;  ///< if empty, the page is deleted
@@ -104,8 +112,10 @@
   /// The requests to send to the cell now, `max_requests` at most. Each is repeated at an interval until a
   /// reply settles the job.
   std::vector<peer::JobMessage> next_requests(std::size_t cell, std::size_t max_requests, Seconds now);
+  /// Takes a reply in. A reply that does not fit the placement's cell or state has no effect.
   Event on_reply(std::size_t cell, const peer::JobMessage& reply, Seconds now);
 
+  /// The job's remote placement; null if it has none.
   const RemotePlacement* find(const std::string& ref) const;
   std::size_t size() const {
     return placements_.size();
--- a/src/peer/cell_message.hpp
+++ b/src/peer/cell_message.hpp
@@ -38,7 +38,7 @@
   cancel,     ///< request: cancel the job
   held,       ///< reply: the job is live here
   done,       ///< reply: all its tasks are done, and the final state is recorded
-  cancelled,  ///< reply: a final state records that it never runs here (again), and no task of it exists
+  cancelled,  ///< reply: a final state records that it never runs here (again); no machine has its tasks
   refused,    ///< reply: not accepted now
   never,      ///< reply: it can never run here
   ending,     ///< reply: its cancellation is in progress
--- a/tests/cells_simulation_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -98,14 +98,14 @@
 
 // Offloads some jobs and injects one of these faults, at a different moment of the transfer in each round.
 enum class Fault {
-  origin_leader,   // the leader of the origin cell crashes
-  holding_leader,  // the leader of the holding cell crashes
-  both_leaders,    // both crash
-  link,            // messages to the holding cell are lost
-  link_back,       // messages to the origin cell are lost
-  origin_down,     // all controllers of the origin cell are down
-  holding_down,    // all controllers of the holding cell are down
-  delayed,         // all messages between the cells are held back for a while
+  origin_leader,    // the leader of the origin cell crashes
+  holding_leader,   // the leader of the holding cell crashes
+  both_leaders,     // both leaders crash
+  link_to_holding,  // messages to the holding cell are lost
+  link_to_origin,   // messages to the origin cell are lost
+  origin_down,      // all controllers of the origin cell are down
+  holding_down,     // all controllers of the holding cell are down
+  delayed,          // all messages between the cells are held back for a while
   count
 };
 class HandOver : public testing::TestWithParam<int> {};
@@ -139,10 +139,10 @@
         origin.crash(origin.leader().value_or(0));
         holding.crash(holding.leader().value_or(0));
         break;
-      case Fault::link:
+      case Fault::link_to_holding:
         cells.cut(0, 1, 20, false);
         break;
-      case Fault::link_back:
+      case Fault::link_to_origin:
         cells.cut(1, 0, 20, false);
         break;
       case Fault::delayed:
@@ -163,8 +163,8 @@
   }
   EXPECT_GT(foreign_tasks, 20U) << "expected more tasks to start in the holding cell";
 }
-constexpr const char* kFaultNames[] = {"origin_leader", "holding_leader", "both_leaders", "link",
-                                       "link_back",     "origin_down",    "holding_down", "delayed"};
+constexpr const char* kFaultNames[] = {"origin_leader",  "holding_leader", "both_leaders", "link_to_holding",
+                                       "link_to_origin", "origin_down",    "holding_down", "delayed"};
 INSTANTIATE_TEST_SUITE_P(Each, HandOver, testing::Range(0, static_cast<int>(Fault::count)),
                          [](const auto& instance) { return std::string(kFaultNames[instance.param]); });
 
