--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,8 +15,9 @@
 using ports::Seconds;
 namespace {
 
-constexpr Seconds kAnswerTimeout = 8;  // longer than any chain of calls behind an answer takes
-// Pages and watches of the state service may be larger than the bodies of other messages.
+// Longer than all the calls that the controller makes, one after another, to answer a request.
+constexpr Seconds kAnswerTimeout = 8;
+// Range reads and watch replies of the state service may be larger than other messages.
 constexpr std::size_t kMaxAnswerBytes = 8U << 20;
 constexpr const char* kMetricsPath = "/metrics";
 
@@ -28,28 +29,29 @@
   return seed;
 }
 
-// A part of the sockets for each use, so that no one use can starve the others. Workers hold one each at the
-// leader, so users and workers get most of them; what is left over is for the listeners and the loop.
+// Shares of `max_connections` for each kind of connection, so that no kind can use up the sockets of the
+// others. Every worker keeps a connection to the leader open, so users and workers get most of the sockets.
+// The remainder is for the listening sockets and the event loop.
 constexpr double kCallShare = 0.12, kPeerShare = 0.03, kSpareShare = 0.03, kClientShare = 0.8;
 
-std::size_t share(const settings::Settings& s, double part, double least) {
-  return static_cast<std::size_t>(std::max(least, s.max_connections * part));
+std::size_t connection_limit(const settings::Settings& settings, double share, double minimum) {
+  return static_cast<std::size_t>(std::max(minimum, settings.max_connections * share));
 }
-net::ServerLimits client_limits(const settings::Settings& s) {
-  net::ServerLimits l;
-  l.max_body = wire::kMaxBody;
-  l.max_connections = share(s, kClientShare, 16);
-  l.spare = share(s, kSpareShare, 4);
-  // Workers report every report_s and users ask about as often: one that is silent for several times that has
-  // gone without a word, and its socket is needed.
-  l.idle_s = std::max(15.0, 4 * s.heartbeat_interval_s);
-  return l;
+net::ServerLimits client_limits(const settings::Settings& settings) {
+  net::ServerLimits limits;
+  limits.max_body = wire::kMaxBody;
+  limits.max_connections = connection_limit(settings, kClientShare, 16);
+  limits.spare = connection_limit(settings, kSpareShare, 4);
+  // Workers send a heartbeat every report_s, and users send queries about as often. A connection that is idle
+  // for several times that was abandoned without being closed, and its socket is needed for others.
+  limits.idle_s = std::max(15.0, 4 * settings.heartbeat_interval_s);
+  return limits;
 }
-net::ServerLimits peer_limits(const settings::Settings& s) {
-  net::ServerLimits l;
-  l.max_body = 2 * wire::kMaxBody;
-  l.max_connections = share(s, kPeerShare, 8);
-  return l;
+net::ServerLimits peer_limits(const settings::Settings& settings) {
+  net::ServerLimits limits;
+  limits.max_body = 2 * wire::kMaxBody;
+  limits.max_connections = connection_limit(settings, kPeerShare, 8);
+  return limits;
 }
 
 }  // namespace
@@ -58,18 +60,18 @@
     : settings_(std::move(settings)),
       scope_(loop_),
       controller_(settings_, random_seed()),
-      client_(scope_, share(settings_, kCallShare, 16), kMaxAnswerBytes),
+      client_(scope_, connection_limit(settings_, kCallShare, 16), kMaxAnswerBytes),
       client_server_(scope_, settings_.client_listen.host, settings_.client_listen.port,
                      client_limits(settings_), [this](net::Request r) { return serve_client(std::move(r)); }),
       peer_server_(scope_, settings_.peer_listen.host, settings_.peer_listen.port, peer_limits(settings_),
                    [this](net::Request r) { return serve_peer(std::move(r)); }) {}
 
 std::optional<std::string> Daemon::run() {
-  if (auto why = client_server_.listen())
-    return why;
-  if (auto why = peer_server_.listen())
-    return why;
-  spdlog::info("{} in {}: serving users and workers on {}, peers on {}", settings_.node, settings_.zone,
+  if (auto error = client_server_.listen())
+    return error;
+  if (auto error = peer_server_.listen())
+    return error;
+  spdlog::info("daemon: listening node={} zone={} clients={} peers={}", settings_.node, settings_.zone,
                settings_.client_listen.text(), settings_.peer_listen.text());
   loop_.refresh();
   update_day_offset();
@@ -82,17 +84,16 @@
   return std::nullopt;
 }
 
-// The time of day is set and slewed from outside, so it is looked at again and again.
+// The wall clock may be set or slewed at any time, so the offset is computed again every second.
 void Daemon::update_day_offset() {
-  constexpr Seconds kEvery = 1;
-  if (loop_.now() < day_offset_updated_at_ + kEvery)
+  constexpr Seconds kUpdateInterval = 1;
+  if (loop_.now() < day_offset_updated_at_ + kUpdateInterval)
     return;
   day_offset_updated_at_ = loop_.refresh();
   const std::chrono::duration<double> day = std::chrono::system_clock::now().time_since_epoch();
   controller_.set_day_offset(day.count() - day_offset_updated_at_);
 }
 
-// Ticks the node if it is time, and carries out what it decided.
 void Daemon::run_controller() {
   if (running_controller_)
     return;
@@ -118,19 +119,19 @@
 net::DetachedTask Daemon::execute_call(ports::Call call) {
   net::Request request{call.method, call.path, ""};
   std::string content_type = "application/cbor";
-  settings::Endpoint to;
+  settings::Endpoint endpoint;
   switch (call.target) {
     case ports::Target::state:
-      to = settings_.state;
+      endpoint = settings_.state;
       break;
     case ports::Target::cloud:
-      to = settings_.cloud;
+      endpoint = settings_.cloud;
       break;
     case ports::Target::peer:
-      to = settings_.peers[call.peer].endpoint;
+      endpoint = settings_.peers[call.peer].endpoint;
       break;
     case ports::Target::cell:
-      to = settings_.cells.neighbours[call.cell].nodes[call.peer];
+      endpoint = settings_.cells.neighbours[call.cell].nodes[call.peer];
       break;
     case ports::Target::worker: {
       const auto colon = call.address.rfind(':');
@@ -138,7 +139,7 @@
       if (colon != std::string::npos) {
         std::from_chars(call.address.data() + colon + 1, call.address.data() + call.address.size(), port);
       }
-      to = {call.address.substr(0, colon), static_cast<std::uint16_t>(port)};
+      endpoint = {call.address.substr(0, colon), static_cast<std::uint16_t>(port)};
       break;
     }
   }
@@ -149,10 +150,10 @@
     request.body = wire::encode_cbor(call.body);
   }
   const std::uint64_t id = call.id;
-  const bool by_peer = call.target == ports::Target::peer || call.target == ports::Target::cell,
-             by_worker = call.target == ports::Target::worker;
+  const bool to_controller = call.target == ports::Target::peer || call.target == ports::Target::cell;
+  const bool to_worker = call.target == ports::Target::worker;
   net::CallResult outcome =
-      co_await client_.call(to.host, to.port, std::move(request), std::move(content_type),
+      co_await client_.call(endpoint.host, endpoint.port, std::move(request), std::move(content_type),
                             loop_.now() + call.timeout_s, call.not_after);
   if (scope_.cancelled())
     co_return;
@@ -160,15 +161,15 @@
   reply.status = outcome.status;
   reply.delivered = outcome.delivered;
   if (outcome.status != 0 && !outcome.body.empty()) {
-    if (by_worker) {
+    if (to_worker) {
       reply.heartbeat = std::move(outcome.body);
-    } else if (by_peer) {
+    } else if (to_controller) {
       reply.frame = peer::decode(outcome.body);
     } else if (auto body = wire::decode_cbor(outcome.body)) {
       reply.body = std::move(*body);
     } else if (outcome.status == 200) {
-      // An answer that cannot be read is none; what was asked for may have been done.
-      spdlog::warn("{} {}: an answer that is not CBOR", call.method, call.path);
+      // Treated as no reply: the request may have been executed.
+      spdlog::warn("daemon: reply is not CBOR method={} path={}", call.method, call.path);
       reply.status = 0;
     }
   }
@@ -191,13 +192,13 @@
     response.body = render_metrics(controller_.stats(), client_server_.connections());
     co_return response;
   }
-  controller::IncomingRequest in;
-  in.id = ++last_request_;
-  in.method = std::move(request.method);
-  in.path = request.target.substr(0, request.target.find('?'));
-  in.body = std::move(request.body);
-  controller_.on_request(loop_.now(), in);
-  const auto answer = co_await wait_for_answer(in.id);
+  controller::IncomingRequest incoming;
+  incoming.id = ++last_request_;
+  incoming.method = std::move(request.method);
+  incoming.path = request.target.substr(0, request.target.find('?'));
+  incoming.body = std::move(request.body);
+  controller_.on_request(loop_.now(), incoming);
+  const auto answer = co_await wait_for_answer(incoming.id);
   if (!answer) {
     response.status = 504;
     response.retry_after_s = 1;
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -13,22 +13,25 @@
 
 namespace wingtrail::daemon {
 
-/// One node: its controller, the event loop that drives it, its HTTP servers and its HTTP client.
+/// One controller process: the controller, the event loop that drives it, its HTTP servers and its HTTP
+/// client.
 class Daemon {
  public:
-  /// Opens nothing yet; the settings must have been checked.
+  /// Opens no sockets yet. The settings must have been loaded without problems.
   explicit Daemon(settings::Settings settings);
-  /// Runs until the process is killed; returns an error text if it cannot begin.
+  /// Runs until the process is killed. Returns an error text if a listening socket cannot be opened.
   std::optional<std::string> run();
 
  private:
-  // Runs the controller, which was handed the request of that id just before, and waits for its answer; none
-  // if it does not come in time.
+  // Runs the controller and waits for its answer to the request `id`, which it must have received before.
+  // Returns no answer if there is none within kAnswerTimeout.
   net::Task<std::optional<ports::Answer>> wait_for_answer(std::uint64_t id);
   net::Task<net::Response> serve_client(net::Request request);
   net::Task<net::Response> serve_peer(net::Request request);
   net::DetachedTask execute_call(ports::Call call);
+  // Ticks the controller if its next wake-up is due, and executes the calls and answers that it has issued.
   void run_controller();
+  // Passes the offset of the wall clock from the loop's clock to the controller, once per second.
   void update_day_offset();
 
   settings::Settings settings_;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Returns false for a level that does not exist.
+// Logs to standard error at the level that LOG_LEVEL names. Returns false if there is no such level.
 bool set_up_logging() {
   auto logger =
       std::make_shared<spdlog::logger>("wingtrail", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -40,26 +40,26 @@
   app.add_option("--config", config, "the platform's settings file (TOML)")->required()->type_name("FILE");
   app.add_option("--tunables", tunables, "the operators' tunables (YAML); see docs/operations.md")
       ->type_name("FILE");
-  app.add_flag("--check", check, "check the settings, say what is wrong with them, and exit");
+  app.add_flag("--check", check, "check the settings, print every problem found, and exit");
   app.footer(
       "Environment:\n  LOG_LEVEL   error, info (the default) or debug\n\nExit status: 0 on success, 1 if "
-      "the service cannot start, 2 for wrong settings.");
+      "the service cannot start, 2 for invalid settings.");
   CLI11_PARSE(app, argc, argv);
   if (!set_up_logging())
     return 2;
   const auto loaded = wingtrail::settings::load(config, tunables);
-  for (const std::string& p : loaded.problems)
-    std::cerr << "wingtrail: " << p << "\n";
+  for (const std::string& problem : loaded.problems)
+    std::cerr << "wingtrail: " << problem << "\n";
   if (!loaded.problems.empty())
     return 2;
   if (check) {
-    std::cout << "wingtrail: the settings of " << loaded.settings.node << " are in order\n";
+    std::cout << "wingtrail: the settings of " << loaded.settings.node << " are valid\n";
     return 0;
   }
   try {
     wingtrail::daemon::Daemon daemon(loaded.settings);
-    if (auto why = daemon.run()) {
-      std::cerr << "wingtrail: " << *why << "\n";
+    if (auto error = daemon.run()) {
+      std::cerr << "wingtrail: " << *error << "\n";
       return 1;
     }
   } catch (const std::exception& e) {
--- a/src/daemon/metrics_exporter.cpp
+++ b/src/daemon/metrics_exporter.cpp
@@ -10,7 +10,7 @@
 namespace wingtrail::daemon {
 namespace {
 
-// The metrics of one page, in the order in which they are added.
+// Collects the metrics of one response and renders them.
 class MetricsPage {
  public:
   void gauge(const char* name, const char* help, double value) {
@@ -20,7 +20,7 @@
     prometheus::BuildCounter().Name(name).Help(help).Register(registry_).Add({}).Increment(
         static_cast<double>(value));
   }
-  // A gauge with labels; the page owns it.
+  // Returns a family of gauges, to which the caller adds one gauge per set of labels. The page owns it.
   prometheus::Family<prometheus::Gauge>& gauges(const char* name, const char* help) {
     return prometheus::BuildGauge().Name(name).Help(help).Register(registry_);
   }
@@ -33,88 +33,106 @@
 };
 
 void add_request_metrics(const controller::Stats& stats, std::size_t client_connections, MetricsPage& page) {
-  page.gauge("wingtrail_leading", "1 if this node may give orders", stats.leading ? 1 : 0);
-  page.gauge("wingtrail_live_jobs", "jobs that are not over, as the leader knows them",
+  page.gauge("wingtrail_leading", "1 while this controller is the leader and may send commands",
+             stats.leading ? 1 : 0);
+  page.gauge("wingtrail_live_jobs", "jobs without a final state that the leader knows",
              static_cast<double>(stats.live_jobs));
   page.gauge("wingtrail_user_connections", "open connections of users and workers",
              static_cast<double>(client_connections));
-  page.counter("wingtrail_submissions_total", "submissions that came in", stats.submissions);
-  page.counter("wingtrail_admitted_total", "jobs this node accepted", stats.jobs_accepted);
-  page.counter("wingtrail_refused_total", "submissions refused for good", stats.submissions_refused);
-  page.counter("wingtrail_reports_total", "worker reports that came in", stats.heartbeats);
-  page.counter("wingtrail_forwarded_total", "requests handed on to peers", stats.forwarded_requests);
-  page.counter("wingtrail_jobs_done_total", "jobs completed while this node led", stats.jobs_done);
-  page.counter("wingtrail_jobs_cancelled_total", "jobs cancelled while this node led", stats.jobs_cancelled);
+  page.counter("wingtrail_submissions_total", "submissions received", stats.submissions);
+  page.counter("wingtrail_admitted_total", "jobs that this controller accepted", stats.jobs_accepted);
+  page.counter("wingtrail_refused_total", "submissions refused for good; deferred ones are not counted",
+               stats.submissions_refused);
+  page.counter("wingtrail_reports_total", "worker heartbeats received", stats.heartbeats);
+  page.counter("wingtrail_forwarded_total", "requests forwarded to other controllers",
+               stats.forwarded_requests);
+  page.counter("wingtrail_jobs_done_total", "jobs completed while this controller was the leader",
+               stats.jobs_done);
+  page.counter("wingtrail_jobs_cancelled_total", "jobs cancelled while this controller was the leader",
+               stats.jobs_cancelled);
   page.counter("wingtrail_state_calls_total", "requests to the state service", stats.state_requests);
-  page.counter("wingtrail_state_held_back_total", "requests to the state service held back by the budget",
+  page.counter("wingtrail_state_held_back_total",
+               "requests to the state service that were not sent because the budget share was used up",
                stats.state_throttled);
 }
 
 void add_leader_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.gauge("wingtrail_machines", "machines that are not gone, as the leader knows them",
-             static_cast<double>(stats.machines));
-  page.gauge("wingtrail_record_pages", "values that hold roster and progress",
+  page.gauge("wingtrail_machines", "machines in the leader's inventory", static_cast<double>(stats.machines));
+  page.gauge("wingtrail_record_pages", "inventory pages and completion pages in the state service",
              static_cast<double>(stats.record_pages));
   page.gauge("wingtrail_settled_after_seconds",
-             "from the take-over until every machine was accounted for; 0: not yet",
+             "seconds from the failover until every machine was accounted for; 0 until then",
              stats.reconciled_after_s);
-  page.counter("wingtrail_direct_calls_total", "calls to workers, beside answers to their reports",
+  page.counter("wingtrail_direct_calls_total", "calls to workers, apart from replies to their heartbeats",
                stats.direct_calls);
-  page.counter("wingtrail_deadlines_total", "deadlines of machines looked at", stats.deadline_checks);
-  page.counter("wingtrail_state_writes_total", "puts and deletes sent as leader", stats.state_writes);
-  page.counter("wingtrail_writes_of_ends_total", "of these, for jobs that are over",
+  page.counter("wingtrail_deadlines_total", "deadlines of machines checked", stats.deadline_checks);
+  page.counter("wingtrail_state_writes_total",
+               "puts and deletes that this controller sent to the state service as leader",
+               stats.state_writes);
+  page.counter("wingtrail_writes_of_ends_total", "puts and deletes sent as leader for final states of jobs",
                stats.final_states_written);
-  page.counter("wingtrail_writes_of_roster_total", "of these, pages of machines", stats.inventory_written);
-  page.counter("wingtrail_writes_of_progress_total", "of these, pages of completed tasks",
+  page.counter("wingtrail_writes_of_roster_total", "puts and deletes sent as leader for inventory pages",
+               stats.inventory_written);
+  page.counter("wingtrail_writes_of_progress_total", "puts and deletes sent as leader for completion pages",
                stats.completions_written);
-  page.counter("wingtrail_pages_divided_total", "pages found larger than may be written", stats.pages_split);
-  page.counter("wingtrail_writes_malformed_total", "transactions that the state service called malformed",
+  page.counter("wingtrail_pages_divided_total",
+               "record pages split because they were larger than the value limit", stats.pages_split);
+  page.counter("wingtrail_writes_malformed_total", "transactions that the state service refused as malformed",
                stats.malformed_commits);
 }
 
 void add_placement_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.gauge("wingtrail_held_jobs", "live jobs that wait for others", static_cast<double>(stats.held_jobs));
-  page.counter("wingtrail_chains_ready_total", "jobs whose needs were met", stats.dependencies_met);
-  page.counter("wingtrail_orphaned_total", "jobs cancelled with one that they need", stats.orphaned);
+  page.gauge("wingtrail_held_jobs", "live jobs that wait for their dependencies",
+             static_cast<double>(stats.held_jobs));
+  page.counter("wingtrail_chains_ready_total", "jobs whose dependencies are all done",
+               stats.dependencies_met);
+  page.counter("wingtrail_orphaned_total", "jobs cancelled because a dependency was cancelled",
+               stats.orphaned);
   page.counter("wingtrail_tasks_started_total", "tasks placed on machines", stats.tasks_started);
-  page.counter("wingtrail_tasks_preempted_total", "tasks stopped for work of higher priority",
+  page.counter("wingtrail_tasks_preempted_total", "tasks preempted by work of higher priority",
                stats.tasks_preempted);
-  page.counter("wingtrail_tasks_reclaimed_total", "tasks stopped for another team's guarantee",
+  page.counter("wingtrail_tasks_reclaimed_total", "tasks stopped to meet another team's guarantee",
                stats.tasks_reclaimed);
-  page.counter("wingtrail_machines_examined_total", "machines looked at to place tasks",
+  page.counter("wingtrail_machines_examined_total", "machines examined to place tasks",
                stats.machines_examined);
-  page.counter("wingtrail_jobs_examined_total", "jobs looked at to place tasks", stats.jobs_examined);
+  page.counter("wingtrail_jobs_examined_total", "jobs examined to place tasks", stats.jobs_examined);
 }
 
 void add_delegation_metrics(const controller::Stats& stats, MetricsPage& page) {
   page.counter("wingtrail_custody_answers_total",
-               "workers' reports answered without the right to give orders", stats.delegated_renewals);
-  page.counter("wingtrail_grants_total", "grants of custody given as leader", stats.delegations_granted);
-  page.counter("wingtrail_aborts_put_off_total", "cancellations put off because a task is out of reach",
+               "heartbeats answered by a controller that may not send commands, to renew the worker's lease",
+               stats.delegated_renewals);
+  page.counter("wingtrail_grants_total", "delegation grants that this controller issued as leader",
+               stats.delegations_granted);
+  page.counter("wingtrail_aborts_put_off_total",
+               "cancellations deferred because a task is on an unreachable machine",
                stats.cancellations_deferred);
 }
 
 void add_admission_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.counter("wingtrail_sheets_total", "sheets of jobs admitted together that this node sent",
-               stats.batches_created);
-  page.counter("wingtrail_admitted_on_sheets_total", "jobs this node accepted on them", stats.batched_jobs);
-  page.counter("wingtrail_sheets_swept_total", "sheets deleted because all their jobs were over",
+  page.counter("wingtrail_sheets_total", "job batches that this controller created", stats.batches_created);
+  page.counter("wingtrail_admitted_on_sheets_total", "jobs that this controller accepted in job batches",
+               stats.batched_jobs);
+  page.counter("wingtrail_sheets_swept_total", "job batches deleted because all their jobs had a final state",
                stats.records_deleted);
-  page.gauge("wingtrail_sheets", "sheets that this node knows of", static_cast<double>(stats.live_batches));
-  page.gauge("wingtrail_admissions_waiting", "submissions that wait for their turn at this node",
+  page.gauge("wingtrail_sheets", "job batches that this controller knows",
+             static_cast<double>(stats.live_batches));
+  page.gauge("wingtrail_admissions_waiting", "submissions waiting for admission at this controller",
              static_cast<double>(stats.admissions_waiting));
-  page.gauge("wingtrail_state_share", "of the state service's budget, what this node may use now",
-             stats.state_share);
-  page.gauge("wingtrail_state_asked", "of the state service's budget, what this node asks for lately",
+  page.gauge("wingtrail_state_share",
+             "share of the state service's write budget that this controller may use", stats.state_share);
+  page.gauge("wingtrail_state_asked",
+             "share of the state service's write budget that this controller recently requested",
              stats.state_demand);
   page.gauge("wingtrail_agreed_age_seconds",
-             "since the leader last said what this node may use; 0 at the leader", stats.loan_age_s);
+             "seconds since the leader last set this controller's budget share; 0 at the leader",
+             stats.loan_age_s);
 }
 
 void add_machine_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.counter("wingtrail_alarms_total", "times that every machine was asked whether it lives",
+  page.counter("wingtrail_alarms_total", "liveness sweeps: calls to every machine to check that it is alive",
                stats.liveness_sweeps);
-  page.counter("wingtrail_orders_total", "orders sent to workers", stats.commands_sent);
+  page.counter("wingtrail_orders_total", "commands sent to workers", stats.commands_sent);
   page.counter("wingtrail_commits_total", "transactions committed as leader", stats.commits);
   page.counter("wingtrail_machines_hired_total", "machines rented", stats.machines_rented);
   page.counter("wingtrail_machines_returned_total", "machines returned", stats.machines_returned);
@@ -122,16 +140,20 @@
 
 void add_class_load_metrics(const controller::Stats& stats, MetricsPage& page) {
   auto& held = page.gauges("wingtrail_class_cores", "cores in use, by team and class");
-  auto& waiting = page.gauges("wingtrail_class_waiting_cores", "cores that wait, by team and class");
-  auto& oldest =
-      page.gauges("wingtrail_class_longest_wait_seconds", "the longest wait of a job with tasks to start");
-  auto& offered =
-      page.gauges("wingtrail_class_offered_cores", "core-seconds of arrays that come in a second");
-  auto& surge = page.gauges("wingtrail_class_surge", "that, in terms of the usual");
+  auto& waiting = page.gauges("wingtrail_class_waiting_cores",
+                              "cores of tasks that wait to be placed, by team and class");
+  auto& oldest = page.gauges("wingtrail_class_longest_wait_seconds",
+                             "longest wait in seconds of a job with tasks to start, by team and class");
+  auto& offered = page.gauges("wingtrail_class_offered_cores",
+                              "recent arrivals of job arrays in core-seconds per second, by team and class");
+  auto& surge = page.gauges("wingtrail_class_surge",
+                            "recent rate of arrivals divided by the usual rate, by team and class");
   auto& served =
-      page.gauges("wingtrail_class_served_share", "jobs that got their work done, of those that should have");
-  auto& in_a_zone = page.gauges("wingtrail_class_most_in_one_zone",
-                                "the largest share of it that the loss of one zone takes");
+      page.gauges("wingtrail_class_served_share",
+                  "share of jobs that are done, among those that are done or late, by team and class");
+  auto& in_a_zone =
+      page.gauges("wingtrail_class_most_in_one_zone",
+                  "largest share of the cores in use that is in a single zone, by team and class");
   for (const controller::Stats::ClassLoad& load : stats.loads) {
     const prometheus::Labels labels{{"team", load.team}, {"class", load.job_class}};
     held.Add(labels).Set(load.cores_in_use);
@@ -145,88 +167,100 @@
 }
 
 void add_final_state_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.gauge("wingtrail_leader_token", "of the newest leadership that this node knows of",
+  page.gauge("wingtrail_leader_token", "highest fencing token of a leader that this controller knows",
              static_cast<double>(stats.leader_fencing_token));
-  auto& ends_waiting =
-      page.gauges("wingtrail_ends_waiting", "ends that are decided and not recorded, by kind");
-  auto& ends_oldest = page.gauges("wingtrail_ends_oldest_seconds", "since the oldest of them was decided");
-  auto& ends_recorded = page.gauges("wingtrail_ends_recorded", "ends recorded while this node led");
-  auto& ends_no_room =
-      page.gauges("wingtrail_ends_no_room", "transactions that had no room for some of them");
+  auto& records_waiting =
+      page.gauges("wingtrail_ends_waiting", "records that are decided and not written yet, by kind");
+  auto& records_oldest = page.gauges("wingtrail_ends_oldest_seconds",
+                                     "seconds since the oldest unwritten record was decided, by kind");
+  auto& records_written =
+      page.gauges("wingtrail_ends_recorded", "records written while this controller was the leader, by kind");
+  auto& records_deferred = page.gauges(
+      "wingtrail_ends_no_room", "transactions that were full before all waiting records fitted, by kind");
   for (std::size_t kind = 0; kind < stats.final_state_backlogs.size(); ++kind) {
     const prometheus::Labels labels{{"kind", jobs::name(static_cast<jobs::RecordKind>(kind))}};
-    ends_waiting.Add(labels).Set(static_cast<double>(stats.final_state_backlogs[kind].waiting));
-    ends_oldest.Add(labels).Set(stats.final_state_backlogs[kind].oldest_s);
-    ends_recorded.Add(labels).Set(static_cast<double>(stats.final_state_backlogs[kind].recorded));
-    ends_no_room.Add(labels).Set(static_cast<double>(stats.final_state_backlogs[kind].deferred));
+    records_waiting.Add(labels).Set(static_cast<double>(stats.final_state_backlogs[kind].waiting));
+    records_oldest.Add(labels).Set(stats.final_state_backlogs[kind].oldest_s);
+    records_written.Add(labels).Set(static_cast<double>(stats.final_state_backlogs[kind].recorded));
+    records_deferred.Add(labels).Set(static_cast<double>(stats.final_state_backlogs[kind].deferred));
   }
 }
 
 void add_deferral_metrics(const controller::Stats& stats, MetricsPage& page) {
-  auto& questions =
-      page.gauges("wingtrail_questions_put_off", "questions answered with \"come back later\", by why");
-  for (std::size_t why = 0; why < stats.queries_deferred.size(); ++why) {
-    questions.Add({{"why", controller::name(static_cast<controller::DeferralReason>(why))}})
-        .Set(static_cast<double>(stats.queries_deferred[why]));
+  auto& queries =
+      page.gauges("wingtrail_questions_put_off", "queries answered with a request to retry later, by reason");
+  for (std::size_t reason = 0; reason < stats.queries_deferred.size(); ++reason) {
+    queries.Add({{"why", controller::name(static_cast<controller::DeferralReason>(reason))}})
+        .Set(static_cast<double>(stats.queries_deferred[reason]));
   }
-  auto& deferred = page.gauges("wingtrail_put_off", "submissions that were put off since the process began");
-  for (const auto& [who, count] : stats.deferred_by_class)
-    deferred.Add({{"team", who.first}, {"class", who.second}}).Set(static_cast<double>(count));
+  auto& deferred =
+      page.gauges("wingtrail_put_off", "submissions deferred since the process started, by team and class");
+  for (const auto& [team_and_class, count] : stats.deferred_by_class)
+    deferred.Add({{"team", team_and_class.first}, {"class", team_and_class.second}})
+        .Set(static_cast<double>(count));
 }
 
 void add_zone_metrics(const controller::Stats& stats, MetricsPage& page) {
   auto& zones = page.gauges("wingtrail_zone_cores", "cores in use, by zone");
   for (const auto& [zone, cores] : stats.cores_by_zone)
     zones.Add({{"zone", zone}}).Set(cores);
-  auto& states = page.gauges("wingtrail_zone_state", "1 for the state that each zone is in");
+  auto& states = page.gauges("wingtrail_zone_state", "1 for the current state of each zone");
   for (const auto& [zone, state] : stats.zone_states)
     states.Add({{"zone", zone}, {"state", state}}).Set(1);
-  page.counter("wingtrail_zones_lost_total", "zones whose leases ran out while they were out of reach",
-               stats.zones_lost);
-  page.counter("wingtrail_zones_back_total", "zones that came back", stats.zones_returned);
+  page.counter("wingtrail_zones_lost_total",
+               "zones whose worker leases expired while the zone was unreachable", stats.zones_lost);
+  page.counter("wingtrail_zones_back_total", "lost zones that became reachable again", stats.zones_returned);
 }
 
 void add_waiting_metrics(const controller::Stats& stats, MetricsPage& page) {
-  auto& reasons = page.gauges("wingtrail_waiting_for_cores", "cores that wait, by what holds them back");
-  for (const auto& [why, cores] : stats.waiting_cores_by_reason)
-    reasons.Add({{"why", why}}).Set(cores);
+  auto& reasons = page.gauges("wingtrail_waiting_for_cores",
+                              "cores of tasks that wait to be placed, by the filter that rejects them");
+  for (const auto& [reason, cores] : stats.waiting_cores_by_reason)
+    reasons.Add({{"why", reason}}).Set(cores);
 }
 
 void add_cell_metrics(const controller::Stats& stats, MetricsPage& page) {
   if (stats.cells.empty())
     return;
-  auto& away =
-      page.gauges("wingtrail_cell_jobs_away", "jobs of this cell that a neighbour holds, or may hold");
-  auto& heard =
-      page.gauges("wingtrail_cell_heard_seconds", "since this node, leading, heard of the neighbour");
-  auto& takes =
-      page.gauges("wingtrail_cell_takes_cores", "cores of work that the neighbour last said it takes");
-  auto& wait = page.gauges("wingtrail_cell_wait_seconds", "until such work would begin there");
+  auto& remote_jobs = page.gauges("wingtrail_cell_jobs_away",
+                                  "remote jobs: jobs of this cell that the neighbour holds, or may hold");
+  auto& digest_age =
+      page.gauges("wingtrail_cell_heard_seconds",
+                  "seconds since this controller, as leader, last received the neighbour's capacity digest");
+  auto& accepts_cores =
+      page.gauges("wingtrail_cell_takes_cores",
+                  "cores of offloaded work that the neighbour accepts, by its last capacity digest");
+  auto& wait =
+      page.gauges("wingtrail_cell_wait_seconds",
+                  "seconds until offloaded work would start there, by the neighbour's last capacity digest");
   for (const controller::Stats::CellLoad& load : stats.cells) {
     const prometheus::Labels labels{{"cell", load.name}};
-    away.Add(labels).Set(load.remote_jobs);
-    heard.Add(labels).Set(load.digest_age_s);
-    takes.Add(labels).Set(load.accepts_cores);
+    remote_jobs.Add(labels).Set(load.remote_jobs);
+    digest_age.Add(labels).Set(load.digest_age_s);
+    accepts_cores.Add(labels).Set(load.accepts_cores);
     wait.Add(labels).Set(load.wait_s);
   }
-  page.counter("wingtrail_cells_handed_on_total", "jobs handed on to other cells", stats.jobs_offloaded);
-  page.counter("wingtrail_cells_handed_back_total", "of these, home again", stats.remote_jobs_returned);
-  page.counter("wingtrail_cells_done_away_total", "of these, done elsewhere", stats.remote_jobs_done);
-  page.counter("wingtrail_cells_guests_taken_total", "jobs of other cells that were taken",
-               stats.offers_accepted);
-  page.counter("wingtrail_cells_guests_refused_total", "jobs of other cells that were not",
-               stats.offers_refused);
-  page.counter("wingtrail_cells_guests_over_total", "jobs of other cells that ended here",
+  page.counter("wingtrail_cells_handed_on_total", "jobs offloaded to other cells", stats.jobs_offloaded);
+  page.counter("wingtrail_cells_handed_back_total", "offloaded jobs that this cell schedules again itself",
+               stats.remote_jobs_returned);
+  page.counter("wingtrail_cells_done_away_total", "offloaded jobs completed by other cells",
+               stats.remote_jobs_done);
+  page.counter("wingtrail_cells_guests_taken_total", "foreign jobs accepted", stats.offers_accepted);
+  page.counter("wingtrail_cells_guests_refused_total", "foreign jobs refused", stats.offers_refused);
+  page.counter("wingtrail_cells_guests_over_total", "foreign jobs that reached a final state here",
                stats.offered_jobs_ended);
-  page.counter("wingtrail_cells_fences_total", "jobs recorded as never to run here", stats.tombstones);
+  page.counter("wingtrail_cells_fences_total",
+               "tombstones written: offloaded jobs recorded as never to run here", stats.tombstones);
 }
 
 void add_migration_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.gauge("wingtrail_slow_machines", "machines whose tasks take much longer than others of their jobs",
+  page.gauge("wingtrail_slow_machines",
+             "machines whose tasks take much longer than other tasks of the same jobs",
              static_cast<double>(stats.slow_machines));
-  page.counter("wingtrail_moves_total", "moves of running tasks that were begun", stats.migrations_begun);
-  page.counter("wingtrail_moves_failed_total", "of these, given up", stats.migrations_failed);
-  page.gauge("wingtrail_moves_lost_seconds", "run time that moves threw away", stats.migrations_lost_work_s);
+  page.counter("wingtrail_moves_total", "migrations of running tasks begun", stats.migrations_begun);
+  page.counter("wingtrail_moves_failed_total", "migrations given up", stats.migrations_failed);
+  page.gauge("wingtrail_moves_lost_seconds", "seconds of run time that migrations lost",
+             stats.migrations_lost_work_s);
 }
 
 }  // namespace
--- a/src/daemon/metrics_exporter.hpp
+++ b/src/daemon/metrics_exporter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The metrics page in Prometheus' text format. The only place that knows the names of the metrics.
+/// Renders the statistics of a controller in the Prometheus text format. Defines the names of all metrics.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,8 @@
 
 namespace wingtrail::daemon {
 
-/// Renders a controller's statistics, and the number of connections that users and workers have open.
+/// Returns the body of a response to GET /metrics. `client_connections` is the number of open connections of
+/// users and workers.
 std::string render_metrics(const controller::Stats& stats, std::size_t client_connections);
 
 }  // namespace wingtrail::daemon
