--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -18,10 +18,10 @@
   return static_cast<double>(ts.tv_sec) + static_cast<double>(ts.tv_nsec) * 1e-9;
 }
 
-void Waiter::arm(EventLoop& loop, TaskScope& scope, Seconds deadline, std::coroutine_handle<> h) {
+void Waiter::arm(EventLoop& loop, TaskScope& scope, Seconds deadline, std::coroutine_handle<> handle) {
   loop_ = &loop;
   scope_ = &scope;
-  handle_ = h;
+  handle_ = handle;
   pending_ = true;
   previous_ = nullptr;
   next_ = scope.first_;
@@ -36,12 +36,12 @@
   }
 }
 
-// Resumption is queued, never nested: a routine is not re-entered from the code that woke it.
-void Waiter::wake(WakeReason how) {
+// The coroutine is queued, not resumed here, so that it is never entered from within the code that wakes it.
+void Waiter::wake(WakeReason reason) {
   if (!pending_)
     return;
   pending_ = false;
-  reason_ = how;
+  reason_ = reason;
   (previous_ ? previous_->next_ : scope_->first_) = next_;
   if (next_)
     next_->previous_ = previous_;
@@ -64,35 +64,35 @@
   }
   table_index_ = loop_.free_entries_.back();
   loop_.free_entries_.pop_back();
-  EventLoop::SocketEntry& place = loop_.sockets_[table_index_];
-  place.io = this;
-  ++place.uses;
-  epoll_event ev{};
-  ev.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  ev.data.u64 = static_cast<std::uint64_t>(place.uses) << 32 | table_index_;
-  epoll_ctl(loop_.epoll_, EPOLL_CTL_ADD, fd_, &ev);
+  EventLoop::SocketEntry& entry = loop_.sockets_[table_index_];
+  entry.socket = this;
+  ++entry.generation;
+  epoll_event event{};
+  event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
+  event.data.u64 = static_cast<std::uint64_t>(entry.generation) << 32 | table_index_;
+  epoll_ctl(loop_.epoll_, EPOLL_CTL_ADD, fd_, &event);
 }
 
 Socket::~Socket() {
-  loop_.sockets_[table_index_].io = nullptr;
+  loop_.sockets_[table_index_].socket = nullptr;
   loop_.free_entries_.push_back(table_index_);
   close(fd_);
 }
 
-bool Socket::Ready::await_ready() {
-  const bool ready = write_ ? io_.writable_ : io_.readable_;
+bool Socket::ReadyWaiter::await_ready() {
+  const bool ready = write_ ? socket_.writable_ : socket_.readable_;
   return ready && !owner_.cancelled();
 }
 
-void Socket::Ready::await_suspend(std::coroutine_handle<> h) {
-  (write_ ? io_.writer_ : io_.reader_) = this;
-  arm(io_.loop_, owner_, deadline_, h);
+void Socket::ReadyWaiter::await_suspend(std::coroutine_handle<> handle) {
+  (write_ ? socket_.writer_ : socket_.reader_) = this;
+  arm(socket_.loop_, owner_, deadline_, handle);
 }
 
-WakeReason Socket::Ready::await_resume() {
-  Waiter*& place = write_ ? io_.writer_ : io_.reader_;
-  if (place == this)
-    place = nullptr;
+WakeReason Socket::ReadyWaiter::await_resume() {
+  Waiter*& waiter = write_ ? socket_.writer_ : socket_.reader_;
+  if (waiter == this)
+    waiter = nullptr;
   return owner_.cancelled() ? WakeReason::cancelled : reason_;
 }
 
@@ -109,13 +109,15 @@
   while (!ready_.empty()) {
     std::vector<std::coroutine_handle<>> batch;
     batch.swap(ready_);
-    for (auto h : batch)
-      h.resume();
+    for (auto handle : batch)
+      handle.resume();
   }
 }
 
 void EventLoop::run() {
-  epoll_event events[128];
+  constexpr int kEventBatch = 128;
+  constexpr double kMaxWaitMs = 60'000;
+  epoll_event events[kEventBatch];
   while (!stopped_) {
     resume_ready();
     Seconds wake = before_sleep_ ? before_sleep_() : INFINITY;
@@ -127,27 +129,27 @@
       wake = std::min(wake, timers_.begin()->first);
     int timeout = -1;
     if (std::isfinite(wake)) {
-      timeout = static_cast<int>(std::clamp(std::ceil((wake - now_) * 1000.0), 0.0, 60'000.0));
+      timeout = static_cast<int>(std::clamp(std::ceil((wake - now_) * 1000.0), 0.0, kMaxWaitMs));
     }
-    const int n = epoll_wait(epoll_, events, 128, timeout);
+    const int event_count = epoll_wait(epoll_, events, kEventBatch, timeout);
     refresh();
-    for (int i = 0; i < n; ++i) {
-      const SocketEntry& place = sockets_[static_cast<std::uint32_t>(events[i].data.u64)];
-      Socket* io = place.io;
-      if (!io || place.uses != events[i].data.u64 >> 32)
+    for (int i = 0; i < event_count; ++i) {
+      const SocketEntry& entry = sockets_[static_cast<std::uint32_t>(events[i].data.u64)];
+      Socket* socket = entry.socket;
+      if (!socket || entry.generation != events[i].data.u64 >> 32)
         continue;
-      const std::uint32_t e = events[i].events;
-      if (e & (EPOLLRDHUP | EPOLLHUP | EPOLLERR))
-        io->hung_up_ = true;
-      if (e & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-        io->readable_ = true;
-        if (io->reader_)
-          io->reader_->wake(WakeReason::ready);
+      const std::uint32_t flags = events[i].events;
+      if (flags & (EPOLLRDHUP | EPOLLHUP | EPOLLERR))
+        socket->hung_up_ = true;
+      if (flags & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
+        socket->readable_ = true;
+        if (socket->reader_)
+          socket->reader_->wake(WakeReason::ready);
       }
-      if (e & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
-        io->writable_ = true;
-        if (io->writer_)
-          io->writer_->wake(WakeReason::ready);
+      if (flags & (EPOLLOUT | EPOLLHUP | EPOLLERR)) {
+        socket->writable_ = true;
+        if (socket->writer_)
+          socket->writer_->wake(WakeReason::ready);
       }
     }
     while (!timers_.empty() && timers_.begin()->first <= now_)
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,4 +1,5 @@
-// The event loop: epoll, timers, and the waits that routines suspend on.
+/// @file
+/// The event loop: epoll, timers, and the awaitables that coroutines suspend on.
 #pragma once
 
 #include <coroutine>
@@ -12,17 +13,21 @@
 namespace wingtrail::net {
 
 using Seconds = double;
+/// The time of the monotonic clock, in seconds.
 Seconds steady_now();
 
+/// Why a suspended coroutine was resumed.
 enum class WakeReason : std::uint8_t { ready, timeout, cancelled };
 
 class EventLoop;
 
-// Something a routine is suspended on. Registered with its scope until it wakes.
+/// Base of the awaitables: a coroutine is suspended on it from arm() until wake(). Registered with its scope
+/// for that time.
 class Waiter {
  public:
   virtual ~Waiter() = default;
-  void wake(WakeReason how);
+  /// Queues the coroutine for resumption. Does nothing if the waiter is not pending.
+  void wake(WakeReason reason);
   bool pending() const {
     return pending_;
   }
@@ -30,7 +35,9 @@
  protected:
   friend class EventLoop;
   friend class TaskScope;
-  void arm(EventLoop& loop, class TaskScope& scope, Seconds deadline, std::coroutine_handle<> h);
+  /// Registers the suspended coroutine. At the deadline it is woken with `timeout`; an infinite deadline sets
+  /// no timer.
+  void arm(EventLoop& loop, class TaskScope& scope, Seconds deadline, std::coroutine_handle<> handle);
 
   EventLoop* loop_ = nullptr;
   class TaskScope* scope_ = nullptr;
@@ -38,11 +45,12 @@
   std::multimap<Seconds, Waiter*>::iterator timer_;
   bool has_timer_ = false, pending_ = false;
   WakeReason reason_ = WakeReason::ready;
-  Waiter* previous_ = nullptr;  // in its scope's list
+  Waiter* previous_ = nullptr;  ///< in the list of its scope
   Waiter* next_ = nullptr;
 };
 
-// The waits of a family of routines. cancel() wakes all of them, now and from then on.
+/// A group of coroutines that are cancelled together. cancel() wakes all waiters of the scope; any later wait
+/// in it returns `cancelled` as well.
 class TaskScope {
  public:
   explicit TaskScope(EventLoop& loop) : loop_(loop) {}
@@ -66,9 +74,11 @@
   bool cancelled_ = false;
 };
 
-// A non-blocking socket registered once, edge-triggered: fewer system calls than re-arming for each wait.
+/// Owns a non-blocking socket. It is registered with epoll once, edge-triggered, which takes fewer system
+/// calls than registering it again for each wait. At most one coroutine may wait to read, and one to write.
 class Socket {
  public:
+  /// Takes ownership of `fd`.
   Socket(EventLoop& loop, int fd);
   ~Socket();
   Socket(const Socket&) = delete;
@@ -76,37 +86,42 @@
   int fd() const {
     return fd_;
   }
+  /// The other side has closed the connection, or it failed.
   bool hung_up() const {
     return hung_up_;
   }
+  /// Data, a hang-up or an error was signalled since the last mark_not_readable().
   bool readable() const {
     return readable_;
   }
 
-  class Ready : public Waiter {
+  class ReadyWaiter : public Waiter {
    public:
-    Ready(Socket& io, TaskScope& scope, bool write, Seconds deadline)
-        : io_(io), owner_(scope), write_(write), deadline_(deadline) {}
+    ReadyWaiter(Socket& socket, TaskScope& scope, bool write, Seconds deadline)
+        : socket_(socket), owner_(scope), write_(write), deadline_(deadline) {}
     bool await_ready();
-    void await_suspend(std::coroutine_handle<> h);
+    void await_suspend(std::coroutine_handle<> handle);
     WakeReason await_resume();
 
    private:
-    Socket& io_;
+    Socket& socket_;
     TaskScope& owner_;
     bool write_;
     Seconds deadline_;
   };
-  Ready wait_readable(TaskScope& scope, Seconds deadline) {
+  ReadyWaiter wait_readable(TaskScope& scope, Seconds deadline) {
     return {*this, scope, false, deadline};
   }
-  Ready wait_writable(TaskScope& scope, Seconds deadline) {
+  ReadyWaiter wait_writable(TaskScope& scope, Seconds deadline) {
     return {*this, scope, true, deadline};
   }
-  void drained() {
+  /// To be called when a read found no more data. A socket that has hung up stays readable, because epoll
+  /// signals the hang-up only once.
+  void mark_not_readable() {
     readable_ = hung_up_;
-  }  // a hang-up stays readable: its edge comes only once
-  void filled() {
+  }
+  /// To be called when a write found the send buffer full.
+  void mark_not_writable() {
     writable_ = false;
   }
 
@@ -114,20 +129,21 @@
   friend class EventLoop;
   EventLoop& loop_;
   int fd_;
-  std::uint32_t table_index_ = 0;  // in the loop's table
+  std::uint32_t table_index_ = 0;  ///< in the loop's table of sockets
   bool readable_ = false, writable_ = false, hung_up_ = false;
   Waiter* reader_ = nullptr;
   Waiter* writer_ = nullptr;
 };
 
+/// Suspends a coroutine until a time of the loop's clock.
 class Sleep : public Waiter {
  public:
   Sleep(TaskScope& scope, Seconds until) : owner_(scope), until_(until) {}
   bool await_ready() const {
     return false;
   }
-  void await_suspend(std::coroutine_handle<> h) {
-    arm(owner_.loop(), owner_, until_, h);
+  void await_suspend(std::coroutine_handle<> handle) {
+    arm(owner_.loop(), owner_, until_, handle);
   }
   WakeReason await_resume() const {
     return reason_;
@@ -138,7 +154,8 @@
   Seconds until_;
 };
 
-// A value that one side sets once and one routine waits for.
+/// A value that is set once and that one coroutine waits for. The wait returns no value if the deadline
+/// passes or the scope is cancelled first.
 template <typename T>
 class OneShot {
  public:
@@ -149,9 +166,9 @@
     bool await_ready() const {
       return slot_.value_.has_value();
     }
-    void await_suspend(std::coroutine_handle<> h) {
+    void await_suspend(std::coroutine_handle<> handle) {
       slot_.waiter_ = this;
-      arm(owner_.loop(), owner_, deadline_, h);
+      arm(owner_.loop(), owner_, deadline_, handle);
     }
     std::optional<T> await_resume() {
       slot_.waiter_ = nullptr;
@@ -163,8 +180,8 @@
     TaskScope& owner_;
     Seconds deadline_;
   };
-  void set(T v) {
-    value_ = std::move(v);
+  void set(T value) {
+    value_ = std::move(value);
     if (waiter_)
       waiter_->wake(WakeReason::ready);
   }
@@ -177,26 +194,31 @@
   ValueWaiter* waiter_ = nullptr;
 };
 
+/// Runs coroutines on one thread: resumes them when their sockets are ready or their timers expire.
 class EventLoop {
  public:
+  /// Throws std::system_error if epoll is not available.
   EventLoop();
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
-  // The time as of the last look at the clock: one look per round of events.
+  /// The time when the clock was last read: after each wait for events, and at each refresh().
   Seconds now() const {
     return now_;
   }
+  /// Reads the clock and returns the time.
   Seconds refresh() {
     return now_ = steady_now();
   }
+  /// Runs until stop() is called.
   void run();
   void stop() {
     stopped_ = true;
   }
-  // Runs before the loop sleeps; returns when it wants to run again at the latest.
-  void before_sleep(std::function<Seconds()> fn) {
-    before_sleep_ = std::move(fn);
+  /// Sets a function that runs before each wait for events. It returns the time at which it has to run again
+  /// at the latest.
+  void before_sleep(std::function<Seconds()> callback) {
+    before_sleep_ = std::move(callback);
   }
 
  private:
@@ -209,11 +231,11 @@
   bool stopped_ = false;
   std::multimap<Seconds, Waiter*> timers_;
   std::vector<std::coroutine_handle<>> ready_;
-  // A routine that runs in this round may close an Io whose event is still to come, and another may open one
-  // in its place; the count tells them apart.
+  // While a batch of events is handled, a coroutine may close a socket whose event is later in the batch, and
+  // another may open a socket in the same entry. The generation tells the two sockets apart.
   struct SocketEntry {
-    Socket* io = nullptr;
-    std::uint32_t uses = 0;
+    Socket* socket = nullptr;
+    std::uint32_t generation = 0;
   };
   std::vector<SocketEntry> sockets_;
   std::vector<std::uint32_t> free_entries_;
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -10,69 +10,69 @@
 namespace wingtrail::net {
 
 std::optional<sockaddr_in> ipv4_address(const std::string& host, std::uint16_t port) {
-  sockaddr_in sa{};
-  sa.sin_family = AF_INET;
-  sa.sin_port = htons(port);
-  if (inet_pton(AF_INET, host.c_str(), &sa.sin_addr) != 1)
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  if (inet_pton(AF_INET, host.c_str(), &address.sin_addr) != 1)
     return std::nullopt;
-  return sa;
+  return address;
 }
 
 void set_nodelay(int fd) {
-  const int one = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+  const int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
-Task<ReadResult> read_message(Socket& io, TaskScope& scope, HttpParser& parser, Seconds first_byte,
-                              Seconds message_s) {
-  // One buffer for all routines: nothing is kept in it across a wait, and a frame of its own for each of a
-  // thousand idle connections would be many megabytes.
+Task<ReadResult> read_message(Socket& socket, TaskScope& scope, HttpParser& parser,
+                              Seconds first_byte_deadline, Seconds message_s) {
+  // All coroutines share one buffer, as nothing is kept in it across a wait. A buffer in each coroutine frame
+  // would take many megabytes with a thousand idle connections.
   static thread_local char buffer[kReadChunkBytes];
-  Seconds deadline = first_byte;
+  Seconds deadline = first_byte_deadline;
   while (!parser.complete) {
-    const WakeReason woke = co_await io.wait_readable(scope, deadline);
-    if (woke != WakeReason::ready)
+    const WakeReason reason = co_await socket.wait_readable(scope, deadline);
+    if (reason != WakeReason::ready)
       co_return ReadResult::timeout;
-    const ssize_t n = recv(io.fd(), buffer, sizeof buffer, 0);
-    if (n < 0 && errno == EINTR)
+    const ssize_t received = recv(socket.fd(), buffer, sizeof buffer, 0);
+    if (received < 0 && errno == EINTR)
       continue;
-    if (n < 0 && errno == EAGAIN) {
-      // After a hang-up the flag would stay set; an empty socket then has nothing more to say.
-      if (io.hung_up())
+    if (received < 0 && errno == EAGAIN) {
+      // A socket that has hung up stays readable, so waiting again would loop; no more data can arrive.
+      if (socket.hung_up())
         co_return ReadResult::closed;
-      io.drained();
+      socket.mark_not_readable();
       continue;
     }
-    if (n <= 0) {
-      if (n == 0 && parser.started)
-        parser.feed(nullptr, 0);  // a body that ends with the connection
+    if (received <= 0) {
+      if (received == 0 && parser.started)
+        parser.feed(nullptr, 0);  // a body without a length ends with the connection
       co_return parser.complete ? ReadResult::message : ReadResult::closed;
     }
-    if (static_cast<std::size_t>(n) < sizeof buffer)
-      io.drained();
-    const bool had_begun = parser.started;
-    if (!parser.feed(buffer, static_cast<std::size_t>(n)))
+    if (static_cast<std::size_t>(received) < sizeof buffer)
+      socket.mark_not_readable();
+    const bool had_started = parser.started;
+    if (!parser.feed(buffer, static_cast<std::size_t>(received)))
       co_return ReadResult::bad;
-    if (parser.started && !had_begun && std::isfinite(message_s))
+    if (parser.started && !had_started && std::isfinite(message_s))
       deadline = scope.loop().now() + message_s;
   }
   co_return ReadResult::message;
 }
 
-Task<bool> write_all(Socket& io, TaskScope& scope, std::string bytes, Seconds deadline) {
+Task<bool> write_all(Socket& socket, TaskScope& scope, std::string bytes, Seconds deadline) {
   std::size_t sent = 0;
   while (sent < bytes.size()) {
-    const ssize_t n = send(io.fd(), bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-    if (n > 0) {
-      sent += static_cast<std::size_t>(n);
+    const ssize_t written = send(socket.fd(), bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+    if (written > 0) {
+      sent += static_cast<std::size_t>(written);
       continue;
     }
-    if (n < 0 && errno == EINTR)
+    if (written < 0 && errno == EINTR)
       continue;
-    if (n < 0 && errno == EAGAIN) {
-      io.filled();
-      const WakeReason woke = co_await io.wait_writable(scope, deadline);
-      if (woke != WakeReason::ready)
+    if (written < 0 && errno == EAGAIN) {
+      socket.mark_not_writable();
+      const WakeReason reason = co_await socket.wait_writable(scope, deadline);
+      if (reason != WakeReason::ready)
         co_return false;
       continue;
     }
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The messages of HTTP/1.1; bodies are opaque bytes here.
+/// HTTP/1.1 requests and responses. Bodies are opaque bytes in this package.
 #pragma once
 
 #include <optional>
@@ -7,12 +7,12 @@
 
 namespace wingtrail::net {
 
-/// A request, as received or to be sent.
+/// A request received or to be sent. `target` is the path with its query.
 struct Request {
   std::string method, target, body;
 };
 
-/// The answer to a request that came in.
+/// The response to a received request.
 struct Response {
   int status = 200;
   std::string body;
@@ -21,7 +21,7 @@
   std::optional<int> retry_after_s;
 };
 
-/// The words that go with a status.
+/// The reason phrase of the status line; "Status" for a status that this server does not send.
 const char* reason_phrase(int status);
 
 }  // namespace wingtrail::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -12,16 +12,20 @@
 namespace wingtrail::net {
 namespace {
 
-std::string render(const Response& r, bool keep_alive) {
-  std::string out = "HTTP/1.1 " + std::to_string(r.status) + " " + reason_phrase(r.status) + "\r\n";
-  if (!r.body.empty())
-    out += "Content-Type: " + r.content_type + "\r\n";
-  if (r.retry_after_s)
-    out += "Retry-After: " + std::to_string(*r.retry_after_s) + "\r\n";
+constexpr int kListenBacklog = 512;  // connections
+constexpr Seconds kAcceptRetryS = 0.1;
+
+std::string render(const Response& response, bool keep_alive) {
+  std::string text =
+      "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) + "\r\n";
+  if (!response.body.empty())
+    text += "Content-Type: " + response.content_type + "\r\n";
+  if (response.retry_after_s)
+    text += "Retry-After: " + std::to_string(*response.retry_after_s) + "\r\n";
   if (!keep_alive)
-    out += "Connection: close\r\n";
-  out += "Content-Length: " + std::to_string(r.body.size()) + "\r\n\r\n";
-  return out + r.body;
+    text += "Connection: close\r\n";
+  text += "Content-Length: " + std::to_string(response.body.size()) + "\r\n\r\n";
+  return text + response.body;
 }
 
 }  // namespace
@@ -60,19 +64,20 @@
     : scope_(scope), host_(std::move(host)), port_(port), limits_(limits), handler_(std::move(handler)) {}
 
 std::optional<std::string> HttpServer::listen() {
-  const std::string where = host_ + ":" + std::to_string(port_);
-  auto sa = ipv4_address(host_, port_);
-  if (!sa)
-    return where + ": not an IPv4 address";
+  const std::string endpoint = host_ + ":" + std::to_string(port_);
+  auto address = ipv4_address(host_, port_);
+  if (!address)
+    return endpoint + ": not an IPv4 address";
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
-    return where + ": " + std::strerror(errno);
-  const int one = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  if (bind(fd, reinterpret_cast<sockaddr*>(&*sa), sizeof *sa) != 0 || ::listen(fd, 512) != 0) {
-    std::string why = where + ": " + std::strerror(errno);
+    return endpoint + ": " + std::strerror(errno);
+  const int enabled = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (bind(fd, reinterpret_cast<sockaddr*>(&*address), sizeof *address) != 0 ||
+      ::listen(fd, kListenBacklog) != 0) {
+    std::string error = endpoint + ": " + std::strerror(errno);
     ::close(fd);
-    return why;
+    return error;
   }
   listener_ = std::make_unique<Socket>(scope_.loop(), fd);
   accept_loop();
@@ -83,7 +88,7 @@
   while (!scope_.cancelled()) {
     const int fd = accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      // Beyond the bounds a connection is refused at once, which sends its user to another node.
+      // Closing a connection beyond the limits at once makes its user try another controller.
       if (open_ >= limits_.max_connections + limits_.spare) {
         ::close(fd);
       } else {
@@ -94,28 +99,28 @@
     }
     if (errno == EINTR || errno == ECONNABORTED)
       continue;
-    if (errno != EAGAIN) {  // out of descriptors: those in use will come free
-      co_await Sleep(scope_, scope_.loop().now() + 0.1);
+    if (errno != EAGAIN) {  // out of file descriptors or memory, until connections are closed
+      co_await Sleep(scope_, scope_.loop().now() + kAcceptRetryS);
       continue;
     }
-    listener_->drained();
+    listener_->mark_not_readable();
     co_await listener_->wait_readable(scope_, INFINITY);
   }
 }
 
 DetachedTask HttpServer::serve(int fd) {
   ++open_;
-  Socket io(scope_.loop(), fd);
+  Socket socket(scope_.loop(), fd);
   HttpParser parser(HTTP_REQUEST, limits_.max_header, limits_.max_body);
   while (!scope_.cancelled()) {
     parser.reset(HTTP_REQUEST);
-    const ReadResult result =
-        co_await read_message(io, scope_, parser, scope_.loop().now() + limits_.idle_s, limits_.request_s);
+    const ReadResult result = co_await read_message(socket, scope_, parser,
+                                                    scope_.loop().now() + limits_.idle_s, limits_.request_s);
     if (result != ReadResult::message) {
       if (result == ReadResult::bad) {
         Response refusal;
         refusal.status = parser.too_large ? 413 : 400;
-        co_await write_all(io, scope_, render(refusal, false), scope_.loop().now() + limits_.request_s);
+        co_await write_all(socket, scope_, render(refusal, false), scope_.loop().now() + limits_.request_s);
       }
       break;
     }
@@ -124,11 +129,11 @@
     const Response response = co_await handler_(std::move(request));
     if (scope_.cancelled())
       break;
-    // Health checks and users get their answers even when every socket that may stay is taken.
-    const bool keep = parser.keep_alive && open_ <= limits_.max_connections;
-    const bool written =
-        co_await write_all(io, scope_, render(response, keep), scope_.loop().now() + limits_.request_s);
-    if (!written || !keep)
+    // Beyond the limit, health checks and users still get a response, but the connection is closed after it.
+    const bool keep_alive = parser.keep_alive && open_ <= limits_.max_connections;
+    const bool written = co_await write_all(socket, scope_, render(response, keep_alive),
+                                            scope_.loop().now() + limits_.request_s);
+    if (!written || !keep_alive)
       break;
   }
   --open_;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -13,27 +13,28 @@
 
 namespace wingtrail::net {
 
-/// The bounds of a server: sizes in bytes, times in seconds.
+/// The limits of a server. Sizes are in bytes, times in seconds.
 struct ServerLimits {
   std::size_t max_body = 64UL * 1024;
   std::size_t max_header = 8UL * 1024;
-  // Beyond this many a connection gets one answer and is closed; beyond `spare` more it is refused at once.
+  /// A connection beyond this many gets one response and is closed. When `spare` more are open as well,
+  /// further connections are closed on arrival.
   std::size_t max_connections = 1000;
   std::size_t spare = 0;
-  Seconds idle_s = 75;     // between requests
-  Seconds request_s = 10;  // from a request's first byte to its last, and for writing an answer
+  Seconds idle_s = 75;     ///< longest wait for the next request on a connection
+  Seconds request_s = 10;  ///< longest time from a request's first byte to its last, and to write a response
 };
 
 /// Serves HTTP/1.1 with one coroutine per connection.
 class HttpServer {
  public:
-  /// Answers one request.
+  /// Returns the response to one request.
   using Handler = std::function<Task<Response>(Request)>;
-  /// Opens nothing yet. The scope must outlive the server.
+  /// Opens no socket yet; `host` is an IPv4 address. The scope must outlive the server.
   HttpServer(TaskScope& scope, std::string host, std::uint16_t port, ServerLimits limits, Handler handler);
-  /// Begins to accept connections; returns an error text if it cannot.
+  /// Starts to accept connections. Returns an error text if the listening socket cannot be opened.
   std::optional<std::string> listen();
-  /// How many connections are open.
+  /// The number of open connections.
   std::size_t connections() const {
     return open_;
   }
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Coroutine types: Task<T> is a step that somebody awaits, DetachedTask one that runs by itself.
+/// Coroutine types: a Task<T> runs when another coroutine awaits it, a DetachedTask runs on its own.
 #pragma once
 
 #include <coroutine>
@@ -29,18 +29,18 @@
         bool await_ready() noexcept {
           return false;
         }
-        std::coroutine_handle<> await_suspend(std::coroutine_handle<promise_type> h) noexcept {
-          return h.promise().waiter;
+        std::coroutine_handle<> await_suspend(std::coroutine_handle<promise_type> handle) noexcept {
+          return handle.promise().waiter;
         }
         void await_resume() noexcept {}
       };
       return ResumeWaiter{};
     }
-    void return_value(T v) {
-      value = std::move(v);
+    void return_value(T result) {
+      value = std::move(result);
     }
-    // Errors travel as values here; an exception that gets this far is a defect, and a clean end beats a
-    // controller that goes on half alive.
+    // Errors are returned as values, so an exception that reaches this point is a defect. Terminating is
+    // safer than a controller that continues with some of its coroutines dead.
     void unhandled_exception() {
       std::terminate();
     }
@@ -64,13 +64,13 @@
   }
 
  private:
-  explicit Task(std::coroutine_handle<promise_type> h) : handle_(h) {}
+  explicit Task(std::coroutine_handle<promise_type> handle) : handle_(handle) {}
   std::coroutine_handle<promise_type> handle_;
 };
 
-/// A coroutine that starts at once and frees itself at its end. What it waits for belongs to a TaskScope,
-/// whose cancellation makes every wait return "cancelled", so it always runs to its own end and its
-/// destructors run.
+/// A coroutine that starts at once and frees its frame when it returns. All its waits must belong to a
+/// TaskScope: cancelling the scope makes every wait return `cancelled`, so that the coroutine runs to its end
+/// and its destructors run.
 struct DetachedTask {
   struct promise_type {
     DetachedTask get_return_object() {
