--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -16,11 +16,12 @@
 namespace {
 
 // Longer than all the calls that the controller makes, one after another, to answer a request.
-constexpr Seconds kAnswerTimeout = 8;
+constexpr Seconds kAnswerTimeoutS = 8;
 // Range reads and watch replies of the state service may be larger than other messages.
-constexpr std::size_t kMaxAnswerBytes = 8U << 20;
+constexpr std::size_t kMaxReplyBytes = 8U << 20;
 constexpr const char* kMetricsPath = "/metrics";
 
+// Falls back to the clock and the process id, as the kernel may have no entropy yet during boot.
 std::uint64_t random_seed() {
   std::uint64_t seed = 0;
   if (getrandom(&seed, sizeof seed, GRND_NONBLOCK) != static_cast<ssize_t>(sizeof seed)) {
@@ -43,7 +44,7 @@
   limits.max_connections = connection_limit(settings, kClientShare, 16);
   limits.spare = connection_limit(settings, kSpareShare, 4);
   // Workers send a heartbeat every report_s, and users send queries about as often. A connection that is idle
-  // for several times that was abandoned without being closed, and its socket is needed for others.
+  // for several such intervals has been abandoned without being closed, and its socket is needed for others.
   limits.idle_s = std::max(15.0, 4 * settings.heartbeat_interval_s);
   return limits;
 }
@@ -60,7 +61,7 @@
     : settings_(std::move(settings)),
       scope_(loop_),
       controller_(settings_, random_seed()),
-      client_(scope_, connection_limit(settings_, kCallShare, 16), kMaxAnswerBytes),
+      client_(scope_, connection_limit(settings_, kCallShare, 16), kMaxReplyBytes),
       client_server_(scope_, settings_.client_listen.host, settings_.client_listen.port,
                      client_limits(settings_), [this](net::Request r) { return serve_client(std::move(r)); }),
       peer_server_(scope_, settings_.peer_listen.host, settings_.peer_listen.port, peer_limits(settings_),
@@ -86,8 +87,8 @@
 
 // The wall clock may be set or slewed at any time, so the offset is computed again every second.
 void Daemon::update_day_offset() {
-  constexpr Seconds kUpdateInterval = 1;
-  if (loop_.now() < day_offset_updated_at_ + kUpdateInterval)
+  constexpr Seconds kUpdateIntervalS = 1;
+  if (loop_.now() < day_offset_updated_at_ + kUpdateIntervalS)
     return;
   day_offset_updated_at_ = loop_.refresh();
   const std::chrono::duration<double> day = std::chrono::system_clock::now().time_since_epoch();
@@ -180,7 +181,7 @@
   net::OneShot<ports::Answer> pending_answer;
   open_requests_.emplace(id, &pending_answer);
   run_controller();
-  std::optional<ports::Answer> answer = co_await pending_answer.wait(scope_, loop_.now() + kAnswerTimeout);
+  std::optional<ports::Answer> answer = co_await pending_answer.wait(scope_, loop_.now() + kAnswerTimeoutS);
   open_requests_.erase(id);
   co_return answer;
 }
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -24,7 +24,7 @@
 
  private:
   // Runs the controller and waits for its answer to the request `id`, which it must have received before.
-  // Returns no answer if there is none within kAnswerTimeout.
+  // Returns no answer if there is none within kAnswerTimeoutS.
   net::Task<std::optional<ports::Answer>> wait_for_answer(std::uint64_t id);
   net::Task<net::Response> serve_client(net::Request request);
   net::Task<net::Response> serve_peer(net::Request request);
@@ -41,8 +41,9 @@
   net::HttpClient client_;
   net::HttpServer client_server_, peer_server_;
   std::uint64_t last_request_ = 0;
+  // By request id; each points into the coroutine that waits for the answer.
   std::unordered_map<std::uint64_t, net::OneShot<ports::Answer>*> open_requests_;
-  bool running_controller_ = false;
+  bool running_controller_ = false;  // run_controller() does nothing when it is called from within itself
   ports::Seconds day_offset_updated_at_ = -1e9;
 };
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -45,7 +45,7 @@
   const auto expect_no_task = [](std::uint32_t task) {
     FAIL() << "task " << task << " was decoded from an invalid page";
   };
-  EXPECT_FALSE(codec.decode({{"from", 0}, {"bits", "~"}}, 6, expect_no_task)) << "invalid digit";
+  EXPECT_FALSE(codec.decode({{"from", 0}, {"bits", "~"}}, 6, expect_no_task)) << "invalid character";
   EXPECT_FALSE(codec.decode({{"from", 90}, {"bits", "00"}}, 12, expect_no_task)) << "beyond the last task";
   EXPECT_FALSE(codec.decode({{"bits", "0"}}, 6, expect_no_task)) << "without a first task";
 }
--- a/tests/upgrade.sh
+++ b/tests/upgrade.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Builds the version in production (deploy/service.toml) from the history and runs it beside the present one over real
-# sockets: an upgrade of three processes, with troubles. Usage: tests/upgrade.sh BUILD_FOLDER [SEEDS [SECONDS]]
+# Upgrade test: builds the version that runs in production (deploy/service.toml) from the git history, and upgrades three
+# controller processes from it to the current version over real sockets, with injected faults.
+# Usage: tests/upgrade.sh BUILD_FOLDER [SEEDS [SECONDS]]
 set -euo pipefail
-build=$(realpath "${1:?the folder that holds process_cluster and wingtrail}")
+build=$(realpath "${1:?expected the folder that holds process_cluster and wingtrail}")
 cd "$(dirname "$0")/.."
 commit=$(sed -n 's/^production = "\(.*\)"$/\1/p' deploy/service.toml)
 work=$(mktemp -d)
