--- a/src/daemon/metrics_exporter.cpp
+++ b/src/daemon/metrics_exporter.cpp
@@ -57,7 +57,8 @@
 }
 
 void add_leader_metrics(const controller::Stats& stats, MetricsPage& page) {
-  page.gauge("wingtrail_machines", "machines in the leader's inventory", static_cast<double>(stats.machines));
+  page.gauge("wingtrail_machines", "machines that the leader knows, without those that are gone",
+             static_cast<double>(stats.machines));
   page.gauge("wingtrail_record_pages", "inventory pages and completion pages in the state service",
              static_cast<double>(stats.record_pages));
   page.gauge("wingtrail_settled_after_seconds",
@@ -139,7 +140,7 @@
 }
 
 void add_class_load_metrics(const controller::Stats& stats, MetricsPage& page) {
-  auto& held = page.gauges("wingtrail_class_cores", "cores in use, by team and class");
+  auto& in_use = page.gauges("wingtrail_class_cores", "cores in use, by team and class");
   auto& waiting = page.gauges("wingtrail_class_waiting_cores",
                               "cores of tasks that wait to be placed, by team and class");
   auto& oldest = page.gauges("wingtrail_class_longest_wait_seconds",
@@ -156,7 +157,7 @@
                   "largest share of the cores in use that is in a single zone, by team and class");
   for (const controller::Stats::ClassLoad& load : stats.loads) {
     const prometheus::Labels labels{{"team", load.team}, {"class", load.job_class}};
-    held.Add(labels).Set(load.cores_in_use);
+    in_use.Add(labels).Set(load.cores_in_use);
     waiting.Add(labels).Set(load.cores_waiting);
     oldest.Add(labels).Set(load.oldest_wait_s);
     offered.Add(labels).Set(load.arriving_cores);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -370,9 +370,9 @@
       continue;
     }
     const Tunable* found = nullptr;
-    for (const Tunable& t : kTunables) {
-      if (key == t.key)
-        found = &t;
+    for (const Tunable& tunable : kTunables) {
+      if (key == tunable.key)
+        found = &tunable;
     }
     if (!found) {
       result.problems.push_back("tunables." + key + ": unknown name");
@@ -382,8 +382,8 @@
     // yaml-cpp stores 0 when the conversion fails.
     if (!pair.second.IsScalar() || !YAML::convert<double>::decode(pair.second, value))
       value = NAN;
-    const bool whole_ok = !found->whole || std::floor(value) == value;
-    if (!std::isfinite(value) || value < found->lowest || value > found->highest || !whole_ok) {
+    const bool has_valid_type = !found->whole || std::floor(value) == value;
+    if (!std::isfinite(value) || value < found->lowest || value > found->highest || !has_valid_type) {
       std::ostringstream expected;
       expected << "tunables." << key << ": expected a " << (found->whole ? "whole " : "") << "number from "
                << found->lowest << " to " << found->highest;
