--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -8,9 +8,9 @@
 
 namespace wingtrail::controller {
 namespace {
-// How long after its start a process leaves heartbeats to a leader while the state service does not reply,
-// when no election is possible. If all processes restart every second during an outage, each has less than a
-// second to renew the leases of the workers that reach it.
+// How long a process waits after its start before it answers heartbeats itself, if the state service does not
+// answer it. It need not wait for an election then. The wait is short because, if all processes restart every
+// second during an outage, each has less than a second to renew the leases of the workers that reach it.
 constexpr Seconds kStartWaitWithoutStateService = 0.3;
 // Duration of a delegation, in worker leases, for protocol levels whose frames do not state it.
 constexpr double kUnstatedDelegationLeases = 2;
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -11,7 +11,7 @@
 namespace wingtrail::controller {
 namespace {
 constexpr Seconds kCreationTimeout = 2.5;  // of a creation that a peer carries out
-constexpr Seconds kForwardTimeout = 3.0;   // of a submission forwarded unread
+constexpr Seconds kForwardTimeout = 3.0;   // of a submission that a peer validates
 }  // namespace
 
 JobSubmission::JobSubmission(Collaborators collaborators, Callbacks callbacks)
--- a/src/leadership/leader_election.cpp
+++ b/src/leadership/leader_election.cpp
@@ -110,7 +110,7 @@
     return;
   if (out_.now() < campaign_after_) {
     out_.after(campaign_after_ - out_.now(), [this] { read_leader_key(); });
-    campaign_after_ = 0;  // the timer that was just set campaigns, so later calls need not set another
+    campaign_after_ = 0;  // one timer is enough; a call before it fires campaigns at once
     return;
   }
   campaigning_ = true;
