--- a/src/admission/creation_queue.hpp
+++ b/src/admission/creation_queue.hpp
@@ -46,7 +46,7 @@
   std::function<bool()> batches_allowed;
   /// Whether a peer does not support budget shares, as during an upgrade. Each controller then has a fixed
   /// share, which it may exceed for some seconds, and sends creations as they arrive. With queueing, 0.975
-  /// instead of 0.998 of the submissions were accepted in time during an upgrade.
+  /// instead of 0.998 of the submissions were accepted in time (upgrade of cub-meterlink-next).
   std::function<bool()> fixed_shares;
 
   /// Creates the job and calls `then` with the result. If a creation of the same job is pending, waits for
