--- a/src/admission/creation_queue.cpp
+++ b/src/admission/creation_queue.cpp
@@ -77,7 +77,7 @@
   const Seconds wait = time_until_turn(creation.team_index, creation.class_index, creation.first_attempt_at);
   const auto [team, job_class, first_attempt_at] =
       std::tuple(creation.team_index, creation.class_index, creation.first_attempt_at);
-  creation.bytes = record.dump().size() + 1;  // and a comma
+  creation.bytes = record.dump().size() + 1;  // plus a comma
   by_ref_.emplace(creation.ref, id);
   pending_.emplace(id, std::move(creation));
   if (wait > kMaxExpectedWait)
--- a/src/controller/job_submission.cpp
+++ b/src/controller/job_submission.cpp
@@ -10,8 +10,8 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kCreationTimeout = 2.5;  // of a creation that a peer carries out
-constexpr Seconds kForwardTimeout = 3.0;   // of a submission that a peer validates
+constexpr Seconds kCreationTimeout = 2.5;  // for the reply of a peer that creates the job
+constexpr Seconds kForwardTimeout = 3.0;   // for the reply of a peer that also validates the submission
 }  // namespace
 
 JobSubmission::JobSubmission(Collaborators collaborators, Callbacks callbacks)
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -16,7 +16,7 @@
 constexpr Seconds kDigestInterval = 1.0;  // between digests sent to one neighbour
 constexpr Seconds kPlanInterval = 1.0;
 constexpr Seconds kUnknownCellsLogInterval = 60;
-// Of the values in a transaction; the protocol allows 64 KiB for all of it.
+// Limit for the values in a transaction; the protocol allows 64 KiB for the whole transaction.
 constexpr std::size_t kMaxTransactionBytes = 40UL * 1024;
 constexpr std::size_t kMaxJobMessages = 60;  // in a message; their records fit a frame of 64 KiB
 
--- a/src/daemon/metrics_exporter.cpp
+++ b/src/daemon/metrics_exporter.cpp
@@ -251,7 +251,7 @@
   page.counter("wingtrail_cells_guests_over_total", "foreign jobs that reached a final state here",
                stats.offered_jobs_ended);
   page.counter("wingtrail_cells_fences_total",
-               "tombstones written: offloaded jobs recorded as never to run here", stats.tombstones);
+               "tombstones written: jobs of other cells recorded as never to run here", stats.tombstones);
 }
 
 void add_migration_metrics(const controller::Stats& stats, MetricsPage& page) {
--- a/src/delegation/delegation_ledger.hpp
+++ b/src/delegation/delegation_ledger.hpp
@@ -36,10 +36,12 @@
 
   /// What a peer states about itself in its reply to a status frame.
   struct PeerStatement {
-    double process_age_s = 0;  ///< seconds since its process began
-    double since_last_renewal_s =
-        -1;  ///< seconds since it last renewed a lease by delegation; negative: never
-    bool supports_delegation = true;  ///< false: its version has no delegation and never renews leases
+    /// Seconds since its process began.
+    double process_age_s = 0;
+    /// Seconds since it last renewed a lease by delegation; negative: never.
+    double since_last_renewal_s = -1;
+    /// False: its version has no delegation and never renews leases.
+    bool supports_delegation = true;
   };
   /// Records the peer's statement, received at `now` in reply to a request sent at `sent`. The peer must have
   /// known of this leadership when it made the statement.
@@ -47,8 +49,8 @@
 
   /// Returns when the lease of a worker has certainly expired.
   /// @param own_expiry when it expires if no peer has renewed it
-  /// @return a time that has passed only if the peers' statements prove that the lease is not valid by a
-  ///         renewal of any of them
+  /// @return a time that has passed only if the peers' statements prove that none of them has prolonged the
+  ///         lease
   Seconds worker_lease_expiry(Seconds own_expiry) const;
 
  private:
