--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -236,7 +236,7 @@
   struct Rereading;
   void reread_next_page(const std::shared_ptr<Rereading>& reading);
   void apply_reread_jobs(const std::shared_ptr<Rereading>& reading);
-  void on_final_state(const std::string& ref, const wire::FinalState& ended);
+  void on_final_state(const std::string& ref, const wire::FinalState& state);
 
   void send_status_to_peers();
   void on_peer_frame(std::size_t peer, const peer::Frame& frame);
--- a/src/controller/delegated_renewal.cpp
+++ b/src/controller/delegated_renewal.cpp
@@ -158,8 +158,8 @@
 
 std::optional<wire::Value> DelegatedRenewal::renew(const wire::Heartbeat& heartbeat) {
   // A leader without strict cancellation may have confirmed a cancellation while the task still runs on this
-  // worker. The support record, or the attempt numbers of workers, can prove that no leader since the
-  // worker's newest token did so.
+  // worker. What this controller knows of all controllers' support, or the attempt numbers of workers, can
+  // prove that no leader since the worker's newest token did so.
   const bool strict =
       support_.all_cancellations_strict() ||
       (strict_cancellation_token_ > 0 && heartbeat.fencing_token <= strict_cancellation_token_);
--- a/src/controller/offload_planning.cpp
+++ b/src/controller/offload_planning.cpp
@@ -96,7 +96,8 @@
   return here;
 }
 
-// Also recalls jobs that a neighbour holds and cannot start, while they would start here.
+// Returns the capacities of all neighbours. Also recalls jobs that a neighbour holds and cannot start, if
+// they would start here.
 std::vector<cells::NeighbourCapacity> Controller::neighbour_capacities(const cells::LocalCapacity& here,
                                                                        bool starts_at_once) {
   std::vector<cells::NeighbourCapacity> capacities;
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -41,7 +41,7 @@
       return job != nullptr;
     };
     if (!remote_placements_.load(page.key, page.value, page.version, live, out_.now()))
-      spdlog::error("cells: unreadable remote placement page key={}", page.key);
+      spdlog::error("cells: malformed remote placement page key={}", page.key);
   }
 }
 
--- a/src/delegation/delegation_ledger.cpp
+++ b/src/delegation/delegation_ledger.cpp
@@ -30,8 +30,8 @@
 void DelegationLedger::on_peer_statement(std::size_t index, Seconds sent, Seconds now,
                                          const PeerStatement& statement) {
   PeerDelegation& peer = peers_[index];
-  // Earlier processes of the peer may have renewed leases until the present one began, which reports only its
-  // own last renewal.
+  // The present process of the peer reports only its own last renewal. Earlier ones may have renewed leases
+  // until it began.
   const Seconds process_began_at =
       now - (statement.supports_delegation ? statement.process_age_s * (1 - kMaxClockDrift) : 0);
   if (process_began_at > peer.stated_at)
--- a/src/peer/cell_message.hpp
+++ b/src/peer/cell_message.hpp
@@ -16,7 +16,7 @@
 
 /// The capacity that a cell offers to a neighbour at present. Cores are CPUs; times are seconds.
 struct CapacityDigest {
-  double accepts_cores = 0;      ///< of foreign jobs that it accepts from the receiver now
+  double accepts_cores = 0;      ///< cores of foreign jobs that it accepts from the receiver now
   double wait_s = 0;             ///< the expected wait of a foreign job before it starts
   bool draining = false;         ///< it hands over its jobs and accepts none
   std::uint64_t leadership = 0;  ///< fencing token of the sender; only grows
