--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,4 +1,5 @@
-// Combinations of two faults: docs/combined-faults.md has a row for each.
+// Simulated runs in which two faults fall together. docs/combined-faults.md has a row for each combination;
+// the numbers below are the numbers of its rows.
 #include "combined_faults.hpp"
 
 #include "wire/job_messages.hpp"
@@ -6,7 +7,9 @@
 namespace wingtrail::simulation {
 namespace {
 
-TEST(CombinedFaults, TheGapSwept) {
+// The state service refuses the leader alone, jobs are cancelled, then the service is down for every
+// controller. Sweeps the moment of the cancellations, the start of the outage and its length.
+TEST(CombinedFaults, CancellationsWhileOnlyTheLeaderIsRefusedThenAnOutage) {
   std::size_t confirmed = 0;
   for (double a = -1; a <= 7; a += wide() > 1 ? 0.5 : 2) {
     for (double b = 1; b <= 13; b += wide() > 1 ? 1 : 3) {
@@ -19,12 +22,13 @@
       }
     }
   }
-  EXPECT_GT(confirmed, 100U) << "cancellations were confirmed in the gap";
+  EXPECT_GT(confirmed, 100U) << "expected cancellations to be confirmed before the outage ends";
 }
 
-TEST(CombinedFaults, TheGapBesideOtherTroubles) {
-  const std::vector<std::pair<std::string, std::function<void(Day&)>>> beside = {
-      {"all controllers end amid it",
+// The same sequence combined with one further fault each.
+TEST(CombinedFaults, LeaderRefusedThenAnOutageBesideAThirdFault) {
+  const std::vector<std::pair<std::string, std::function<void(Day&)>>> third_faults = {
+      {"all controllers crash during the outage",
        [](Day& d) {
          d.at(75, [&d] {
            for (std::size_t i = 0; i < 3; ++i)
@@ -35,73 +39,74 @@
        [](Day& d) {
          d.at(62.1, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::hung, 3, 30, "req-10"); });
        }},
-      {"machines out of reach",
+      {"machines unreachable",
        [](Day& d) {
          d.at(61,
               [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 50, "req-11"); });
        }},
-      {"deaf machines",
+      {"machines receive nothing",
        [](Day& d) {
          d.at(61, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::deaf, 3, 40, "req-10"); });
        }},
-      {"mute machines",
+      {"machines can send nothing",
        [](Day& d) {
          d.at(61, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::mute, 3, 40, "req-10"); });
        }},
-      {"answers lost",
+      {"answers of the state service lost",
        [](Day& d) {
          d.at(58, [&d] { d.world.delay_writes(0.4, 20, true); });
        }},
-      {"late writes",
+      {"transactions carried out late",
        [](Day& d) {
          d.at(58, [&d] { d.world.delay_writes(0.4, 20, false); });
        }},
-      {"old reports",
+      {"old heartbeats",
        [](Day& d) {
          d.at(50, [&d] {
            d.world.duplicate_heartbeats_late(0.5, 12, SimulatedCluster::DuplicateArrival::after_election);
          });
        }},
-      {"the old leader stands still",
+      {"the old leader hangs",
        [](Day& d) {
          d.at(61, [&d] { d.world.freeze(d.world.leader().value_or(0), 9); });
        }},
   };
   std::size_t confirmed = 0;
-  for (const auto& [name, trouble] : beside) {
+  for (const auto& [name, inject] : third_faults) {
     for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(2 * wide()); ++seed) {
       SCOPED_TRACE(name + ", seed " + std::to_string(seed));
-      confirmed += play_gap(deployed(seed), {2.0 + static_cast<double>(seed % 3), 8, 50, trouble});
+      confirmed += play_gap(deployed(seed), {2.0 + static_cast<double>(seed % 3), 8, 50, inject});
       if (HasFailure())
         return;
     }
   }
-  EXPECT_GT(confirmed, 30U);
+  EXPECT_GT(confirmed, 30U) << "expected cancellations to be confirmed before the outage ends";
 }
 
-TEST(CombinedFaults, TheGapUnderOtherSettings) {
+// The same sequence without and with delegation leases, peer agreement and a controller without admission.
+TEST(CombinedFaults, LeaderRefusedThenAnOutageUnderOtherSettings) {
   std::size_t confirmed = 0;
   for (const double leases : {0.0, 2.0, 5.0}) {
-    for (const bool consent : {false, true}) {
-      for (const bool fixed : {false, true}) {
-        SCOPED_TRACE(std::to_string(leases) + " leases" + (consent ? ", consent" : "") +
-                     (fixed ? ", one node without admission" : ""));
+    for (const bool agreement : {false, true}) {
+      for (const bool one_without_admission : {false, true}) {
+        SCOPED_TRACE(std::to_string(leases) + " delegation leases" + (agreement ? ", peer agreement" : "") +
+                     (one_without_admission ? ", one controller without admission" : ""));
         SimulationPlan plan = deployed(7);
         plan.delegation_leases = leases;
-        plan.peer_agreement = consent;
-        plan.one_without_shares = fixed;
+        plan.peer_agreement = agreement;
+        plan.one_without_shares = one_without_admission;
         confirmed += play_gap(plan, {2.5, 9, 45, {}});
         if (HasFailure())
           return;
       }
     }
   }
-  EXPECT_GT(confirmed, 10U);
+  EXPECT_GT(confirmed, 10U) << "expected cancellations to be confirmed before the outage ends";
 }
 
-// 1. Asked at all nodes again and again within milliseconds, the submission repeated, right after something
-// was told; some cancel at once.
-TEST(CombinedFaults, AskedAtAllNodesWithinMilliseconds) {
+// 1. Users query all controllers repeatedly and repeat the submission within milliseconds of an answer; some
+// cancel at once. No controller may answer with an older state than one answered before.
+TEST(CombinedFaults, QueriesAtAllControllersWithinMilliseconds) {
   meet(4, 3000, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.world.poll_all_nodes(90);
@@ -116,7 +121,8 @@
   });
 }
 
-// 2. Carried out, only the answer lost, while others read what was written.
+// 2. The state service carries a transaction out, but its answer is lost, while other controllers read what
+// was written.
 TEST(CombinedFaults, OnlyTheAnswerIsLost) {
   meet(6, 100, [](std::uint64_t seed) {
     Day day(deployed(seed));
@@ -131,9 +137,9 @@
   });
 }
 
-// 3. Every team at its limit; cancelled jobs' machines are cut off or hang; the leader changes. Room is used
-// again as soon as that is proved.
-TEST(CombinedFaults, TeamsAtTheirLimitsCancelWhatIsOutOfReach) {
+// 3. Every team is at its limit; machines of cancelled jobs are unreachable or hang; the leader changes. The
+// capacity is used again as soon as the tasks are proved to be gone.
+TEST(CombinedFaults, TeamsAtTheirLimitsCancelJobsOnUnreachableMachines) {
   meet(8, 8, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 14);
     plan.budget_limits = true;
@@ -144,9 +150,9 @@
       day.world.submit_job(s, 50);
     }
     day.world.step(55);
-    const auto what =
+    const auto fault =
         seed % 2 == 0 ? SimulatedCluster::MachineFault::unreachable : SimulatedCluster::MachineFault::hung;
-    day.world.fail_machines(what, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
+    day.world.fail_machines(fault, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
     day.cancel(10, 6, 55.1, 0.2);
     day.at(55 + 0.7 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.world.step(60);
@@ -156,14 +162,15 @@
   });
 }
 
-// 4. Cancellations in the seconds in which one controller's work changes hands.
-TEST(CombinedFaults, CancelledWhileTheWorkChangesHands) {
+// 4. Jobs are cancelled in the seconds around a failover: the leader crashes, hangs or is cut off from the
+// state service.
+TEST(CombinedFaults, CancelledDuringAFailover) {
   meet(12, 12, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.long_arrays(9, 70);
     day.stream(80, 0.3, 0.5);
     day.world.step(58);
-    const std::size_t before = day.elections(), old = day.world.leader().value_or(0);
+    const std::size_t elections_before = day.elections(), old = day.world.leader().value_or(0);
     const double shift = 0.5 * static_cast<double>(seed % 12);
     if (seed % 3 == 0)
       day.at(60, [&] { day.world.crash(old); });
@@ -173,14 +180,15 @@
       day.at(60, [&] { day.world.cut_node(old, true, false, 12, seed % 2 == 0); });
     day.cancel(10, 8, 59 + shift, 0.1);
     day.world.step(80);
-    const std::size_t changes = day.elections() - before;
+    const std::size_t changes = day.elections() - elections_before;
     day.finish();
     return changes;
   });
 }
 
-// 5. Machines up within two seconds get work at once while writes lag, and the leader ends.
-TEST(CombinedFaults, MachinesUpAtOnceWhileWritesLag) {
+// 5. Machines that boot within two seconds get tasks at once while writes are delayed, and the leader
+// crashes.
+TEST(CombinedFaults, MachinesBootAtOnceWhileWritesAreDelayed) {
   meet(8, 40, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 4);
     plan.max_machines = 24;
@@ -192,21 +200,22 @@
       s.estimate_s = 40;
       day.world.submit_job(s, 40);
     }
-    const std::size_t before = day.world.machines_in_zone(0) + day.world.machines_in_zone(1);
+    const std::size_t machines_before = day.world.machines_in_zone(0) + day.world.machines_in_zone(1);
     for (int k = 0; k < 3; ++k)
       day.at(43 + 0.5 * static_cast<double>(seed) + 9 * k, [&] { day.crash_leader(); });
     day.cancel(10, 3, 50, 0.3);
     day.world.step(80);
-    const std::size_t rented = day.world.machines_in_zone(0) + day.world.machines_in_zone(1) - before;
+    const std::size_t rented =
+        day.world.machines_in_zone(0) + day.world.machines_in_zone(1) - machines_before;
     const RunReport& v = day.finish();
-    EXPECT_GT(v.late_writes + v.lost_replies, 0U);
+    EXPECT_GT(v.late_writes + v.lost_replies, 0U) << "expected delayed writes or lost answers";
     return rented;
   });
 }
 
-// 6. Old reports at every node as a new leader begins, once it has acted, after newer ones, from an earlier
-// session or attempt.
-TEST(CombinedFaults, OldReportsSettleNothing) {
+// 6. Old heartbeats arrive at every controller when a new leader begins, after it has acted, and after newer
+// heartbeats; some are of an earlier incarnation or attempt. They must not count for reconciliation.
+TEST(CombinedFaults, OldHeartbeatsReconcileNothing) {
   meet(8, 400, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.budget_limits = seed % 2 == 0;
@@ -218,7 +227,7 @@
                                                       : SimulatedCluster::DuplicateArrival::later);
     day.at(52, [&] {
       day.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
-    });  // their sessions end
+    });  // long enough for their incarnations to end
     day.at(60 + 0.3 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(85, [&] {
       day.world.duplicate_heartbeats_late(0.4, 50,
@@ -230,13 +239,13 @@
     day.cancel(10, 3, 60.5, 1.5);
     day.world.step(160);
     const RunReport& v = day.finish();
-    EXPECT_GT(v.held_heartbeats, 0U);
+    EXPECT_GT(v.held_heartbeats, 0U) << "expected heartbeats held back until an election";
     return v.late_heartbeats + v.held_heartbeats;
   });
 }
 
-// 7. One-task jobs four a second for minutes, a quarter of them cancelled: within the budget of the smallest
-// site, and nothing of them stays behind but their final states.
+// 7. Four one-task jobs per second for minutes, a quarter of them cancelled. The writes stay within the
+// budget of the smallest site, and only the final states of these jobs remain stored.
 TEST(CombinedFaults, OneTaskJobsFourASecond) {
   meet(2, 800, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
@@ -248,15 +257,16 @@
     day.world.step(170);
     day.world.cancel(Day::ref(1)), day.world.cancel(Day::ref(2));
     const RunReport& v = day.finish(120);
-    EXPECT_LT(v.max_writes, 1.0);
-    EXPECT_EQ(day.world.key_count("j/"), 0U) << "live records, marks or sheets were left behind";
+    EXPECT_LT(v.max_writes, 1.0) << "share of the write budget";
+    EXPECT_EQ(day.world.key_count("j/"), 0U)
+        << "expected no job records, cancellation markers or job batches to remain";
     EXPECT_GT(v.cancelled, 80U);
     return v.accepted;
   });
 }
 
-// 8. A command or its answer is held up for seconds, and the machine then goes on.
-TEST(CombinedFaults, CommandsHeldUpAtMachinesThatGoOn) {
+// 8. A command or its answer is delayed for seconds because the machine hangs; the machine then continues.
+TEST(CombinedFaults, CommandsDelayedAtMachinesThatHangAndContinue) {
   meet(10, 10, [](std::uint64_t seed) {
     Day day(deployed(seed, 6));
     for (double t = 45; t < 95; t += 3.1) {
@@ -275,7 +285,7 @@
   });
 }
 
-// 9. Transactions without an answer are carried out after newer ones of the same controller.
+// 9. Transactions that got no answer are carried out after newer ones of the same controller.
 TEST(CombinedFaults, TransactionsCarriedOutLate) {
   meet(8, 100, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 5);
@@ -294,8 +304,8 @@
   });
 }
 
-// 10. A leader ends while machines with long tasks can't be reached, or don't hear the new one.
-TEST(CombinedFaults, ALeaderEndsWhileMachinesAreOutOfReach) {
+// 10. The leader crashes while machines with long tasks are unreachable, receive nothing or can send nothing.
+TEST(CombinedFaults, TheLeaderCrashesWhileMachinesAreUnreachable) {
   meet(9, 9, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.budget_limits = seed % 2 == 0;
@@ -316,8 +326,7 @@
   });
 }
 
-// 11. Leaders change ten times in two minutes, also inside an outage; all end and one returns; all are away
-// for longer than a lease; a zone with workers and a controller is cut off for longer than a lease.
+// 11. The leader changes ten times in two minutes, for even seeds also during an outage of the state service.
 TEST(CombinedFaults, LeadersChangeTenTimes) {
   meet(4, 28, [](std::uint64_t seed) {
     Day day(deployed(seed));
@@ -335,23 +344,25 @@
   });
 }
 
-TEST(CombinedFaults, AllControllersEndAndReturn) {
+// 11. All controllers crash, twice or three times; for every third seed they stay down for 24 to 30 s, longer
+// than a lease.
+TEST(CombinedFaults, AllControllersCrashAndRestart) {
   meet(6, 12, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed);
-    const bool long_away = seed % 3 == 0;
-    plan.back_from = long_away ? 24 : 0.1;
-    plan.back_to = long_away ? 30 : 1;
+    const bool down_long = seed % 3 == 0;
+    plan.back_from = down_long ? 24 : 0.1;
+    plan.back_to = down_long ? 30 : 1;
     Day day(plan);
     day.long_arrays(6, 40);
     day.stream(110, 0.7, 0.4);
-    const auto all = [&day] {
+    const auto crash_all = [&day] {
       for (std::size_t i = 0; i < 3; ++i)
         day.world.crash(i);
     };
-    day.at(60, all);
-    if (!long_away)
-      day.at(61 + 0.3 * static_cast<double>(seed), all);
-    day.at(100, all);
+    day.at(60, crash_all);
+    if (!down_long)
+      day.at(61 + 0.3 * static_cast<double>(seed), crash_all);
+    day.at(100, crash_all);
     day.cancel(10, 4, 59.5, 0.4);
     day.world.step(150);
     const std::size_t n = day.elections();
@@ -360,6 +371,7 @@
   });
 }
 
+// 11. A zone with workers and a controller is cut off for 35 s, longer than a lease.
 TEST(CombinedFaults, AZoneWithAControllerIsCutOffForLongerThanALease) {
   meet(6, 6, [](std::uint64_t seed) {
     Day day(deployed(seed));
@@ -397,12 +409,12 @@
   });
 }
 
-// 13. Jobs of two or three tasks end far apart across a change of leader; a cancellation, question or
-// repeated submission meets the end of a last task.
-TEST(CombinedFaults, EndsFarApartAndCancelledAtTheEnd) {
+// 13. The tasks of a job finish far apart, with a change of leader between them; a cancellation, query or
+// repeated submission arrives just as the last task finishes.
+TEST(CombinedFaults, TasksFinishFarApartAndJobsAreCancelledAtCompletion) {
   meet(6, 60, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
-    day.world.slow_machines(4, 5);  // of two tasks one takes five times as long
+    day.world.slow_machines(4, 5);  // one of two tasks takes five times as long
     day.world.poll_all_nodes(100);
     day.world.cancel_at_completion(0.5, 100);
     day.world.send_malformed_requests(100);
@@ -413,14 +425,14 @@
     }
     day.world.step(140);
     const RunReport& v = day.finish();
-    EXPECT_GT(v.malformed_requests, 50U);
+    EXPECT_GT(v.malformed_requests, 50U) << "expected malformed requests to be sent";
     return v.cancelled_at_end;
   });
 }
 
-// 14. Jobs bound to one zone, arrays too, lose machines; a team at its limit when the leader changes and some
-// machines can't be asked, and a cancellation in that spell.
-TEST(CombinedFaults, BoundToAZoneThatLosesMachines) {
+// 14. Jobs and job arrays that must run in one zone lose machines there. Teams are at their limits when the
+// leader changes while some machines are unreachable, and jobs are cancelled meanwhile.
+TEST(CombinedFaults, JobsBoundToAZoneThatLosesMachines) {
   meet(6, 6, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
     plan.budget_limits = true;
@@ -448,9 +460,9 @@
   });
 }
 
-// 15. The service answers slowly, or refuses the leader alone and then everybody for longer than cancel_s,
-// while users cancel and ask.
-TEST(CombinedFaults, ASlowServiceWhileUsersCancelAndAsk) {
+// 15. The state service is slow; for even seeds it also refuses the leader alone and then every controller
+// for 40 s, longer than cancel_s. Users cancel and query meanwhile.
+TEST(CombinedFaults, ASlowStateServiceWhileUsersCancelAndQuery) {
   meet(4, 1000, [](std::uint64_t seed) {
     Day day(deployed(seed));
     day.world.poll_all_nodes(140);
@@ -471,10 +483,10 @@
   });
 }
 
-// A job that needs a cancelled one: its leader knows, but what it writes gets no answer for longer than
-// cancel_s. A follower whose question the leader puts off once answered from a fresh read that it was queued
-// (seed 1001007).
-TEST(CombinedFaults, AnOrphanWhoseEndCanNotBeRecorded) {
+// A job that depends on a cancelled one is orphaned, and the leader's writes of its final state get no answer
+// for longer than cancel_s. A follower whose query the leader deferred must not read the stored record and
+// answer that the job is queued (seed 1001007).
+TEST(CombinedFaults, AnOrphanedJobWhoseFinalStateCannotBeWritten) {
   meet(8, 3, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 6);
     plan.dependencies = true;
@@ -496,18 +508,19 @@
     for (int n = 11; n < 14; ++n)
       day.world.poll_closely(Day::ref(n), 60);
     day.world.step(back);
-    day.world.delay_writes(0.7, 8, false);  // of reads for users too, so some of them do get through
+    day.world.delay_writes(0.7, 8, false);  // applies to reads for users too, so that some of these succeed
     day.world.step(back + 1.4);
-    const bool open = day.world.cancelled_at(Day::ref(13)) < 0;
+    const bool unconfirmed = day.world.cancelled_at(Day::ref(13)) < 0;
     day.world.step(back + 10);
     const RunReport& v = day.finish();
     EXPECT_EQ(v.orphaned, 3U);
-    return static_cast<std::size_t>(open);
+    return static_cast<std::size_t>(unconfirmed);
   });
 }
 
-// A new leader asks by several transactions at once which jobs on sheets are over, and some get no answer. It
-// once renewed its lease without ever having read its jobs: the last to ask again found nothing to ask.
+// A new leader reads in several concurrent transactions which jobs of job batches have a final state, and
+// some of these get no answer. Guards against a leader that renews its lease without ever having read its
+// jobs, because the last retry finds nothing left to read.
 TEST(CombinedFaults, ANewLeaderReadsItsJobsThoughAnswersAreLost) {
   meet(6, 12, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
@@ -527,16 +540,16 @@
     const std::size_t n = day.elections();
     const RunReport& v = day.finish(500);
     EXPECT_EQ(v.lost_by_lease_expiry, 0U);
-    EXPECT_GT(v.batched, 100U);
+    EXPECT_GT(v.batched, 100U) << "expected most jobs to be admitted in job batches";
     return n;
   });
 }
 
-// Each check of the combined faults fails for a fault that is planted for it.
+// Each check of the combined faults fails when the fault that it looks for is planted.
 TEST(CombinedFaults, TheChecksCanFail) {
-  const auto broken = [](const std::string& sabotage) {
+  const auto broken_by = [](const std::string& planted_fault) {
     SimulationPlan plan = deployed(3, 6);
-    plan.planted_fault = sabotage;
+    plan.planted_fault = planted_fault;
     Day day(plan);
     day.world.send_malformed_requests(20);
     day.long_arrays(2, 30);
@@ -550,22 +563,23 @@
       rules += "beside_room";
     return rules;
   };
-  EXPECT_EQ(broken(""), "");
-  EXPECT_EQ(broken("start_ignored"), "beside_room");
-  EXPECT_EQ(broken("start_after_told"), "started_cancelled ");
-  EXPECT_EQ(broken("questions_unanswered"), "unanswered ");
-  EXPECT_EQ(broken("older_answer"), "went_back ");
-  EXPECT_EQ(broken("odd_accepted"), "accepted_odd ");
-  EXPECT_EQ(broken("task_hidden"), "free_to_start ");
-  EXPECT_EQ(broken("again_after_done"), "again_after_done ");
+  EXPECT_EQ(broken_by(""), "");
+  EXPECT_EQ(broken_by("start_ignored"), "beside_room");
+  EXPECT_EQ(broken_by("start_after_told"), "started_cancelled ");
+  EXPECT_EQ(broken_by("questions_unanswered"), "unanswered ");
+  EXPECT_EQ(broken_by("older_answer"), "went_back ");
+  EXPECT_EQ(broken_by("odd_accepted"), "accepted_odd ");
+  EXPECT_EQ(broken_by("task_hidden"), "free_to_start ");
+  EXPECT_EQ(broken_by("again_after_done"), "again_after_done ");
 }
 
-// Large arrays behind a stream of small ones, of equal and of higher priority, that is more than there is
-// room for; links are slow for a while and the leader ends. With the order of aims alone they never began.
-TEST(CombinedFaults, LargeArraysBeginBesideMoreWorkThanRoom) {
-  const auto begun = [](std::uint64_t seed, double within) {
+// Large job arrays wait behind a stream of small ones, of equal and of higher priority, that exceeds the
+// capacity; links are slow for a while and the leader crashes. Ordered by service-level objectives alone, the
+// large arrays never begin.
+TEST(CombinedFaults, LargeArraysBeginAlthoughSmallOnesExceedTheCapacity) {
+  const auto arrays_begun = [](std::uint64_t seed, double within_s) {
     SimulationPlan plan = deployed(seed, 6);
-    plan.begin_within_s = within;
+    plan.begin_within_s = within_s;
     plan.objectives = {{"finished", "batch", 30, 0.9, 1}};
     Day day(plan);
     for (int n = 0; n < 200; ++n) {
@@ -596,8 +610,9 @@
     return n;
   };
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
-    EXPECT_EQ(begun(seed, 240), 4U) << seed;
-    EXPECT_EQ(begun(seed, 0), 0U) << "else there was room, and this shows nothing; seed " << seed;
+    EXPECT_EQ(arrays_begun(seed, 240), 4U) << "seed " << seed;
+    EXPECT_EQ(arrays_begun(seed, 0), 0U)
+        << "expected the stream to fill the capacity without begin_within_s; seed " << seed;
   }
 }
 
