--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -121,8 +121,8 @@
   });
 }
 
-// 2. The state service carries a transaction out, but its answer is lost, while other controllers read what
-// was written.
+// 2. The state service carries a transaction out, but its answer is lost, while other controllers
+// read what was written.
 TEST(CombinedFaults, OnlyTheAnswerIsLost) {
   meet(6, 100, [](std::uint64_t seed) {
     Day day(deployed(seed));
@@ -162,8 +162,8 @@
   });
 }
 
-// 4. Jobs are cancelled in the seconds around a failover: the leader crashes, hangs or is cut off from the
-// state service.
+// 4. Jobs are cancelled in the seconds around a failover: the leader crashes, hangs or is cut off
+// from the state service.
 TEST(CombinedFaults, CancelledDuringAFailover) {
   meet(12, 12, [](std::uint64_t seed) {
     Day day(deployed(seed));
@@ -186,8 +186,8 @@
   });
 }
 
-// 5. Machines that boot within two seconds get tasks at once while writes are delayed, and the leader
-// crashes.
+// 5. Machines that boot within two seconds get tasks at once while writes are delayed,
+// and the leader crashes.
 TEST(CombinedFaults, MachinesBootAtOnceWhileWritesAreDelayed) {
   meet(8, 40, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 4);
@@ -344,8 +344,8 @@
   });
 }
 
-// 11. All controllers crash, twice or three times; for every third seed they stay down for 24 to 30 s, longer
-// than a lease.
+// 11. All controllers crash, twice or three times; for every third seed they stay down for 24 to 30 s,
+// longer than a lease.
 TEST(CombinedFaults, AllControllersCrashAndRestart) {
   meet(6, 12, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed);
