--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,5 +1,6 @@
-// Floods of submissions on several controllers, with failures amid them: the rules, the sum of what all nodes
-// ask of the state service, and that who does not flood is admitted as on a calm day.
+// Floods of submissions on several controllers, with a fault during the flood. Checks the rules, the sum of
+// all controllers' writes to the state service, and that jobs of a class that does not flood are admitted as
+// fast as without a flood.
 #include "scenarios.hpp"
 #include "wire/job_messages.hpp"
 
@@ -14,8 +15,8 @@
   cut_from_state,
   slow,
   frozen,
-  restarts,  // one node, every second
-  older,     // one node admits as it always did
+  restarts,  // one controller crashes every second
+  older,     // one controller runs without admission control
   count
 };
 constexpr const char* kTroubles[] = {"none", "leader ends", "node dead", "cut from peers", "cut from state",
@@ -25,18 +26,18 @@
   std::size_t nodes = 3;
   int factor = 10;
   Trouble trouble = Trouble::none;
-  bool everybody = false;  // both classes flood
-  bool one_user = false;   // who cancels and submits again all the time
+  bool everybody = false;  // both job classes flood
+  bool one_user = false;   // one user cancels a third of the jobs after 2 s
   double write_rps = 15;
 };
 
-void strike(SimulatedCluster& world, Trouble trouble) {
+void inject(SimulatedCluster& world, Trouble trouble) {
   const std::size_t leader = world.leader().value_or(0), other = (leader + 1) % world.nodes();
   switch (trouble) {
     case Trouble::leader_ends:
       return world.crash(leader);
     case Trouble::node_dead:
-      // Its share must be of use to the others while it is away.
+      // The other controllers must be able to use its budget share while it is down.
       for (int k = 0; k < 12; ++k)
         world.schedule_after(k, [&world, other] { world.crash(other); });
       return;
@@ -57,15 +58,16 @@
   }
 }
 
-// Of all runs of a test: how many submissions there were of each kind, and how many were accepted in a
-// second.
+// Sums over the runs of a test. `calm` counts runs and `after` counts job classes of runs; `*_in_time` add up
+// the shares of submissions that were accepted within 1 s, during the flood and from 30 s after it.
 struct Tally {
   double calm = 0, calm_in_time = 0, after = 0, after_in_time = 0;
 };
 
-void play(std::uint64_t seed, const Flood& flood, Tally& tally) {
-  SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(flood.nodes) + " nodes, " +
-               std::to_string(flood.factor) + " times, " + kTroubles[static_cast<int>(flood.trouble)]);
+void run_flood(std::uint64_t seed, const Flood& flood, Tally& tally) {
+  SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(flood.nodes) + " controllers, " +
+               std::to_string(flood.factor) + " times the load, " +
+               kTroubles[static_cast<int>(flood.trouble)]);
   hush();
   SimulationPlan plan = scripted(seed, 16);
   plan.fair_admission = true;
@@ -97,47 +99,49 @@
       submit("calm", "blue", t);
     if (t >= kFrom + 5 && !struck) {
       struck = true;
-      strike(world, flood.trouble);
+      inject(world, flood.trouble);
     }
     world.step(t + 0.1);
   }
   tally.calm += 1;
   tally.calm_in_time += world.accepted_within_share("calm", 1, kFrom, kTo);
-  EXPECT_GE(world.accepted_within_share("calm", 30, kFrom, kTo), 0.95);
-  EXPECT_GE(world.accepted_within_share("flood", 30, kFrom, kTo), 0.5);
-  // Normal again within half a minute, with all who were put off still coming back.
+  EXPECT_GE(world.accepted_within_share("calm", 30, kFrom, kTo), 0.95) << "accepted within 30 s";
+  EXPECT_GE(world.accepted_within_share("flood", 30, kFrom, kTo), 0.5) << "accepted within 30 s";
+  // Normal again 30 s after the flood, although the deferred submissions are still being repeated.
   for (const char* job_class : {"calm", "flood"}) {
     tally.after += 1;
     tally.after_in_time += world.accepted_within_share(job_class, 1, kTo + 30, kEnd - 2);
   }
-  // Buckets hold a second's worth, but at least four changes and one for admissions at each node, which with
-  // a budget as small as this is more; the span is five seconds.
+  // A controller's bucket holds one second of its budget share, but at least four changes and one for
+  // admissions, which is more with a budget as small as this. max_writes is measured over five seconds.
   if (flood.trouble != Trouble::older) {
-    const double whole = 5.0 * static_cast<double>(flood.nodes) / flood.write_rps;
-    EXPECT_LE(world.run_report().max_writes, 0.9 + (0.9 + whole) / 5);
+    const double full_buckets_s = 5.0 * static_cast<double>(flood.nodes) / flood.write_rps;
+    EXPECT_LE(world.run_report().max_writes, 0.9 + (0.9 + full_buckets_s) / 5);
   }
   world.step(400);
-  EXPECT_EQ(world.close().unfinished, 0U);
+  EXPECT_EQ(world.close().unfinished, 0U) << "expected every accepted job to be done";
   for (const auto& b : world.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
 class Overloads : public testing::TestWithParam<int> {};
 
-TEST_P(Overloads, LeaveTheOthersAlone) {
+TEST_P(Overloads, DoNotDelayOtherJobClasses) {
   const auto trouble = static_cast<Trouble>(GetParam());
   Tally tally;
   for (const std::size_t nodes : {3U, 5U}) {
     for (const int factor : {3, 10, 40}) {
-      // Without sheets it takes minutes to record the ends of such a flood: a change or more for each.
+      // Without job batches it takes minutes to record the final states of such a flood: one
+      // change or more each.
       if (trouble == Trouble::older && factor == 40)
         continue;
-      play(static_cast<std::uint64_t>(factor), {nodes, factor, trouble}, tally);
+      run_flood(static_cast<std::uint64_t>(factor), {nodes, factor, trouble}, tally);
     }
   }
-  // While a node cannot be served, its users find out only by asking it; one answer in fifty is late anyway.
-  const bool served = trouble == Trouble::none || trouble == Trouble::cut_from_peers;
-  EXPECT_GE(tally.calm_in_time / tally.calm, trouble == Trouble::older ? 0.3 : served ? 0.95 : 0.7);
+  // While a controller cannot serve, its users learn so only from a request to it; one answer in fifty is
+  // late in any case.
+  const bool all_serve = trouble == Trouble::none || trouble == Trouble::cut_from_peers;
+  EXPECT_GE(tally.calm_in_time / tally.calm, trouble == Trouble::older ? 0.3 : all_serve ? 0.95 : 0.7);
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
 INSTANTIATE_TEST_SUITE_P(Each, Overloads, testing::Range(0, static_cast<int>(Trouble::count)),
@@ -147,30 +151,32 @@
                            return name;
                          });
 
-TEST(Overload, OfEverybodyAtOnce) {
+TEST(Overload, AllJobClassesFloodAtOnce) {
   Tally tally;
   for (const std::uint64_t seed : {1U, 2U})
-    play(seed, {3, 40, Trouble::none, true}, tally);
+    run_flood(seed, {3, 40, Trouble::none, true}, tally);
   EXPECT_GE(tally.calm_in_time / tally.calm, 0.9);
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
 
-TEST(Overload, OfOneUserWhoCancelsAndSubmitsAgain) {
+TEST(Overload, OneUserCancelsAndSubmitsAgain) {
   Tally tally;
   for (const std::uint64_t seed : {2U, 3U, 4U}) {
-    play(seed, {3, 10, Trouble::none, false, true}, tally);
-    play(seed, {3, 10, Trouble::leader_ends, false, true}, tally);
+    run_flood(seed, {3, 10, Trouble::none, false, true}, tally);
+    run_flood(seed, {3, 10, Trouble::leader_ends, false, true}, tally);
   }
-  EXPECT_GE(tally.calm_in_time / tally.calm, 0.85) << "half of the time the leader ends amid it";
+  EXPECT_GE(tally.calm_in_time / tally.calm, 0.85)
+      << "in half of the runs the leader crashes during the flood";
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
 
-// Sheets are written, jobs on them live through leaders that end, and with admission switched off on all
-// nodes the records move back to keys of their own, so that a version without sheets would find them.
-TEST(Overload, TheWayBackLeavesNoSheet) {
+// Job batches are written, and their jobs survive crashes of the leader. Once admission is
+// switched off on all controllers, the records move back to keys of their own, so that a version
+// without job batches finds them.
+TEST(Overload, SwitchingAdmissionOffLeavesNoJobBatch) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     hush();
-    SimulationPlan plan = scripted(seed, 40);  // so many that nothing has to give way
+    SimulationPlan plan = scripted(seed, 40);  // enough that no task is preempted
     plan.fair_admission = true;
     plan.back_from = 0.05, plan.back_to = 0.3;
     SimulatedCluster world(plan);
@@ -183,37 +189,38 @@
       world.submit_job(s, 5, n % 8 == 0 ? 60 : -1);
     }
     world.step(14);
-    EXPECT_GT(world.run_report().batched, 20U) << seed;
+    EXPECT_GT(world.run_report().batched, 20U)
+        << "expected jobs to be admitted in job batches; seed " << seed;
     world.crash(world.leader().value_or(0));
     world.step(25);
-    EXPECT_GT(world.batch_count(), 0U) << "services live on";
+    EXPECT_GT(world.batch_count(), 0U) << "expected the job batches of running services to remain";
     for (std::size_t i = 0; i < 3; ++i) {
       world.restart_with([](settings::Settings& s) { s.tunables.fair_admission = 0; }, i);
       world.step(30 + 8 * static_cast<double>(i));
     }
     world.step(80);
-    EXPECT_EQ(world.batch_count(), 0U) << seed;
+    EXPECT_EQ(world.batch_count(), 0U) << "expected no job batch without admission; seed " << seed;
     for (int n = 4; n <= 40; n += 4) {
       if (n % 8 != 0) {
-        EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), 1U) << n;
+        EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), 1U) << "service req-" << n;
       }
     }
     world.crash(world.leader().value_or(0));
     world.step(200);
     EXPECT_EQ(world.close().unfinished, 0U);
-    EXPECT_EQ(world.run_report().started_again, 0U) << "what runs is found again";
+    EXPECT_EQ(world.run_report().started_again, 0U) << "expected the new leader to find all running tasks";
     for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
 
-// A leader elected after jobs of a sheet were over starts none of them again.
-TEST(Overload, WhatIsOverStaysOverUnderEveryLeader) {
+// A leader elected after some jobs of a job batch reached a final state starts none of these again.
+TEST(Overload, ANewLeaderStartsNoFinishedJobOfABatch) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     hush();
     SimulationPlan plan = scripted(seed, 16);
     plan.fair_admission = true;
-    plan.peer_agreement = true;  // else a lease may run out between so many leaders
+    plan.peer_agreement = true;  // otherwise a lease may expire between so many leaders
     plan.back_from = 0.05, plan.back_to = 0.3;
     SimulatedCluster world(plan);
     world.begin();
@@ -223,7 +230,7 @@
       s.estimate_s = n % 10 == 0 ? 60 : 3;
       world.submit_job(s, n % 10 == 0 ? 60 : 3);
     }
-    for (double t = 44; t < 100; t += 9) {  // no multiple of what a worker waits for a dead node
+    for (double t = 44; t < 100; t += 9) {  // not a multiple of a worker's wait for a dead controller
       world.step(t);
       world.crash(world.leader().value_or(0));
     }
@@ -236,9 +243,10 @@
   }
 }
 
-// A job that needs a cancelled one, and an outage right after it came, in which no leader can record that:
-// nobody calls it queued when it is over (seed 100005 of the random days).
-TEST(Overload, AnOrphanIsNotCalledQueuedAfterALongOutage) {
+// A job that depends on a cancelled one is submitted, and right after it the state service fails, so that no
+// leader can record that it is orphaned. No controller may answer after the outage that it is queued (seed
+// 100005 of the random fault search).
+TEST(Overload, AnOrphanedJobIsNotReportedQueuedAfterALongOutage) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
     hush();
     SimulationPlan plan = scripted(seed, 6);
@@ -258,16 +266,17 @@
     world.step(21);
     world.state_outage(45);
     world.step(200);
-    EXPECT_GT(world.run_report().orphaned, 0U);
+    EXPECT_GT(world.run_report().orphaned, 0U) << "expected the dependent job to be orphaned";
     for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
 
-// Ends are recorded while the state service is slow: the leader hears of it late, and others, which cannot
-// reach it, have read and told the end by then. What the leader calls live meanwhile would be an older answer
-// (loss day of cub-meterlink-fleet: cancelled, then queued).
-TEST(Overload, AnEndOnItsWayIsNotCalledLive) {
+// Final states are written while the state service is slow, so the leader gets the answer late. Followers
+// that cannot reach the leader have read and reported the final state by then. If the leader still
+// reported the job as live, users would get an older answer after a newer one (loss day of
+// cub-meterlink-fleet: cancelled, then queued).
+TEST(Overload, AJobWhoseFinalStateIsBeingWrittenIsNotReportedLive) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     hush();
     SimulationPlan plan = scripted(seed, 16);
@@ -287,7 +296,7 @@
       world.cut_node(i, false, true, 50, false);
     world.state_slow(60);
     world.step(80);
-    EXPECT_GT(world.run_report().cancelled, 10U);
+    EXPECT_GT(world.run_report().cancelled, 10U) << "expected cancellations to be recorded";
     for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
