--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -1,3 +1,5 @@
+// The controllers in the simulated cluster: random faults for a number of seeds, and single scenarios. The
+// simulated cluster checks the rules after every step.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -14,8 +16,8 @@
   }
 };
 
-// To repeat one: world_hunt SEED 1
-TEST_P(Seeds, RulesHoldUnderTroubles) {
+// To repeat one seed: random_fault_search SEED 1
+TEST_P(Seeds, RulesHoldUnderRandomFaults) {
   const SimulationPlan plan = plan_of(static_cast<std::uint64_t>(GetParam()));
   const RunReport v = SimulatedCluster(plan).run();
   for (const auto& b : v.broken_rules)
@@ -25,52 +27,56 @@
   EXPECT_GT(v.finished, 5U);
   EXPECT_GT(v.elections, 0U);
   EXPECT_EQ(v.with_dependencies > 5U, plan.dependencies);
-  // When the faults are over, what was accepted gets done.
-  EXPECT_EQ(v.unfinished, 0U) << "of " << v.accepted << " jobs, seed " << plan.seed;
+  // Once the faults are over, every accepted job is done.
+  EXPECT_EQ(v.unfinished, 0U) << "unfinished of " << v.accepted << " accepted jobs, seed " << plan.seed;
 }
 INSTANTIATE_TEST_SUITE_P(SimulatedCluster, Seeds, ::testing::Range(1, 25));
 
-// Seed 4: with one machine up, whose first report went to a peer, the leader once took itself for cut off.
-TEST(SimulatedCluster, QuietDaysGetEverythingDoneUnderOneLeader) {
+// Without faults one leader gets every job done. Seed 4 guards against a leader that assumes it is cut off
+// because the first heartbeat of the only machine went to another controller.
+TEST(SimulatedCluster, WithoutFaultsOneLeaderGetsEverythingDone) {
   spdlog::set_level(spdlog::level::off);
   for (const std::uint64_t seed : {4U, 8U, 18U, 28U}) {
     SimulationPlan plan;
     plan.seed = seed;
     plan.fault_every_s = 0;
     const RunReport v = SimulatedCluster(plan).run();
-    EXPECT_TRUE(v.broken_rules.empty()) << seed;
-    EXPECT_EQ(v.unfinished, 0U) << seed;
-    EXPECT_EQ(v.elections, 1U) << seed;
-    // Once told only on the retry: the answer was made before the node remembered the end that it had
-    // recorded.
-    EXPECT_GT(v.cancelled, 3U) << seed;
-    EXPECT_EQ(v.cancellations_deferred, 0U) << seed;
+    EXPECT_TRUE(v.broken_rules.empty()) << "seed " << seed;
+    EXPECT_EQ(v.unfinished, 0U) << "seed " << seed;
+    EXPECT_EQ(v.elections, 1U) << "seed " << seed;
+    // Guards against an answer that is built before the controller has stored the recorded final state in
+    // memory: the user is then answered only on the retry.
+    EXPECT_GT(v.cancelled, 3U) << "seed " << seed;
+    EXPECT_EQ(v.cancellations_deferred, 0U)
+        << "expected every cancellation to be confirmed at once; seed " << seed;
   }
 }
 
-// Without other faults, an upgrade costs as many elections as leaders were ended for it, and the smaller
-// limits are kept to by whoever knows of them (the world calls anything beyond them a broken rule).
-TEST(SimulatedCluster, AnUpgradeIsQuiet) {
+// Without other faults, an upgrade causes as many elections as leaders were stopped for it.
+// Controllers that know the new, smaller limits keep to them (the simulated cluster reports anything
+// beyond them as a broken rule).
+TEST(SimulatedCluster, AnUpgradeCausesNoExtraElections) {
   spdlog::set_level(spdlog::level::off);
-  std::size_t orphans = 0;
+  std::size_t orphaned = 0;
   for (const std::uint64_t seed : {9U, 15U, 21U}) {
     SimulationPlan plan = plan_of(seed);
     plan.fault_every_s = 0;
     const RunReport v = SimulatedCluster(plan).run();
     for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_EQ(v.unfinished, 0U) << seed;
-    EXPECT_LE(v.elections, 4U) << seed;
-    EXPECT_EQ(v.over_limits, 0U) << seed;
-    orphans += v.orphaned;
+    EXPECT_EQ(v.unfinished, 0U) << "seed " << seed;
+    EXPECT_LE(v.elections, 4U) << "seed " << seed;
+    EXPECT_EQ(v.over_limits, 0U) << "expected no request beyond the limits; seed " << seed;
+    orphaned += v.orphaned;
   }
-  EXPECT_GT(orphans, 5U);
+  EXPECT_GT(orphaned, 5U) << "expected orphaned jobs during the upgrades";
 }
 
-// Limits that nobody announced: what the state service refuses goes in smaller parts, and nothing stops.
-TEST(SimulatedCluster, LimitsBelowThoseOfTheSettingsAreFoundOut) {
+// The state service has smaller limits than the settings say: a refused transaction is sent again in smaller
+// parts, and every job is still done.
+TEST(SimulatedCluster, LimitsBelowThoseOfTheSettingsAreDetected) {
   spdlog::set_level(spdlog::level::off);
-  std::size_t over = 0;
+  std::size_t over_limits = 0;
   for (const std::uint64_t seed : {3U, 9U, 21U}) {
     SimulationPlan plan = plan_of(seed);
     plan.undeclared_limits = 0.4;
@@ -79,25 +85,26 @@
     const RunReport v = SimulatedCluster(plan).run();
     for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_EQ(v.unfinished, 0U) << seed;
-    over += v.over_limits;
+    EXPECT_EQ(v.unfinished, 0U) << "seed " << seed;
+    over_limits += v.over_limits;
   }
-  EXPECT_GT(over, 3U);
+  EXPECT_GT(over_limits, 3U) << "expected requests beyond the undeclared limits";
 }
 
-// A zone cut off for longer than a lease, on the leader's side or not: no machine is returned, nothing is
-// lost and nothing started twice. Returning its machines as silent ended all that ran there (zone day of
-// cub-meterlink-fleet, simulated: 231 machines within 6 s).
+// A zone, the leader's or another, is cut off for longer than a lease: no machine is returned, no task is
+// lost and none is started twice. Guards against returning the zone's machines as silent, which ends all
+// tasks there (zone day of cub-meterlink-fleet, simulated: 231 machines within 6 s).
 TEST(SimulatedCluster, AZoneThatIsCutOffLosesNothing) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     for (const bool hold : {false, true}) {
-      for (const bool leaders : {false, true}) {
-        SCOPED_TRACE("seed " + std::to_string(seed) + (hold ? ", held" : ", reset") +
-                     (leaders ? ", leader's" : ""));
+      for (const bool leaders_zone : {false, true}) {
+        SCOPED_TRACE("seed " + std::to_string(seed) +
+                     (hold ? ", messages held back" : ", connections reset") +
+                     (leaders_zone ? ", the leader's zone" : ""));
         lost_nothing(ride_through(
             seed, 12,
             [&](SimulatedCluster& w) {
-              w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 45, hold);
+              w.cut_zone((w.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 45, hold);
             },
             60));
       }
@@ -105,7 +112,7 @@
   }
 }
 
-TEST(SimulatedCluster, AThousandMachinesRideThroughACut) {
+TEST(SimulatedCluster, ACutAtAThousandMachinesLosesNothing) {
   lost_nothing(ride_through(
       5, 1000, [](SimulatedCluster& w) { w.cut_zone(1, 40, true); }, 50));
 }
@@ -127,10 +134,11 @@
   }
 }
 
-// A team's guarantee is taken back at the cost of others' work only for what cannot wait for tasks to end.
-TEST(SimulatedCluster, OnlyWhatIsPressedTakesAGuaranteeBack) {
+// A team reclaims its guarantee by preempting other teams' tasks only for jobs whose deadline does not allow
+// waiting until tasks finish.
+TEST(SimulatedCluster, OnlyJobsWithANearDeadlineReclaimAGuarantee) {
   spdlog::set_level(spdlog::level::off);
-  const auto reclaimed = [](double due) {
+  const auto tasks_reclaimed = [](double deadline_s) {
     SimulationPlan plan;
     plan.fault_every_s = 0;
     plan.budget_limits = false;
@@ -146,7 +154,7 @@
     world.step(40);
     wire::JobSpec blue = job_of(2, 4, "blue");
     blue.estimate_s = 10;
-    blue.deadline_s = due;
+    blue.deadline_s = deadline_s;
     world.submit_job(blue, 10);
     world.step(400);
     EXPECT_TRUE(world.is_done("req-2"));
@@ -154,12 +162,13 @@
     const auto stats = world.leader_stats();
     return stats ? stats->tasks_reclaimed : 999;
   };
-  EXPECT_EQ(reclaimed(600), 0U);
-  EXPECT_GT(reclaimed(20), 0U);
+  EXPECT_EQ(tasks_reclaimed(600), 0U);
+  EXPECT_GT(tasks_reclaimed(20), 0U);
 }
 
-// Services spread evenly over both zones once could move to neither, and one machine waiting to be emptied of
-// them kept all the others: the fleet stayed as large as it had ever been.
+// A fleet that is too large shrinks to what its services need. Guards against services that are spread
+// evenly over both zones and can move to neither, so that one machine that is drained of them blocks the
+// return of all others.
 TEST(SimulatedCluster, AFleetThatIsTooLargeShrinksToWhatItsServicesNeed) {
   spdlog::set_level(spdlog::level::off);
   SimulationPlan plan;
@@ -174,7 +183,7 @@
   s.shape = wire::Shape::service;
   s.priority = wire::Priority::production;
   s.spread_zones = true;
-  for (int i = 1; i <= 36; ++i) {  // eight cores each; most are soon cancelled
+  for (int i = 1; i <= 36; ++i) {  // eight cores each; three of four are cancelled at 100 s
     s.ref = "req-" + std::to_string(i);
     world.submit_job(s, 0, i % 4 == 0 ? -1 : 100);
   }
@@ -186,9 +195,9 @@
   EXPECT_LE(stats->machines, 9U);
 }
 
-// Jobs that fail everywhere once took a longer job's machine every minute, in the name of their team's
-// guarantee.
-TEST(SimulatedCluster, AFaultyJobStopsNobodysWork) {
+// Guards against a job that fails on every machine and, by its team's guarantee, preempts a
+// longer job every minute.
+TEST(SimulatedCluster, AFailingJobDoesNotKeepPreemptingOtherJobs) {
   spdlog::set_level(spdlog::level::off);
   SimulationPlan plan;
   plan.seed = 68;
@@ -198,7 +207,7 @@
   EXPECT_EQ(v.unfinished, 0U);
 }
 
-SimulationPlan large(std::uint64_t seed, int machines) {
+SimulationPlan large_fleet(std::uint64_t seed, int machines) {
   SimulationPlan plan;
   plan.seed = seed;
   plan.budget_limits = false;
@@ -212,12 +221,12 @@
   return plan;
 }
 
-// Controllers crash, the state service fails, machines hang and die, at a size where everything comes by the
-// hundred: a thousand machines to settle, report and record.
+// Controllers crash, the state service fails, and machines hang and die, with a thousand machines to
+// reconcile and to record, all of which send heartbeats.
 TEST(SimulatedCluster, RulesHoldAtAThousandMachines) {
   spdlog::set_level(spdlog::level::off);
   for (const std::uint64_t seed : {1U, 2U}) {
-    SimulationPlan plan = large(seed, 1000);
+    SimulationPlan plan = large_fleet(seed, 1000);
     plan.fault_every_s = 8;
     const RunReport v = SimulatedCluster(plan).run();
     for (const auto& b : v.broken_rules)
@@ -227,71 +236,73 @@
   }
 }
 
-// Counts instead of times: what is looked at for a start, and what is written for a job, must not grow with
-// the fleet.
-TEST(SimulatedCluster, AnEventCostsWhatItTouchesHoweverManyMachinesThereAre) {
+// The numbers of machines and jobs examined per started task, and of writes per finished job, must not grow
+// with the fleet. Counts are compared, not times.
+TEST(SimulatedCluster, CostPerEventDoesNotGrowWithTheFleet) {
   spdlog::set_level(spdlog::level::off);
   struct Cost {
-    double examined, jobs, writes_per_job;
+    double machines_per_start, jobs_per_start, writes_per_job;
   };
   const auto cost = [](int machines) {
-    SimulatedCluster world(large(3, machines));
+    SimulatedCluster world(large_fleet(3, machines));
     world.begin();
-    // The machines have joined by then; each has to be recorded once, of course.
+    // By then all machines have joined; writing each one's record once is not counted.
     world.step(50);
     const auto before = world.leader_stats();
     world.step(100);
-    const auto s = world.leader_stats();
-    EXPECT_TRUE(before && s && s->tasks_started > 200);
-    if (!before || !s)
+    const auto after = world.leader_stats();
+    EXPECT_TRUE(before && after && after->tasks_started > 200) << "expected a leader that started 200 tasks";
+    if (!before || !after)
       return Cost{0, 0, 0};
-    const auto per = [](std::uint64_t a, std::uint64_t b) {
-      return static_cast<double>(a) / std::max(1.0, static_cast<double>(b));
+    const auto per = [](std::uint64_t count, std::uint64_t events) {
+      return static_cast<double>(count) / std::max(1.0, static_cast<double>(events));
     };
-    const std::uint64_t ended = s->jobs_done + s->jobs_cancelled - before->jobs_done - before->jobs_cancelled;
-    return Cost{per(s->machines_examined, s->tasks_started), per(s->jobs_examined, s->tasks_started),
-                per(s->state_writes - before->state_writes, ended)};
+    const std::uint64_t finished =
+        after->jobs_done + after->jobs_cancelled - before->jobs_done - before->jobs_cancelled;
+    return Cost{per(after->machines_examined, after->tasks_started),
+                per(after->jobs_examined, after->tasks_started),
+                per(after->state_writes - before->state_writes, finished)};
   };
   const Cost small = cost(150), big = cost(1200);
-  EXPECT_GT(small.examined, 0);
-  EXPECT_LT(big.examined, 2 * small.examined + 5);
-  EXPECT_LT(big.jobs, 2 * small.jobs + 5);
+  EXPECT_GT(small.machines_per_start, 0);
+  EXPECT_LT(big.machines_per_start, 2 * small.machines_per_start + 5);
+  EXPECT_LT(big.jobs_per_start, 2 * small.jobs_per_start + 5);
   EXPECT_GT(small.writes_per_job, 0);
   EXPECT_LT(big.writes_per_job, 2 * small.writes_per_job + 5);
 }
 
-// A fleet with the decisions of docs/spread.md on, and aims for two classes.
-SimulationPlan spread_out(std::uint64_t seed, int machines, bool on = true) {
+// A fleet with load balancing (docs/load-balancing.md) and service-level objectives for two job classes.
+SimulationPlan load_balanced(std::uint64_t seed, int machines, bool load_balancing = true) {
   SimulationPlan plan = scripted(seed, machines);
-  plan.load_balancing = on;
+  plan.load_balancing = load_balancing;
   plan.objectives = {{"finished", "batch", 120, 0.9, 1}, {"wait", "live", 2, 0.9, 1}};
   return plan;
 }
 
-wire::JobSpec live(int n, std::uint32_t tasks, int image) {
+wire::JobSpec live_service(int n, std::uint32_t tasks, int image) {
   wire::JobSpec s = job_of(n, tasks, "red");
   s.shape = wire::Shape::service;
   s.job_class = "live";
   s.priority = wire::Priority::production;
   s.image = "live-" + std::to_string(image);
-  s.image_gb = 2.2;  // not within two seconds
+  s.image_gb = 2.2;  // the fetch takes longer than the objective of 2 s
   s.spread_zones = true;
   s.allows_spot = false;
   return s;
 }
 
-// A fleet full of arrays with more waiting; then services whose images others of their kind use already. All
-// machines with those images once were full of services, so every new one fetched (busy day of
-// roamkvitto-core-fleet).
-TEST(LoadBalancing, ServicesStartWithoutAFetchOnAFullFleet) {
+// The fleet is full of job arrays, with more waiting; then services are submitted whose images other services
+// already use. Guards against every machine with such an image being full of services, so that each new
+// service has to fetch its image (busy day of roamkvitto-core-fleet).
+TEST(LoadBalancing, ServicesStartWithoutAnImageFetchOnAFullFleet) {
   spdlog::set_level(spdlog::level::off);
-  const auto late = [](std::uint64_t seed, bool on) {
-    SimulatedCluster world(spread_out(seed, 60, on));
+  const auto late_services = [](std::uint64_t seed, bool load_balancing) {
+    SimulatedCluster world(load_balanced(seed, 60, load_balancing));
     world.begin();
     world.step(10);
     int n = 0;
     for (int i = 0; i < 60; ++i)
-      world.submit_job(live(++n, 2, i % 10), 0);
+      world.submit_job(live_service(++n, 2, i % 10), 0);
     world.step(30);
     for (int i = 0; i < 30; ++i) {
       wire::JobSpec s = job_of(++n, 40, "blue");
@@ -301,30 +312,30 @@
     world.step(60);
     const std::size_t before = world.run_report().services_late;
     for (int i = 0; i < 24; ++i)
-      world.submit_job(live(++n, 2, i % 10), 0);
+      world.submit_job(live_service(++n, 2, i % 10), 0);
     world.step(70);
     for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
     return world.run_report().services_late - before;
   };
-  std::size_t with = 0, without = 0;
+  std::size_t late_with = 0, late_without = 0;
   for (const std::uint64_t seed : {1U, 2U, 3U})
-    with += late(seed, true), without += late(seed, false);
-  EXPECT_LT(with, 12U) << "of 144";
-  EXPECT_GT(without, 2 * with) << "else this shows nothing";
+    late_with += late_services(seed, true), late_without += late_services(seed, false);
+  EXPECT_LT(late_with, 12U) << "late of 144 replicas with load balancing";
+  EXPECT_GT(late_without, 2 * late_with) << "expected more late replicas without load balancing";
 }
 
-// Machines at a quarter of their speed beside sound ones: what has long to run there moves, whatever fails
-// meanwhile, and nothing is ever in two places (the world checks every start).
-TEST(LoadBalancing, WorkLeavesSlowMachinesUnderCrashesCutsAndCancellations) {
+// Some machines run at a quarter of their speed: tasks with a long time left there migrate whatever fails
+// meanwhile, and no task ever runs on two machines (the simulated cluster checks every start).
+TEST(LoadBalancing, TasksMigrateFromSlowMachinesUnderCrashesCutsAndCancellations) {
   spdlog::set_level(spdlog::level::off);
-  std::uint64_t moved = 0;
+  std::uint64_t migrated = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    SimulatedCluster world(spread_out(seed, 48));
+    SimulatedCluster world(load_balanced(seed, 48));
     world.begin();
     world.step(10);
     int n = 0;
-    const auto wave = [&](double until) {
+    const auto submit_until = [&](double until) {
       while (world.next() < until && n < 400) {
         ++n;
         wire::JobSpec s = job_of(n, 24, n % 2 == 0 ? "red" : "blue");
@@ -334,12 +345,12 @@
       }
       world.step(until);
     };
-    wave(150);
+    submit_until(150);
     world.slow_machines(8, 4);
-    wave(200);
+    submit_until(200);
     const auto stats = world.leader_stats();
-    moved += stats ? stats->migrations_done : 0;
-    // Amid the moves: the leader crashes, a zone is cut off, machines die, the state service is down.
+    migrated += stats ? stats->migrations_done : 0;
+    // During the migrations the leader crashes, a zone is cut off, machines die or the state service is down.
     if (seed % 4 == 0)
       world.crash(world.leader().value_or(0));
     if (seed % 4 == 1)
@@ -348,21 +359,21 @@
       world.kill_machines(10);
     if (seed % 4 == 3)
       world.state_outage(8);
-    wave(240);
+    submit_until(240);
     world.step(900);
-    EXPECT_EQ(world.close().unfinished, 0U) << seed;
+    EXPECT_EQ(world.close().unfinished, 0U) << "seed " << seed;
     for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
-  EXPECT_GT(moved, 20U);
+  EXPECT_GT(migrated, 20U) << "expected migrations from the slow machines";
 }
 
-// One team sends eight times its usual load while machines die and all controllers crash in the middle of it:
-// the other team's share served never falls below a half.
-TEST(LoadBalancing, ASwarmingTeamStarvesNobody) {
+// One team submits eight times its usual load; machines die and all controllers crash during the burst. The
+// served share of the other team's load never falls below a half.
+TEST(LoadBalancing, ABurstOfOneTeamDoesNotStarveAnother) {
   spdlog::set_level(spdlog::level::off);
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    SimulatedCluster world(spread_out(seed, 100));
+    SimulatedCluster world(load_balanced(seed, 100));
     world.begin();
     world.step(10);
     int n = 0;
@@ -371,7 +382,7 @@
       for (int i = 0; i < (burst ? 8 : 1); ++i) {
         wire::JobSpec s = job_of(++n, 30, "red");
         s.estimate_s = 30;
-        // One user cancels and submits again all the time.
+        // One user keeps cancelling and submitting again.
         world.submit_job(s, 30, burst && i == 7 ? t + 20 : -1);
       }
       wire::JobSpec s = job_of(++n, 15, "blue");
@@ -392,15 +403,15 @@
     ASSERT_TRUE(stats);
     EXPECT_GT(stats->loads.size(), 1U);
     world.step(1500);
-    EXPECT_EQ(world.served_share("red", 300), 1.0) << seed;
+    EXPECT_EQ(world.served_share("red", 300), 1.0) << "seed " << seed;
     for (const auto& b : world.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
 
-// A job past every time by which it could be of use takes a slow machine, if there is no other (seed 800994,
-// and seed 2037 of several cells: one stood still beside an empty machine).
-TEST(SimulatedCluster, ASlowMachineTakesWhatIsLateAnyway) {
+// A job that can no longer finish in time on any machine is placed on a slow one if there is no other. Guards
+// against such a job waiting beside an empty machine (seed 800994, and seed 2037 of several cells).
+TEST(SimulatedCluster, AJobThatIsLateAnywayIsPlacedOnASlowMachine) {
   hush();
   const RunReport v = SimulatedCluster(plan_of(800994)).run();
   EXPECT_EQ(v.unfinished, 0U);
