--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -1,5 +1,5 @@
-// Zones that are lost and come back, and controllers that are all new: several machines, several failures,
-// and after every step of the simulated cluster the rules.
+// Zones that are lost and return, and restarts of all controllers, with several machines and several faults.
+// The simulated cluster checks the rules after every step.
 #include <gtest/gtest.h>
 
 #include "scenarios.hpp"
@@ -8,9 +8,9 @@
 namespace wingtrail::simulation {
 namespace {
 
-constexpr double kWorkerLease = 20;  // of the simulated workers
+constexpr double kWorkerLeaseS = 20;  // lease of the simulated workers
 
-SimulationPlan agreed(std::uint64_t seed, int machines, double leases = 2) {
+SimulationPlan with_peer_agreement(std::uint64_t seed, int machines, double leases = 2) {
   SimulationPlan plan = scripted(seed, machines);
   plan.peer_agreement = plan.short_lived_processes = true;
   plan.delegation_leases = leases;
@@ -24,15 +24,15 @@
     w.crash(i);
 }
 
-// The state service is away for longer than a lease and a grant, and every process is new meanwhile: nobody
-// can look anything up, and nobody remembers a grant. Day of cub-meterlink-fleet at 1.5 times (simulated):
-// 4,265 tasks killed by their leases, sound as their machines were.
-TEST(AllNew, AmidAnOutageNothingIsLost) {
+// The state service is down for longer than a lease and a delegation grant, and every controller restarts
+// meanwhile: none can read the state, and none remembers a grant. Guards against healthy machines losing
+// their tasks to expired leases (day of cub-meterlink-fleet at 1.5 times the load, simulated: 4,265 tasks).
+TEST(AllNew, RestartsInAnOutageLoseNothing) {
   for (const double at : {0.5, 4.0, 15.0, 30.0, 60.0}) {
     for (const std::uint64_t seed : {1U, 2U}) {
       SCOPED_TRACE("seed " + std::to_string(seed) + ", after " + std::to_string(at));
       lost_nothing(ride_through(
-          agreed(seed, 12),
+          with_peer_agreement(seed, 12),
           [at](SimulatedCluster& w) {
             w.state_outage(70);
             w.schedule_after(at, [&w] { crash_all(w); });
@@ -43,12 +43,12 @@
   }
 }
 
-// One after the other and all again and again, in the outage and at its ends.
+// Controllers crash one by one and all at once, repeatedly, during an outage and at its end.
 TEST(AllNew, CrashLoopsInAnOutageLoseNothing) {
   for (const std::uint64_t seed : {3U, 4U, 5U}) {
     SCOPED_TRACE(seed);
     lost_nothing(ride_through(
-        agreed(seed, 12),
+        with_peer_agreement(seed, 12),
         [](SimulatedCluster& w) {
           w.state_outage(60);
           for (int i = 0; i < 12; ++i)
@@ -61,19 +61,19 @@
   }
 }
 
-// All end every second for a minute, amid an outage: each life has less than a second to learn from workers
-// that it may answer them, and to do it. With a dozen machines one of them may find no life at the right
-// moment.
-TEST(AllNew, LivesOfASecondAmidAnOutageLoseLittle) {
+// All controllers crash every second for a minute during an outage: each process has less than a second to
+// learn from workers that it may answer them, and to answer. With a dozen machines, one of them may reach no
+// process in time, so up to a fifth of the tasks may be lost.
+TEST(AllNew, CrashesEverySecondInAnOutageLoseLittle) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     SCOPED_TRACE(seed);
-    SimulationPlan plan = agreed(seed, 12);
+    SimulationPlan plan = with_peer_agreement(seed, 12);
     plan.back_to = 0.06;
     const Ride r = ride_through(
         plan,
         [](SimulatedCluster& w) {
           w.state_outage(65);
-          // Not in step with the second after which workers try again.
+          // Out of phase with the workers' retry interval of 1 s.
           for (int i = 0; i < 60; ++i)
             w.schedule_after(1 + i + 0.15 * (i % 4), [&w] { crash_all(w); });
         },
@@ -81,13 +81,13 @@
     for (const auto& b : r.verdict.broken_rules)
       ADD_FAILURE() << b;
     EXPECT_LE(r.verdict.lost_by_lease_expiry, r.before / 5);
-    EXPECT_TRUE(r.over);
+    EXPECT_TRUE(r.over) << "expected the job array to be done";
   }
 }
 
-// Without agreement the same outage costs everything that runs: the test above can fail.
-TEST(AllNew, WithoutAgreementAnOutageCostsWhatRuns) {
-  SimulationPlan plan = agreed(1, 12);
+// Without peer agreement, an outage with one restart loses tasks: this shows that the tests above can fail.
+TEST(AllNew, WithoutPeerAgreementAnOutageLosesRunningTasks) {
+  SimulationPlan plan = with_peer_agreement(1, 12);
   plan.peer_agreement = false;
   const Ride r = ride_through(
       plan,
@@ -98,22 +98,22 @@
       90);
   for (const auto& b : r.verdict.broken_rules)
     ADD_FAILURE() << b;
-  EXPECT_GT(r.verdict.lost_by_lease_expiry, 10U);
+  EXPECT_GT(r.verdict.lost_by_lease_expiry, 10U) << "expected tasks to be lost without peer agreement";
 }
 
-// All end again and again and a zone is cut off before anybody could have watched for cancel_s: the mark in
-// the state service tells that the deployment has had custody for long.
+// All controllers crash repeatedly, and a zone is cut off before any process has run for cancel_s. The marker
+// in the state service shows that every controller has supported lease delegation for long enough.
 TEST(AllNew, CrashLoopsFollowedByACutLoseNothing) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
-    for (const bool leaders : {false, true}) {
-      SCOPED_TRACE("seed " + std::to_string(seed) + (leaders ? ", leader's" : ""));
+    for (const bool leaders_zone : {false, true}) {
+      SCOPED_TRACE("seed " + std::to_string(seed) + (leaders_zone ? ", the leader's zone" : ""));
       lost_nothing(ride_through(
-          agreed(seed, 12, 4),
-          [leaders](SimulatedCluster& w) {
+          with_peer_agreement(seed, 12, 4),
+          [leaders_zone](SimulatedCluster& w) {
             for (const double at : {1.0, 6.0, 8.0, 14.0})
               w.schedule_after(at, [&w] { crash_all(w); });
-            w.schedule_after(24, [&w, leaders] {
-              w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 55, true);
+            w.schedule_after(24, [&w, leaders_zone] {
+              w.cut_zone((w.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 55, true);
             });
           },
           95));
@@ -121,13 +121,13 @@
   }
 }
 
-// A leader that ends and is back before its office has run out finds its own earlier life leading: it ends
-// that one's lease, and somebody leads within a second instead of three. Its workers' connections, and what
-// is under way to the earlier life, count for nothing.
-TEST(AllNew, AProcessThatFindsItsEarlierLifeLeadingEndsItsOffice) {
+// A leader that crashes and restarts before its leader lease expires finds its earlier process recorded as
+// leader. It ends that lease, so that a controller leads again within a second instead of three. Workers'
+// connections and messages in flight to the earlier process don't count.
+TEST(AllNew, ARestartedLeaderEndsTheLeaseOfItsEarlierProcess) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     hush();
-    SimulatedCluster world(agreed(seed, 12));
+    SimulatedCluster world(with_peer_agreement(seed, 12));
     world.begin();
     world.step(30);
     for (double t = 30; t < 60; t += 5) {
@@ -135,7 +135,7 @@
       ASSERT_TRUE(leader) << "seed " << seed << " at " << t;
       world.crash(*leader);
       world.step(t + 1.5);
-      EXPECT_TRUE(world.leader()) << "seed " << seed << " at " << t;
+      EXPECT_TRUE(world.leader()) << "expected a leader 1.5 s after the crash; seed " << seed << " at " << t;
       world.step(t + 5);
     }
     for (const auto& b : world.run_report().broken_rules)
@@ -143,15 +143,16 @@
   }
 }
 
-// All end once more in each phase of the take-over that the first end brings about: before anybody is
-// elected, while jobs and roster are read, while machines are settled, and when all is accounted for; one
-// after the other as well.
-TEST(AllNew, InEveryPhaseOfATakeOverNothingIsLost) {
+// All controllers crash, and crash once more in each phase of the failover: before an election, while jobs
+// and machine inventory are read, while machines are reconciled, and after reconciliation; the second time
+// all at once or one after the other.
+TEST(AllNew, ASecondCrashInAnyPhaseOfAFailoverLosesNothing) {
   for (const double after : {0.02, 0.1, 0.35, 0.5, 0.8, 1.5, 3.0, 4.0, 6.0, 9.0}) {
     for (const bool in_turn : {false, true}) {
-      SCOPED_TRACE("again after " + std::to_string(after) + (in_turn ? ", in turn" : ""));
+      SCOPED_TRACE("second crash after " + std::to_string(after) + " s" +
+                   (in_turn ? ", one after the other" : ""));
       const Ride r = ride_through(
-          agreed(2, 24),
+          with_peer_agreement(2, 24),
           [after, in_turn](SimulatedCluster& w) {
             crash_all(w);
             for (std::size_t i = 0; i < 3; ++i)
@@ -160,29 +161,29 @@
           60);
       for (const auto& b : r.verdict.broken_rules)
         ADD_FAILURE() << b;
-      EXPECT_EQ(r.again, 0U);
+      EXPECT_EQ(r.again, 0U) << "expected no running task to be started again";
       EXPECT_EQ(r.verdict.lost_by_lease_expiry, 0U);
-      EXPECT_TRUE(r.over);
+      EXPECT_TRUE(r.over) << "expected the job array to be done";
     }
   }
 }
 
-// The state service is away for five leases while the leader lives: it and its peers agree for as long as
-// that.
-TEST(AllNew, AnOutageOfAnyLengthWithTheLeaderAliveLosesNothing) {
+// The state service is down for more than five leases (110 s) while the leader keeps running: peer agreement
+// holds for the whole outage.
+TEST(AllNew, ALongOutageWithTheLeaderRunningLosesNothing) {
   lost_nothing(ride_through(
-      agreed(6, 12), [](SimulatedCluster& w) { w.state_outage(110); }, 130));
+      with_peer_agreement(6, 12), [](SimulatedCluster& w) { w.state_outage(110); }, 130));
 }
 
-// A cut that is longer than a lease and shorter than custody costs nothing, however long custody is.
-TEST(LostZone, ACutShorterThanCustodyLosesNothing) {
+// A zone is cut off for longer than a lease and for less than the period of lease delegation (5 leases).
+TEST(LostZone, ACutShorterThanLeaseDelegationLosesNothing) {
   for (const std::uint64_t seed : {1U, 2U}) {
-    for (const bool leaders : {false, true}) {
-      SCOPED_TRACE("seed " + std::to_string(seed) + (leaders ? ", leader's" : ""));
+    for (const bool leaders_zone : {false, true}) {
+      SCOPED_TRACE("seed " + std::to_string(seed) + (leaders_zone ? ", the leader's zone" : ""));
       lost_nothing(ride_through(
-          agreed(seed, 12, 5),
-          [leaders](SimulatedCluster& w) {
-            w.cut_zone((w.leader().value_or(0) + (leaders ? 0 : 1)) % 2, 95, true);
+          with_peer_agreement(seed, 12, 5),
+          [leaders_zone](SimulatedCluster& w) {
+            w.cut_zone((w.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 95, true);
           },
           110));
     }
@@ -192,27 +193,28 @@
 struct Loss {
   std::size_t zones = 2, machines = 24;
   double cut_s = 90;
-  bool leaders = false, all_new = false;
-  double dead_share = 0;  // of the zone's machines, how many die meanwhile
-  int surge = 0;          // arrays that come while it is away
-  double crash_at = -1;   // all controllers end so long after the cut began
-  std::size_t also = 0;   // another zone's turn, so many seconds after the first is back
+  bool leaders_zone = false;           // cut off the leader's zone instead of another
+  bool all_new = false;                // all controllers crash three times during the cut
+  double dead_share = 0;               // share of the zone's machines that die during the cut
+  int surge = 0;                       // job arrays submitted during the cut
+  double crash_after_s = -1;           // all controllers crash this long after the cut began; < 0: never
+  std::size_t second_cut_after_s = 0;  // cut another zone 10 s plus this after the first is back; 0: never
 };
 
-// Services over all zones; one zone is away for longer than custody and comes back. What must hold: the
-// rules, no machine of it returned and none rented there, nothing started there meanwhile, and afterwards
-// everything whole.
-void lose(std::uint64_t seed, const Loss& loss) {
-  SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(loss.zones) + " zones, cut " +
-               std::to_string(loss.cut_s));
+// Services run in all zones; one zone is cut off for longer than the period of lease delegation and comes
+// back. During the cut no machine of the zone is returned, none is rented there and no task is started there;
+// afterwards every service has all its replicas.
+void lose_zone(std::uint64_t seed, const Loss& loss) {
+  SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(loss.zones) + " zones, cut for " +
+               std::to_string(loss.cut_s) + " s");
   hush();
-  SimulationPlan plan = agreed(seed, static_cast<int>(loss.machines), 2);
+  SimulationPlan plan = with_peer_agreement(seed, static_cast<int>(loss.machines), 2);
   plan.zone_tracking = loss.zones;
   plan.max_machines = loss.machines * 2;
   SimulatedCluster world(plan);
   world.begin();
   world.step(5);
-  constexpr int kServices = 12;  // two thirds of what there is
+  constexpr int kServices = 12;  // two thirds of the capacity
   for (int n = 1; n <= kServices; ++n) {
     wire::JobSpec s = job_of(n, static_cast<std::uint32_t>(loss.machines / 3), "red");
     s.shape = wire::Shape::service;
@@ -222,22 +224,22 @@
     world.submit_job(s, 0);
   }
   world.step(50);
-  const std::size_t zone = (world.leader().value_or(0) + (loss.leaders ? 0 : 1)) % loss.zones;
+  const std::size_t zone = (world.leader().value_or(0) + (loss.leaders_zone ? 0 : 1)) % loss.zones;
   world.cut_zone(zone, loss.cut_s, true);
-  if (loss.crash_at >= 0 && loss.crash_at <= 15)
-    world.schedule_after(loss.crash_at, [&world] { crash_all(world); });
-  world.step(65);  // until then a few silent machines may be silent for themselves
-  const std::size_t there = world.machines_in_zone(zone);
+  if (loss.crash_after_s >= 0 && loss.crash_after_s <= 15)
+    world.schedule_after(loss.crash_after_s, [&world] { crash_all(world); });
+  world.step(65);  // until then the zone is not lost: a few silent machines may have failed individually
+  const std::size_t zone_machines = world.machines_in_zone(zone);
   if (loss.dead_share > 0)
-    world.schedule_after(loss.cut_s - 25, [&world, zone, there, share = loss.dead_share] {
-      world.kill_in_zone(zone, static_cast<std::size_t>(share * static_cast<double>(there)));
+    world.schedule_after(loss.cut_s - 25, [&world, zone, zone_machines, share = loss.dead_share] {
+      world.kill_in_zone(zone, static_cast<std::size_t>(share * static_cast<double>(zone_machines)));
     });
   if (loss.all_new)
     for (const double at : {1.0, loss.cut_s - 35, loss.cut_s - 16}) {
       world.schedule_after(at, [&world] { crash_all(world); });
     }
-  if (loss.crash_at > 15)
-    world.schedule_after(loss.crash_at - 15, [&world] { crash_all(world); });
+  if (loss.crash_after_s > 15)
+    world.schedule_after(loss.crash_after_s - 15, [&world] { crash_all(world); });
   for (int n = 0; n < loss.surge; ++n) {
     world.step(66 + n);
     wire::JobSpec s = job_of(100 + n, 20, "blue");
@@ -250,75 +252,78 @@
   EXPECT_EQ(v.started_in_cut, 0U);
   EXPECT_EQ(v.rented_in_cut, 0U);
   EXPECT_GE(world.machines_in_zone(zone) +
-                static_cast<std::size_t>(loss.dead_share * static_cast<double>(there)) + 1,
-            there)
-      << "kept for its return";
+                static_cast<std::size_t>(loss.dead_share * static_cast<double>(zone_machines)) + 1,
+            zone_machines)
+      << "expected the zone's machines to be kept until it returns";
   if (const auto stats = world.leader_stats();
-      stats && !loss.all_new && loss.crash_at < 0 && loss.cut_s > 3 * kWorkerLease + 5) {
+      stats && !loss.all_new && loss.crash_after_s < 0 && loss.cut_s > 3 * kWorkerLeaseS + 5) {
     EXPECT_EQ(stats->zones_lost, 1U);
   }
-  world.step(60 + loss.cut_s + static_cast<double>(loss.also));
-  if (loss.also > 0) {
+  world.step(60 + loss.cut_s + static_cast<double>(loss.second_cut_after_s));
+  if (loss.second_cut_after_s > 0) {
     world.cut_zone((zone + 1) % loss.zones, loss.cut_s, false);
-    world.step(70 + 2 * loss.cut_s + static_cast<double>(loss.also));
+    world.step(70 + 2 * loss.cut_s + static_cast<double>(loss.second_cut_after_s));
   }
   world.step(world.next() + 150);
   for (int n = 1; n <= kServices; ++n) {
-    EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), loss.machines / 3) << "service " << n;
+    EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), loss.machines / 3)
+        << "replicas of service req-" << n;
   }
-  EXPECT_EQ(world.close().unfinished, 0U);
+  EXPECT_EQ(world.close().unfinished, 0U) << "expected every accepted job to be done";
   for (const auto& b : world.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
-TEST(LostZone, ComesBackWhole) {
+TEST(LostZone, ReturnsWithAllItsReplicas) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     for (const std::size_t zones : {2U, 3U, 4U})
-      lose(seed, {.zones = zones});
+      lose_zone(seed, {.zones = zones});
   }
 }
 
 TEST(LostZone, WithTheLeaderInside) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     for (const std::size_t zones : {2U, 3U})
-      lose(seed, {.zones = zones, .leaders = true});
+      lose_zone(seed, {.zones = zones, .leaders_zone = true});
   }
 }
 
-TEST(LostZone, WithAllControllersNewMeanwhile) {
+TEST(LostZone, WithAllControllersRestartedMeanwhile) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     for (const std::size_t zones : {2U, 3U})
-      lose(seed, {.zones = zones, .all_new = true});
+      lose_zone(seed, {.zones = zones, .all_new = true});
   }
 }
 
-// Controllers crash at each edge of the zone's life: quiet, cut, about to be lost, lost, returning, sound.
-TEST(LostZone, WithControllersCrashingAtEachEdge) {
+// All controllers crash around each change of the zone's state: silent, cut off, about to be
+// lost, lost, returning, healthy.
+TEST(LostZone, WithControllersCrashingAtEachStateChange) {
   for (const double at : {0.2, 4.0, 14.0, 59.0, 61.0, 75.0, 89.5, 90.3, 94.0, 101.0})
-    lose(4, {.zones = 3, .machines = 36, .crash_at = at});
+    lose_zone(4, {.zones = 3, .machines = 36, .crash_after_s = at});
 }
 
 TEST(LostZone, UnderASurge) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed)
-    lose(seed, {.zones = 3, .machines = 48, .surge = 30});
+    lose_zone(seed, {.zones = 3, .machines = 48, .surge = 30});
 }
 
 TEST(LostZone, ComesBackWithAFifthOfItsMachinesMissing) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed)
-    lose(seed, {.machines = 36, .dead_share = 0.2});
+    lose_zone(seed, {.machines = 36, .dead_share = 0.2});
 }
 
-TEST(LostZone, TwoInTurn) {
+TEST(LostZone, TwoZonesOneAfterTheOther) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed)
-    lose(seed, {.zones = 3, .also = 5});
+    lose_zone(seed, {.zones = 3, .second_cut_after_s = 5});
 }
 
-// Flapping with every period: the rules, nothing returned while it is away, everything whole when it rests.
-TEST(LostZone, FlappingIsRiddenOut) {
+// A zone is cut off and reconnected periodically. No machine is returned during a cut, and afterwards the
+// service has all its replicas.
+TEST(LostZone, FlappingReturnsNoMachine) {
   for (const double period : {1.0, 5.0, 20.0, 60.0}) {
-    SCOPED_TRACE(period);
+    SCOPED_TRACE("cut off for " + std::to_string(period) + " s at a time");
     hush();
-    SimulatedCluster world(agreed(7, 12, 2));
+    SimulatedCluster world(with_peer_agreement(7, 12, 2));
     world.begin();
     world.step(5);
     wire::JobSpec s = job_of(1, 6, "red");
@@ -339,10 +344,10 @@
   }
 }
 
-// Half as many machines again as the fleet sites, processes back at once, a zone lost under it all.
+// 1.5 times the machines of the fleet sites; all controllers crash at once, then a zone is cut off.
 TEST(LostZone, AtEighteenHundredMachines) {
   hush();
-  SimulationPlan plan = agreed(11, 1800, 3);
+  SimulationPlan plan = with_peer_agreement(11, 1800, 3);
   plan.zone_tracking = 3;
   SimulatedCluster world(plan);
   world.begin();
@@ -371,10 +376,10 @@
   world.step(180);
   EXPECT_EQ(world.run_report().lost_by_lease_expiry, 0U);
   EXPECT_EQ(world.run_report().returned_in_cut, 0U);
-  std::size_t up = 0;
+  std::size_t replicas = 0;
   for (int n = 1; n <= 30; ++n)
-    up += world.replicas_up("req-" + std::to_string(n));
-  EXPECT_EQ(up, 1800U);
+    replicas += world.replicas_up("req-" + std::to_string(n));
+  EXPECT_EQ(replicas, 1800U) << "replicas of all services";
   EXPECT_EQ(world.close().unfinished, 0U);
   for (const auto& b : world.run_report().broken_rules)
     ADD_FAILURE() << b;
