--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -1,14 +1,14 @@
-// Direct commands and reports that arrive late: after a newer leader's, before any worker's own, or after the
-// machine has gone on. Combined with changes of leader and with machines that hang, hear nothing or reach
-// nobody.
+// Direct commands and heartbeats that arrive late: after a newer leader's commands, before any current
+// heartbeat, or after the machine has continued. Combined with changes of leader and with machines that hang,
+// receive nothing, can send nothing or are unreachable.
 #include "combined_faults.hpp"
 
 namespace wingtrail::simulation {
 namespace {
 
-// A direct command is held up while its machine is well; its leader ends, and the next one's commands come
-// first.
-TEST(LateMessages, CommandsOfAnEndedLeaderArriveAfterTheNextOnes) {
+// A direct command to a healthy machine is delayed; its leader crashes, and the next
+// leader's commands arrive first.
+TEST(LateMessages, CommandsOfACrashedLeaderArriveAfterTheNextLeadersCommands) {
   meet(10, 200, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
     day.long_arrays(8, 20);
@@ -18,13 +18,14 @@
     for (double t = 52 + 0.7 * static_cast<double>(seed); t < 125; t += 13)
       day.at(t, [&] { day.crash_leader(); });
     day.world.step(130);
-    EXPECT_GT(day.elections(), 4U);
+    EXPECT_GT(day.elections(), 4U) << "expected the leader to change";
     return day.finish().late_commands;
   });
 }
 
-// The same of one that goes on without the state service and the others, and is deposed.
-TEST(LateMessages, CommandsOfADeposedLeaderArriveAfterTheNextOnes) {
+// The same for a leader that keeps running without the state service and the other controllers,
+// until another is elected.
+TEST(LateMessages, CommandsOfAReplacedLeaderArriveAfterTheNextLeadersCommands) {
   meet(8, 100, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
     day.long_arrays(8, 40);
@@ -37,13 +38,14 @@
     }
     day.cancel(10, 6, 56 + 0.3 * static_cast<double>(seed), 3);
     day.world.step(130);
-    EXPECT_GT(day.elections(), 2U);
+    EXPECT_GT(day.elections(), 2U) << "expected the leader to change";
     return day.finish().late_commands;
   });
 }
 
-// A command is held up, and its machine hangs, hears nothing or reaches nobody at that time, and goes on.
-TEST(LateMessages, CommandsHeldUpToMachinesThatFailAndGoOn) {
+// A command is delayed while its machine hangs, receives nothing, can send nothing or is unreachable;
+// the machine then continues.
+TEST(LateMessages, CommandsDelayedToMachinesThatFailAndContinue) {
   meet(12, 100, [](std::uint64_t seed) {
     Day day(deployed(seed, 7));
     constexpr SimulatedCluster::MachineFault kinds[] = {
@@ -66,9 +68,10 @@
   });
 }
 
-// Tasks have moved since: their machines were silent for longer than a lease. Then the leader ends, and what
-// the next one hears first are reports from before, in no order, while commands are held up.
-TEST(LateMessages, OldReportsReachANewLeaderBeforeAnyWorker) {
+// Machines were silent for longer than a lease, so their tasks were placed elsewhere. Then the
+// leader crashes, and the next one first gets heartbeats from before the move, in any order,
+// while commands are delayed.
+TEST(LateMessages, OldHeartbeatsReachANewLeaderBeforeCurrentOnes) {
   meet(12, 1000, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
     day.world.duplicate_heartbeats_late(0.7, 120, SimulatedCluster::DuplicateArrival::at_election);
@@ -88,14 +91,13 @@
     }
     day.cancel(10, 3, 95, 7);
     day.world.step(160);
-    EXPECT_GT(day.elections(), 3U);
+    EXPECT_GT(day.elections(), 3U) << "expected the leader to change";
     return day.finish().held_heartbeats;
   });
 }
 
-// Workers that can open no connection to any controller, while commands reach them, through a change of
-// leader.
-TEST(LateMessages, MuteMachinesAndAChangeOfLeader) {
+// Workers can open no connection to any controller but receive commands, while the leader changes.
+TEST(LateMessages, MachinesThatCanSendNothingAndAChangeOfLeader) {
   meet(8, 100, [](std::uint64_t seed) {
     Day day(deployed(seed, 8));
     day.long_arrays(8, 50);
@@ -105,13 +107,14 @@
     day.at(56 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 4, 57, 2);
     day.world.step(120);
-    EXPECT_GT(day.elections(), 1U);
+    EXPECT_GT(day.elections(), 1U) << "expected the leader to change";
     return day.finish().undelivered;
   });
 }
 
-// Controllers hand over and back, all end and one returns, each within a second.
-TEST(LateMessages, HandOverAndBackWithinASecond) {
+// Leaders crash shortly after one another and restart within a second; then all controllers crash, and only
+// one restarts for good at first.
+TEST(LateMessages, LeadersCrashAndRestartWithinASecond) {
   meet(8, 24, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.back_from = 0.1;
@@ -123,18 +126,18 @@
     const double at = 60 + 0.1 * static_cast<double>(seed);
     for (int k = 0; k < 4; ++k) {
       day.at(at + 8 * k, [&] { day.crash_leader(); });
-      day.at(at + 8 * k + 3.2, [&] { day.crash_leader(); });  // the next one, which has just begun
+      day.at(at + 8 * k + 3.2, [&] { day.crash_leader(); });  // the new leader, just elected
     }
     day.at(at + 40, [&] {
       for (std::size_t i = 0; i < 3; ++i)
         day.world.crash(i);
     });
-    // One returns; the others end again and again.
-    const std::size_t one = seed % 3;
+    // One controller keeps running; the others crash again and again.
+    const std::size_t survivor = seed % 3;
     for (double t = at + 40.3; t < at + 52; t += 0.4) {
-      day.at(t, [&day, one] {
+      day.at(t, [&day, survivor] {
         for (std::size_t i = 0; i < 3; ++i) {
-          if (i != one)
+          if (i != survivor)
             day.world.crash(i);
         }
       });
@@ -147,13 +150,14 @@
   });
 }
 
-// Jobs are cancelled at the very moment at which the state service refuses the leader alone; a second later
-// it is out for all, for longer than `cancel_s`. Nobody can record these cancellations before the service is
-// back, so their users are put off through all of it and hear afterwards.
-TEST(LateMessages, CancelledAtTheMomentOfTheRefusal) {
+// Jobs are cancelled at the moment at which the state service begins to refuse the leader alone; a
+// second later it is down for every controller, for longer than `cancel_s`. No controller can
+// record these cancellations before the service is back, so the users' requests are deferred until
+// then and confirmed afterwards.
+TEST(LateMessages, CancelledWhenTheStateServiceBeginsToRefuseTheLeader) {
   constexpr double kRefusedAt = 60, kDownFor = 45;
   constexpr int kCancelled = 7;
-  std::size_t waited_through = 0;
+  std::size_t deferred = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const double after : {0.0, 0.05, 0.2}) {
       SCOPED_TRACE(::testing::Message() << "seed " << seed << ", cancelled after " << after << " s");
@@ -168,15 +172,15 @@
         day.world.delay_commands(0.5, 60);
       day.world.step(down_at + kDownFor);
       for (int n = 10; n < 10 + kCancelled; ++n)
-        waited_through += day.world.cancelled_at(Day::ref(n)) < 0;
+        deferred += day.world.cancelled_at(Day::ref(n)) < 0;
       day.finish();
       for (int n = 10; n < 10 + kCancelled; ++n)
-        EXPECT_GE(day.world.cancelled_at(Day::ref(n)), 0) << Day::ref(n);
+        EXPECT_GE(day.world.cancelled_at(Day::ref(n)), 0) << "expected " << Day::ref(n) << " to be confirmed";
       if (HasFailure())
         return;
     }
   }
-  EXPECT_GT(waited_through, 150U) << "of 210 cancellations";
+  EXPECT_GT(deferred, 150U) << "of 210 cancellations, deferred until the end of the outage";
 }
 
 }  // namespace
