--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -145,9 +145,9 @@
     plan.budget_limits = true;
     Day day(plan);
     for (int n = 0; n < 10; ++n) {
-      wire::JobSpec s = job_of(10 + n, 8, n % 2 == 0 ? "red" : "blue");
-      s.estimate_s = 50;
-      day.world.submit_job(s, 50);
+      wire::JobSpec spec = job_of(10 + n, 8, n % 2 == 0 ? "red" : "blue");
+      spec.estimate_s = 50;
+      day.world.submit_job(spec, 50);
     }
     day.world.step(55);
     const auto fault =
@@ -196,9 +196,9 @@
     day.world.boot_quickly(60);
     day.world.delay_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
     for (int n = 0; n < 8; ++n) {
-      wire::JobSpec s = job_of(10 + n, 10, n % 2 == 0 ? "red" : "blue");
-      s.estimate_s = 40;
-      day.world.submit_job(s, 40);
+      wire::JobSpec spec = job_of(10 + n, 10, n % 2 == 0 ? "red" : "blue");
+      spec.estimate_s = 40;
+      day.world.submit_job(spec, 40);
     }
     const std::size_t machines_before = day.world.machines_in_zone(0) + day.world.machines_in_zone(1);
     for (int k = 0; k < 3; ++k)
@@ -207,8 +207,8 @@
     day.world.step(80);
     const std::size_t rented =
         day.world.machines_in_zone(0) + day.world.machines_in_zone(1) - machines_before;
-    const RunReport& v = day.finish();
-    EXPECT_GT(v.late_writes + v.lost_replies, 0U) << "expected delayed writes or lost answers";
+    const RunReport& report = day.finish();
+    EXPECT_GT(report.late_writes + report.lost_replies, 0U) << "expected delayed writes or lost answers";
     return rented;
   });
 }
@@ -238,9 +238,9 @@
     day.at(110, [&] { day.crash_leader(); });
     day.cancel(10, 3, 60.5, 1.5);
     day.world.step(160);
-    const RunReport& v = day.finish();
-    EXPECT_GT(v.held_heartbeats, 0U) << "expected heartbeats held back until an election";
-    return v.late_heartbeats + v.held_heartbeats;
+    const RunReport& report = day.finish();
+    EXPECT_GT(report.held_heartbeats, 0U) << "expected heartbeats held back until an election";
+    return report.late_heartbeats + report.held_heartbeats;
   });
 }
 
@@ -256,12 +256,12 @@
       day.at(100, [&] { day.crash_leader(); });
     day.world.step(170);
     day.world.cancel(Day::ref(1)), day.world.cancel(Day::ref(2));
-    const RunReport& v = day.finish(120);
-    EXPECT_LT(v.max_writes, 1.0) << "share of the write budget";
+    const RunReport& report = day.finish(120);
+    EXPECT_LT(report.max_writes, 1.0) << "share of the write budget";
     EXPECT_EQ(day.world.key_count("j/"), 0U)
         << "expected no job records, cancellation markers or job batches to remain";
-    EXPECT_GT(v.cancelled, 80U);
-    return v.accepted;
+    EXPECT_GT(report.cancelled, 80U);
+    return report.accepted;
   });
 }
 
@@ -424,9 +424,9 @@
         day.at(t, [&] { day.crash_leader(); });
     }
     day.world.step(140);
-    const RunReport& v = day.finish();
-    EXPECT_GT(v.malformed_requests, 50U) << "expected malformed requests to be sent";
-    return v.cancelled_at_end;
+    const RunReport& report = day.finish();
+    EXPECT_GT(report.malformed_requests, 50U) << "expected malformed requests to be sent";
+    return report.cancelled_at_end;
   });
 }
 
@@ -439,13 +439,13 @@
     plan.max_machines = 16;
     Day day(plan);
     for (int n = 0; n < 8; ++n) {
-      wire::JobSpec s = job_of(10 + n, 5, n % 2 == 0 ? "red" : "blue");
-      s.estimate_s = 40;
+      wire::JobSpec spec = job_of(10 + n, 5, n % 2 == 0 ? "red" : "blue");
+      spec.estimate_s = 40;
       if (n % 2 == 0)
-        s.zone = "z0";
+        spec.zone = "z0";
       if (n % 4 == 1)
-        s.same_zone = true;
-      day.world.submit_job(s, 40);
+        spec.same_zone = true;
+      day.world.submit_job(spec, 40);
     }
     day.world.step(56);
     day.world.kill_in_zone(0, 2);
@@ -512,8 +512,8 @@
     day.world.step(back + 1.4);
     const bool unconfirmed = day.world.cancelled_at(Day::ref(13)) < 0;
     day.world.step(back + 10);
-    const RunReport& v = day.finish();
-    EXPECT_EQ(v.orphaned, 3U);
+    const RunReport& report = day.finish();
+    EXPECT_EQ(report.orphaned, 3U);
     return static_cast<std::size_t>(unconfirmed);
   });
 }
@@ -527,9 +527,9 @@
     Day day(plan);
     for (int n = 0; n < 260; ++n) {
       day.at(41 + 0.02 * (n / 20), [&day, n] {
-        wire::JobSpec s = job_of(1000 + n, 1, n % 2 == 0 ? "red" : "blue");
-        s.estimate_s = 30;
-        day.world.submit_job(s, 30);
+        wire::JobSpec spec = job_of(1000 + n, 1, n % 2 == 0 ? "red" : "blue");
+        spec.estimate_s = 30;
+        day.world.submit_job(spec, 30);
       });
     }
     day.world.step(50);
@@ -538,9 +538,9 @@
       day.at(52 + 12 * k, [&] { day.crash_leader(); });
     day.world.step(95);
     const std::size_t n = day.elections();
-    const RunReport& v = day.finish(500);
-    EXPECT_EQ(v.lost_by_lease_expiry, 0U);
-    EXPECT_GT(v.batched, 100U) << "expected most jobs to be admitted in job batches";
+    const RunReport& report = day.finish(500);
+    EXPECT_EQ(report.lost_by_lease_expiry, 0U);
+    EXPECT_GT(report.batched, 100U) << "expected most jobs to be admitted in job batches";
     return n;
   });
 }
@@ -585,19 +585,19 @@
     for (int n = 0; n < 200; ++n) {
       for (int k = 0; k < 3; ++k) {
         day.at(45 + 2.0 * n, [&day, n, k, seed] {
-          wire::JobSpec s = job_of(1000 + 3 * n + k, 10, k % 2 == 0 ? "red" : "blue");
+          wire::JobSpec spec = job_of(1000 + 3 * n + k, 10, k % 2 == 0 ? "red" : "blue");
           if (seed % 2 == 0)
-            s.priority = wire::Priority::high;
-          s.estimate_s = 10;
-          day.world.submit_job(s, 10);
+            spec.priority = wire::Priority::high;
+          spec.estimate_s = 10;
+          day.world.submit_job(spec, 10);
         });
       }
     }
     day.world.step(60);
     for (int n = 10; n < 14; ++n) {
-      wire::JobSpec s = job_of(n, 150, n % 2 == 0 ? "red" : "blue");
-      s.estimate_s = 20;
-      day.world.submit_job(s, 20);
+      wire::JobSpec spec = job_of(n, 150, n % 2 == 0 ? "red" : "blue");
+      spec.estimate_s = 20;
+      day.world.submit_job(spec, 20);
     }
     day.at(120, [&] { day.world.slow_down_links(20); });
     day.at(150, [&] { day.crash_leader(); });
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -19,9 +19,9 @@
   return plan;
 }
 
-void crash_all(SimulatedCluster& w) {
+void crash_all(SimulatedCluster& cluster) {
   for (std::size_t i = 0; i < 3; ++i)
-    w.crash(i);
+    cluster.crash(i);
 }
 
 // The state service is down for longer than a lease and a delegation grant, and every controller restarts
@@ -33,10 +33,10 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + ", after " + std::to_string(at));
       lost_nothing(ride_through(
           with_peer_agreement(seed, 12),
-          [at](SimulatedCluster& w) {
-            w.state_outage(70);
-            w.schedule_after(at, [&w] { crash_all(w); });
-            w.schedule_after(at + 2, [&w] { crash_all(w); });
+          [at](SimulatedCluster& cluster) {
+            cluster.state_outage(70);
+            cluster.schedule_after(at, [&cluster] { crash_all(cluster); });
+            cluster.schedule_after(at + 2, [&cluster] { crash_all(cluster); });
           },
           90));
     }
@@ -49,13 +49,14 @@
     SCOPED_TRACE(seed);
     lost_nothing(ride_through(
         with_peer_agreement(seed, 12),
-        [](SimulatedCluster& w) {
-          w.state_outage(60);
+        [](SimulatedCluster& cluster) {
+          cluster.state_outage(60);
           for (int i = 0; i < 12; ++i)
-            w.schedule_after(1 + i, [&w] { crash_all(w); });
+            cluster.schedule_after(1 + i, [&cluster] { crash_all(cluster); });
           for (int i = 0; i < 20; ++i)
-            w.schedule_after(25 + 1.5 * i, [&w, i] { w.crash(static_cast<std::size_t>(i % 3)); });
-          w.schedule_after(59.9, [&w] { crash_all(w); });
+            cluster.schedule_after(25 + 1.5 * i,
+                                   [&cluster, i] { cluster.crash(static_cast<std::size_t>(i % 3)); });
+          cluster.schedule_after(59.9, [&cluster] { crash_all(cluster); });
         },
         90));
   }
@@ -69,19 +70,19 @@
     SCOPED_TRACE(seed);
     SimulationPlan plan = with_peer_agreement(seed, 12);
     plan.back_to = 0.06;
-    const Ride r = ride_through(
+    const Ride ride = ride_through(
         plan,
-        [](SimulatedCluster& w) {
-          w.state_outage(65);
+        [](SimulatedCluster& cluster) {
+          cluster.state_outage(65);
           // Out of phase with the workers' retry interval of 1 s.
           for (int i = 0; i < 60; ++i)
-            w.schedule_after(1 + i + 0.15 * (i % 4), [&w] { crash_all(w); });
+            cluster.schedule_after(1 + i + 0.15 * (i % 4), [&cluster] { crash_all(cluster); });
         },
         90);
-    for (const auto& b : r.verdict.broken_rules)
+    for (const auto& b : ride.verdict.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_LE(r.verdict.lost_by_lease_expiry, r.before / 5);
-    EXPECT_TRUE(r.over) << "expected the job array to be done";
+    EXPECT_LE(ride.verdict.lost_by_lease_expiry, ride.before / 5);
+    EXPECT_TRUE(ride.over) << "expected the job array to be done";
   }
 }
 
@@ -89,16 +90,16 @@
 TEST(AllNew, WithoutPeerAgreementAnOutageLosesRunningTasks) {
   SimulationPlan plan = with_peer_agreement(1, 12);
   plan.peer_agreement = false;
-  const Ride r = ride_through(
+  const Ride ride = ride_through(
       plan,
-      [](SimulatedCluster& w) {
-        w.state_outage(70);
-        w.schedule_after(4, [&w] { crash_all(w); });
+      [](SimulatedCluster& cluster) {
+        cluster.state_outage(70);
+        cluster.schedule_after(4, [&cluster] { crash_all(cluster); });
       },
       90);
-  for (const auto& b : r.verdict.broken_rules)
+  for (const auto& b : ride.verdict.broken_rules)
     ADD_FAILURE() << b;
-  EXPECT_GT(r.verdict.lost_by_lease_expiry, 10U) << "expected tasks to be lost without peer agreement";
+  EXPECT_GT(ride.verdict.lost_by_lease_expiry, 10U) << "expected tasks to be lost without peer agreement";
 }
 
 // All controllers crash repeatedly, and a zone is cut off before any process has run for cancel_s. The marker
@@ -109,11 +110,11 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + (leaders_zone ? ", the leader's zone" : ""));
       lost_nothing(ride_through(
           with_peer_agreement(seed, 12, 4),
-          [leaders_zone](SimulatedCluster& w) {
+          [leaders_zone](SimulatedCluster& cluster) {
             for (const double at : {1.0, 6.0, 8.0, 14.0})
-              w.schedule_after(at, [&w] { crash_all(w); });
-            w.schedule_after(24, [&w, leaders_zone] {
-              w.cut_zone((w.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 55, true);
+              cluster.schedule_after(at, [&cluster] { crash_all(cluster); });
+            cluster.schedule_after(24, [&cluster, leaders_zone] {
+              cluster.cut_zone((cluster.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 55, true);
             });
           },
           95));
@@ -127,18 +128,19 @@
 TEST(AllNew, ARestartedLeaderEndsTheLeaseOfItsEarlierProcess) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     hush();
-    SimulatedCluster world(with_peer_agreement(seed, 12));
-    world.begin();
-    world.step(30);
+    SimulatedCluster cluster(with_peer_agreement(seed, 12));
+    cluster.begin();
+    cluster.step(30);
     for (double t = 30; t < 60; t += 5) {
-      const auto leader = world.leader();
+      const auto leader = cluster.leader();
       ASSERT_TRUE(leader) << "seed " << seed << " at " << t;
-      world.crash(*leader);
-      world.step(t + 1.5);
-      EXPECT_TRUE(world.leader()) << "expected a leader 1.5 s after the crash; seed " << seed << " at " << t;
-      world.step(t + 5);
+      cluster.crash(*leader);
+      cluster.step(t + 1.5);
+      EXPECT_TRUE(cluster.leader()) << "expected a leader 1.5 s after the crash; seed " << seed << " at "
+                                    << t;
+      cluster.step(t + 5);
     }
-    for (const auto& b : world.run_report().broken_rules)
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -151,19 +153,20 @@
     for (const bool in_turn : {false, true}) {
       SCOPED_TRACE("second crash after " + std::to_string(after) + " s" +
                    (in_turn ? ", one after the other" : ""));
-      const Ride r = ride_through(
+      const Ride ride = ride_through(
           with_peer_agreement(2, 24),
-          [after, in_turn](SimulatedCluster& w) {
-            crash_all(w);
+          [after, in_turn](SimulatedCluster& cluster) {
+            crash_all(cluster);
             for (std::size_t i = 0; i < 3; ++i)
-              w.schedule_after(after * (in_turn ? static_cast<double>(i + 1) : 1.0), [&w, i] { w.crash(i); });
+              cluster.schedule_after(after * (in_turn ? static_cast<double>(i + 1) : 1.0),
+                                     [&cluster, i] { cluster.crash(i); });
           },
           60);
-      for (const auto& b : r.verdict.broken_rules)
+      for (const auto& b : ride.verdict.broken_rules)
         ADD_FAILURE() << b;
-      EXPECT_EQ(r.again, 0U) << "expected no running task to be started again";
-      EXPECT_EQ(r.verdict.lost_by_lease_expiry, 0U);
-      EXPECT_TRUE(r.over) << "expected the job array to be done";
+      EXPECT_EQ(ride.again, 0U) << "expected no running task to be started again";
+      EXPECT_EQ(ride.verdict.lost_by_lease_expiry, 0U);
+      EXPECT_TRUE(ride.over) << "expected the job array to be done";
     }
   }
 }
@@ -172,7 +175,7 @@
 // holds for the whole outage.
 TEST(AllNew, ALongOutageWithTheLeaderRunningLosesNothing) {
   lost_nothing(ride_through(
-      with_peer_agreement(6, 12), [](SimulatedCluster& w) { w.state_outage(110); }, 130));
+      with_peer_agreement(6, 12), [](SimulatedCluster& cluster) { cluster.state_outage(110); }, 130));
 }
 
 // A zone is cut off for longer than a lease and for less than the period of lease delegation (5 leases).
@@ -182,8 +185,8 @@
       SCOPED_TRACE("seed " + std::to_string(seed) + (leaders_zone ? ", the leader's zone" : ""));
       lost_nothing(ride_through(
           with_peer_agreement(seed, 12, 5),
-          [leaders_zone](SimulatedCluster& w) {
-            w.cut_zone((w.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 95, true);
+          [leaders_zone](SimulatedCluster& cluster) {
+            cluster.cut_zone((cluster.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 95, true);
           },
           110));
     }
@@ -211,66 +214,66 @@
   SimulationPlan plan = with_peer_agreement(seed, static_cast<int>(loss.machines), 2);
   plan.zone_tracking = loss.zones;
   plan.max_machines = loss.machines * 2;
-  SimulatedCluster world(plan);
-  world.begin();
-  world.step(5);
+  SimulatedCluster cluster(plan);
+  cluster.begin();
+  cluster.step(5);
   constexpr int kServices = 12;  // two thirds of the capacity
   for (int n = 1; n <= kServices; ++n) {
-    wire::JobSpec s = job_of(n, static_cast<std::uint32_t>(loss.machines / 3), "red");
-    s.shape = wire::Shape::service;
-    s.priority = wire::Priority::production;
-    s.spread_zones = true;
-    s.allows_spot = false;
-    world.submit_job(s, 0);
+    wire::JobSpec spec = job_of(n, static_cast<std::uint32_t>(loss.machines / 3), "red");
+    spec.shape = wire::Shape::service;
+    spec.priority = wire::Priority::production;
+    spec.spread_zones = true;
+    spec.allows_spot = false;
+    cluster.submit_job(spec, 0);
   }
-  world.step(50);
-  const std::size_t zone = (world.leader().value_or(0) + (loss.leaders_zone ? 0 : 1)) % loss.zones;
-  world.cut_zone(zone, loss.cut_s, true);
+  cluster.step(50);
+  const std::size_t zone = (cluster.leader().value_or(0) + (loss.leaders_zone ? 0 : 1)) % loss.zones;
+  cluster.cut_zone(zone, loss.cut_s, true);
   if (loss.crash_after_s >= 0 && loss.crash_after_s <= 15)
-    world.schedule_after(loss.crash_after_s, [&world] { crash_all(world); });
-  world.step(65);  // until then the zone is not lost: a few silent machines may have failed individually
-  const std::size_t zone_machines = world.machines_in_zone(zone);
+    cluster.schedule_after(loss.crash_after_s, [&cluster] { crash_all(cluster); });
+  cluster.step(65);  // until then the zone is not lost: a few silent machines may have failed individually
+  const std::size_t zone_machines = cluster.machines_in_zone(zone);
   if (loss.dead_share > 0)
-    world.schedule_after(loss.cut_s - 25, [&world, zone, zone_machines, share = loss.dead_share] {
-      world.kill_in_zone(zone, static_cast<std::size_t>(share * static_cast<double>(zone_machines)));
+    cluster.schedule_after(loss.cut_s - 25, [&cluster, zone, zone_machines, share = loss.dead_share] {
+      cluster.kill_in_zone(zone, static_cast<std::size_t>(share * static_cast<double>(zone_machines)));
     });
   if (loss.all_new)
     for (const double at : {1.0, loss.cut_s - 35, loss.cut_s - 16}) {
-      world.schedule_after(at, [&world] { crash_all(world); });
+      cluster.schedule_after(at, [&cluster] { crash_all(cluster); });
     }
   if (loss.crash_after_s > 15)
-    world.schedule_after(loss.crash_after_s - 15, [&world] { crash_all(world); });
+    cluster.schedule_after(loss.crash_after_s - 15, [&cluster] { crash_all(cluster); });
   for (int n = 0; n < loss.surge; ++n) {
-    world.step(66 + n);
-    wire::JobSpec s = job_of(100 + n, 20, "blue");
-    s.estimate_s = 15;
-    world.submit_job(s, 15);
+    cluster.step(66 + n);
+    wire::JobSpec spec = job_of(100 + n, 20, "blue");
+    spec.estimate_s = 15;
+    cluster.submit_job(spec, 15);
   }
-  world.step(50 + loss.cut_s - 0.1);
-  const RunReport& v = world.run_report();
-  EXPECT_EQ(v.returned_in_cut, 0U);
-  EXPECT_EQ(v.started_in_cut, 0U);
-  EXPECT_EQ(v.rented_in_cut, 0U);
-  EXPECT_GE(world.machines_in_zone(zone) +
+  cluster.step(50 + loss.cut_s - 0.1);
+  const RunReport& report = cluster.run_report();
+  EXPECT_EQ(report.returned_in_cut, 0U);
+  EXPECT_EQ(report.started_in_cut, 0U);
+  EXPECT_EQ(report.rented_in_cut, 0U);
+  EXPECT_GE(cluster.machines_in_zone(zone) +
                 static_cast<std::size_t>(loss.dead_share * static_cast<double>(zone_machines)) + 1,
             zone_machines)
       << "expected the zone's machines to be kept until it returns";
-  if (const auto stats = world.leader_stats();
+  if (const auto stats = cluster.leader_stats();
       stats && !loss.all_new && loss.crash_after_s < 0 && loss.cut_s > 3 * kWorkerLeaseS + 5) {
     EXPECT_EQ(stats->zones_lost, 1U);
   }
-  world.step(60 + loss.cut_s + static_cast<double>(loss.second_cut_after_s));
+  cluster.step(60 + loss.cut_s + static_cast<double>(loss.second_cut_after_s));
   if (loss.second_cut_after_s > 0) {
-    world.cut_zone((zone + 1) % loss.zones, loss.cut_s, false);
-    world.step(70 + 2 * loss.cut_s + static_cast<double>(loss.second_cut_after_s));
+    cluster.cut_zone((zone + 1) % loss.zones, loss.cut_s, false);
+    cluster.step(70 + 2 * loss.cut_s + static_cast<double>(loss.second_cut_after_s));
   }
-  world.step(world.next() + 150);
+  cluster.step(cluster.next() + 150);
   for (int n = 1; n <= kServices; ++n) {
-    EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), loss.machines / 3)
+    EXPECT_EQ(cluster.replicas_up("req-" + std::to_string(n)), loss.machines / 3)
         << "replicas of service req-" << n;
   }
-  EXPECT_EQ(world.close().unfinished, 0U) << "expected every accepted job to be done";
-  for (const auto& b : world.run_report().broken_rules)
+  EXPECT_EQ(cluster.close().unfinished, 0U) << "expected every accepted job to be done";
+  for (const auto& b : cluster.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
@@ -323,23 +326,23 @@
   for (const double period : {1.0, 5.0, 20.0, 60.0}) {
     SCOPED_TRACE("cut off for " + std::to_string(period) + " s at a time");
     hush();
-    SimulatedCluster world(with_peer_agreement(7, 12, 2));
-    world.begin();
-    world.step(5);
-    wire::JobSpec s = job_of(1, 6, "red");
-    s.shape = wire::Shape::service;
-    s.spread_zones = true;
-    s.allows_spot = false;
-    world.submit_job(s, 0);
-    world.step(50);
+    SimulatedCluster cluster(with_peer_agreement(7, 12, 2));
+    cluster.begin();
+    cluster.step(5);
+    wire::JobSpec spec = job_of(1, 6, "red");
+    spec.shape = wire::Shape::service;
+    spec.spread_zones = true;
+    spec.allows_spot = false;
+    cluster.submit_job(spec, 0);
+    cluster.step(50);
     for (double t = 50; t < 50 + 8 * period + 20; t += 2 * period) {
-      world.cut_zone(1, period, true);
-      world.step(t + 2 * period);
+      cluster.cut_zone(1, period, true);
+      cluster.step(t + 2 * period);
     }
-    EXPECT_EQ(world.run_report().returned_in_cut, 0U);
-    world.step(world.next() + 120);
-    EXPECT_EQ(world.replicas_up("req-1"), 6U);
-    for (const auto& b : world.run_report().broken_rules)
+    EXPECT_EQ(cluster.run_report().returned_in_cut, 0U);
+    cluster.step(cluster.next() + 120);
+    EXPECT_EQ(cluster.replicas_up("req-1"), 6U);
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -349,39 +352,39 @@
   hush();
   SimulationPlan plan = with_peer_agreement(11, 1800, 3);
   plan.zone_tracking = 3;
-  SimulatedCluster world(plan);
-  world.begin();
-  world.step(5);
+  SimulatedCluster cluster(plan);
+  cluster.begin();
+  cluster.step(5);
   for (int n = 1; n <= 30; ++n) {
-    wire::JobSpec s = job_of(n, 60, "red");
-    s.shape = wire::Shape::service;
-    s.spread_zones = true;
-    s.allows_spot = false;
-    world.submit_job(s, 0);
+    wire::JobSpec spec = job_of(n, 60, "red");
+    spec.shape = wire::Shape::service;
+    spec.spread_zones = true;
+    spec.allows_spot = false;
+    cluster.submit_job(spec, 0);
   }
-  world.step(45);
+  cluster.step(45);
   for (int n = 0; n < 20; ++n) {
-    wire::JobSpec s = job_of(100 + n, 100, "blue");
-    s.estimate_s = 30;
-    world.submit_job(s, 30);
+    wire::JobSpec spec = job_of(100 + n, 100, "blue");
+    spec.estimate_s = 30;
+    cluster.submit_job(spec, 30);
   }
-  world.step(50);
-  const std::size_t before = world.run_report().started;
+  cluster.step(50);
+  const std::size_t before = cluster.run_report().started;
   EXPECT_GT(before, 1800U);
-  crash_all(world);
-  world.step(55);
-  world.cut_zone(1, 50, true);
-  world.step(70);
-  world.crash(0);
-  world.step(180);
-  EXPECT_EQ(world.run_report().lost_by_lease_expiry, 0U);
-  EXPECT_EQ(world.run_report().returned_in_cut, 0U);
+  crash_all(cluster);
+  cluster.step(55);
+  cluster.cut_zone(1, 50, true);
+  cluster.step(70);
+  cluster.crash(0);
+  cluster.step(180);
+  EXPECT_EQ(cluster.run_report().lost_by_lease_expiry, 0U);
+  EXPECT_EQ(cluster.run_report().returned_in_cut, 0U);
   std::size_t replicas = 0;
   for (int n = 1; n <= 30; ++n)
-    replicas += world.replicas_up("req-" + std::to_string(n));
+    replicas += cluster.replicas_up("req-" + std::to_string(n));
   EXPECT_EQ(replicas, 1800U) << "replicas of all services";
-  EXPECT_EQ(world.close().unfinished, 0U);
-  for (const auto& b : world.run_report().broken_rules)
+  EXPECT_EQ(cluster.close().unfinished, 0U);
+  for (const auto& b : cluster.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -31,27 +31,27 @@
   double write_rps = 15;
 };
 
-void inject(SimulatedCluster& world, Trouble trouble) {
-  const std::size_t leader = world.leader().value_or(0), other = (leader + 1) % world.nodes();
+void inject(SimulatedCluster& cluster, Trouble trouble) {
+  const std::size_t leader = cluster.leader().value_or(0), other = (leader + 1) % cluster.nodes();
   switch (trouble) {
     case Trouble::leader_ends:
-      return world.crash(leader);
+      return cluster.crash(leader);
     case Trouble::node_dead:
       // The other controllers must be able to use its budget share while it is down.
       for (int k = 0; k < 12; ++k)
-        world.schedule_after(k, [&world, other] { world.crash(other); });
+        cluster.schedule_after(k, [&cluster, other] { cluster.crash(other); });
       return;
     case Trouble::cut_from_peers:
-      return world.cut_node(other, false, true, 12, true);
+      return cluster.cut_node(other, false, true, 12, true);
     case Trouble::cut_from_state:
-      return world.cut_node(leader, true, false, 12, false);
+      return cluster.cut_node(leader, true, false, 12, false);
     case Trouble::slow:
-      return world.state_slow(12);
+      return cluster.state_slow(12);
     case Trouble::frozen:
-      return world.freeze(leader, 6);
+      return cluster.freeze(leader, 6);
     case Trouble::restarts:
       for (int k = 0; k < 20; ++k)
-        world.schedule_after(k, [&world, other] { world.crash(other); });
+        cluster.schedule_after(k, [&cluster, other] { cluster.crash(other); });
       return;
     default:
       return;
@@ -77,16 +77,16 @@
   plan.one_without_shares = flood.trouble == Trouble::older;
   plan.back_from = flood.trouble == Trouble::node_dead ? 0.9 : 0.05;
   plan.back_to = flood.trouble == Trouble::node_dead ? 0.99 : 0.2;
-  SimulatedCluster world(plan);
-  world.begin();
-  world.step(10);
+  SimulatedCluster cluster(plan);
+  cluster.begin();
+  cluster.step(10);
   constexpr double kFrom = 20, kTo = 40;
   int n = 0;
   const auto submit = [&](const char* job_class, const char* team, double t) {
-    wire::JobSpec s = job_of(++n, 1, team);
-    s.job_class = job_class;
-    s.estimate_s = 1;
-    world.submit_job(s, 1, flood.one_user && n % 3 == 0 ? t + 2 : -1);
+    wire::JobSpec spec = job_of(++n, 1, team);
+    spec.job_class = job_class;
+    spec.estimate_s = 1;
+    cluster.submit_job(spec, 1, flood.one_user && n % 3 == 0 ? t + 2 : -1);
   };
   bool struck = false;
   constexpr double kEnd = 100;
@@ -99,28 +99,28 @@
       submit("calm", "blue", t);
     if (t >= kFrom + 5 && !struck) {
       struck = true;
-      inject(world, flood.trouble);
+      inject(cluster, flood.trouble);
     }
-    world.step(t + 0.1);
+    cluster.step(t + 0.1);
   }
   tally.calm += 1;
-  tally.calm_in_time += world.accepted_within_share("calm", 1, kFrom, kTo);
-  EXPECT_GE(world.accepted_within_share("calm", 30, kFrom, kTo), 0.95) << "accepted within 30 s";
-  EXPECT_GE(world.accepted_within_share("flood", 30, kFrom, kTo), 0.5) << "accepted within 30 s";
+  tally.calm_in_time += cluster.accepted_within_share("calm", 1, kFrom, kTo);
+  EXPECT_GE(cluster.accepted_within_share("calm", 30, kFrom, kTo), 0.95) << "accepted within 30 s";
+  EXPECT_GE(cluster.accepted_within_share("flood", 30, kFrom, kTo), 0.5) << "accepted within 30 s";
   // Normal again 30 s after the flood, although the deferred submissions are still being repeated.
   for (const char* job_class : {"calm", "flood"}) {
     tally.after += 1;
-    tally.after_in_time += world.accepted_within_share(job_class, 1, kTo + 30, kEnd - 2);
+    tally.after_in_time += cluster.accepted_within_share(job_class, 1, kTo + 30, kEnd - 2);
   }
   // A controller's bucket holds one second of its budget share, but at least four changes and one for
   // admissions, which is more with a budget as small as this. max_writes is measured over five seconds.
   if (flood.trouble != Trouble::older) {
     const double full_buckets_s = 5.0 * static_cast<double>(flood.nodes) / flood.write_rps;
-    EXPECT_LE(world.run_report().max_writes, 0.9 + (0.9 + full_buckets_s) / 5);
+    EXPECT_LE(cluster.run_report().max_writes, 0.9 + (0.9 + full_buckets_s) / 5);
   }
-  world.step(400);
-  EXPECT_EQ(world.close().unfinished, 0U) << "expected every accepted job to be done";
-  for (const auto& b : world.run_report().broken_rules)
+  cluster.step(400);
+  EXPECT_EQ(cluster.close().unfinished, 0U) << "expected every accepted job to be done";
+  for (const auto& b : cluster.run_report().broken_rules)
     ADD_FAILURE() << b;
 }
 
@@ -179,37 +179,37 @@
     SimulationPlan plan = scripted(seed, 40);  // enough that no task is preempted
     plan.fair_admission = true;
     plan.back_from = 0.05, plan.back_to = 0.3;
-    SimulatedCluster world(plan);
-    world.begin();
-    world.step(10);
+    SimulatedCluster cluster(plan);
+    cluster.begin();
+    cluster.step(10);
     for (int n = 1; n <= 40; ++n) {
-      wire::JobSpec s = job_of(n, 1, n % 2 == 0 ? "red" : "blue");
-      s.shape = n % 4 == 0 ? wire::Shape::service : wire::Shape::array;
-      s.estimate_s = 5;
-      world.submit_job(s, 5, n % 8 == 0 ? 60 : -1);
+      wire::JobSpec spec = job_of(n, 1, n % 2 == 0 ? "red" : "blue");
+      spec.shape = n % 4 == 0 ? wire::Shape::service : wire::Shape::array;
+      spec.estimate_s = 5;
+      cluster.submit_job(spec, 5, n % 8 == 0 ? 60 : -1);
     }
-    world.step(14);
-    EXPECT_GT(world.run_report().batched, 20U)
+    cluster.step(14);
+    EXPECT_GT(cluster.run_report().batched, 20U)
         << "expected jobs to be admitted in job batches; seed " << seed;
-    world.crash(world.leader().value_or(0));
-    world.step(25);
-    EXPECT_GT(world.batch_count(), 0U) << "expected the job batches of running services to remain";
+    cluster.crash(cluster.leader().value_or(0));
+    cluster.step(25);
+    EXPECT_GT(cluster.batch_count(), 0U) << "expected the job batches of running services to remain";
     for (std::size_t i = 0; i < 3; ++i) {
-      world.restart_with([](settings::Settings& s) { s.tunables.fair_admission = 0; }, i);
-      world.step(30 + 8 * static_cast<double>(i));
+      cluster.restart_with([](settings::Settings& changed) { changed.tunables.fair_admission = 0; }, i);
+      cluster.step(30 + 8 * static_cast<double>(i));
     }
-    world.step(80);
-    EXPECT_EQ(world.batch_count(), 0U) << "expected no job batch without admission; seed " << seed;
+    cluster.step(80);
+    EXPECT_EQ(cluster.batch_count(), 0U) << "expected no job batch without admission; seed " << seed;
     for (int n = 4; n <= 40; n += 4) {
       if (n % 8 != 0) {
-        EXPECT_EQ(world.replicas_up("req-" + std::to_string(n)), 1U) << "service req-" << n;
+        EXPECT_EQ(cluster.replicas_up("req-" + std::to_string(n)), 1U) << "service req-" << n;
       }
     }
-    world.crash(world.leader().value_or(0));
-    world.step(200);
-    EXPECT_EQ(world.close().unfinished, 0U);
-    EXPECT_EQ(world.run_report().started_again, 0U) << "expected the new leader to find all running tasks";
-    for (const auto& b : world.run_report().broken_rules)
+    cluster.crash(cluster.leader().value_or(0));
+    cluster.step(200);
+    EXPECT_EQ(cluster.close().unfinished, 0U);
+    EXPECT_EQ(cluster.run_report().started_again, 0U) << "expected the new leader to find all running tasks";
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -222,23 +222,23 @@
     plan.fair_admission = true;
     plan.peer_agreement = true;  // otherwise a lease may expire between so many leaders
     plan.back_from = 0.05, plan.back_to = 0.3;
-    SimulatedCluster world(plan);
-    world.begin();
-    world.step(40);
+    SimulatedCluster cluster(plan);
+    cluster.begin();
+    cluster.step(40);
     for (int n = 1; n <= 60; ++n) {
-      wire::JobSpec s = job_of(n, 1, "red");
-      s.estimate_s = n % 10 == 0 ? 60 : 3;
-      world.submit_job(s, n % 10 == 0 ? 60 : 3);
+      wire::JobSpec spec = job_of(n, 1, "red");
+      spec.estimate_s = n % 10 == 0 ? 60 : 3;
+      cluster.submit_job(spec, n % 10 == 0 ? 60 : 3);
     }
     for (double t = 44; t < 100; t += 9) {  // not a multiple of a worker's wait for a dead controller
-      world.step(t);
-      world.crash(world.leader().value_or(0));
+      cluster.step(t);
+      cluster.crash(cluster.leader().value_or(0));
     }
-    world.step(200);
-    EXPECT_GT(world.run_report().batched, 20U);
-    EXPECT_EQ(world.close().unfinished, 0U);
-    EXPECT_EQ(world.run_report().started_again, 0U);
-    for (const auto& b : world.run_report().broken_rules)
+    cluster.step(200);
+    EXPECT_GT(cluster.run_report().batched, 20U);
+    EXPECT_EQ(cluster.close().unfinished, 0U);
+    EXPECT_EQ(cluster.run_report().started_again, 0U);
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -251,23 +251,23 @@
     hush();
     SimulationPlan plan = scripted(seed, 6);
     plan.dependencies = true;
-    SimulatedCluster world(plan);
-    world.begin();
-    world.step(5);
+    SimulatedCluster cluster(plan);
+    cluster.begin();
+    cluster.step(5);
     wire::JobSpec first = job_of(1, 2, "red");
     first.estimate_s = 60;
-    world.submit_job(first, 60, 12);
-    world.step(20);
-    world.crash(world.leader().value_or(0));
-    world.step(20.5);
+    cluster.submit_job(first, 60, 12);
+    cluster.step(20);
+    cluster.crash(cluster.leader().value_or(0));
+    cluster.step(20.5);
     wire::JobSpec next = job_of(2, 2, "red");
     next.depends_on = {"req-1"};
-    world.submit_job(next, 5);
-    world.step(21);
-    world.state_outage(45);
-    world.step(200);
-    EXPECT_GT(world.run_report().orphaned, 0U) << "expected the dependent job to be orphaned";
-    for (const auto& b : world.run_report().broken_rules)
+    cluster.submit_job(next, 5);
+    cluster.step(21);
+    cluster.state_outage(45);
+    cluster.step(200);
+    EXPECT_GT(cluster.run_report().orphaned, 0U) << "expected the dependent job to be orphaned";
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -281,23 +281,23 @@
     hush();
     SimulationPlan plan = scripted(seed, 16);
     plan.fair_admission = seed % 2 == 0;
-    SimulatedCluster world(plan);
-    world.begin();
-    world.step(10);
+    SimulatedCluster cluster(plan);
+    cluster.begin();
+    cluster.step(10);
     for (int n = 1; n <= 30; ++n) {
-      wire::JobSpec s = job_of(n, 1, "red");
-      s.estimate_s = 10;
-      world.submit_job(s, n % 3 == 0 ? 8 : 60, n % 3 == 0 ? -1 : 20 + n);
+      wire::JobSpec spec = job_of(n, 1, "red");
+      spec.estimate_s = 10;
+      cluster.submit_job(spec, n % 3 == 0 ? 8 : 60, n % 3 == 0 ? -1 : 20 + n);
     }
-    world.step(15);
+    cluster.step(15);
     for (int n = 1; n <= 30; ++n)
-      world.poll_closely("req-" + std::to_string(n), 150);
-    for (std::size_t i = 0; i < world.nodes(); ++i)
-      world.cut_node(i, false, true, 50, false);
-    world.state_slow(60);
-    world.step(80);
-    EXPECT_GT(world.run_report().cancelled, 10U) << "expected cancellations to be recorded";
-    for (const auto& b : world.run_report().broken_rules)
+      cluster.poll_closely("req-" + std::to_string(n), 150);
+    for (std::size_t i = 0; i < cluster.nodes(); ++i)
+      cluster.cut_node(i, false, true, 50, false);
+    cluster.state_slow(60);
+    cluster.step(80);
+    EXPECT_GT(cluster.run_report().cancelled, 10U) << "expected cancellations to be recorded";
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -19,16 +19,17 @@
 // To repeat one seed: random_fault_search SEED 1
 TEST_P(Seeds, RulesHoldUnderRandomFaults) {
   const SimulationPlan plan = plan_of(static_cast<std::uint64_t>(GetParam()));
-  const RunReport v = SimulatedCluster(plan).run();
-  for (const auto& b : v.broken_rules)
+  const RunReport report = SimulatedCluster(plan).run();
+  for (const auto& b : report.broken_rules)
     ADD_FAILURE() << b;
-  EXPECT_GT(v.started, 20U);
-  EXPECT_GT(v.accepted, 20U);
-  EXPECT_GT(v.finished, 5U);
-  EXPECT_GT(v.elections, 0U);
-  EXPECT_EQ(v.with_dependencies > 5U, plan.dependencies);
+  EXPECT_GT(report.started, 20U);
+  EXPECT_GT(report.accepted, 20U);
+  EXPECT_GT(report.finished, 5U);
+  EXPECT_GT(report.elections, 0U);
+  EXPECT_EQ(report.with_dependencies > 5U, plan.dependencies);
   // Once the faults are over, every accepted job is done.
-  EXPECT_EQ(v.unfinished, 0U) << "unfinished of " << v.accepted << " accepted jobs, seed " << plan.seed;
+  EXPECT_EQ(report.unfinished, 0U) << "unfinished of " << report.accepted << " accepted jobs, seed "
+                                   << plan.seed;
 }
 INSTANTIATE_TEST_SUITE_P(SimulatedCluster, Seeds, ::testing::Range(1, 25));
 
@@ -40,14 +41,14 @@
     SimulationPlan plan;
     plan.seed = seed;
     plan.fault_every_s = 0;
-    const RunReport v = SimulatedCluster(plan).run();
-    EXPECT_TRUE(v.broken_rules.empty()) << "seed " << seed;
-    EXPECT_EQ(v.unfinished, 0U) << "seed " << seed;
-    EXPECT_EQ(v.elections, 1U) << "seed " << seed;
+    const RunReport report = SimulatedCluster(plan).run();
+    EXPECT_TRUE(report.broken_rules.empty()) << "seed " << seed;
+    EXPECT_EQ(report.unfinished, 0U) << "seed " << seed;
+    EXPECT_EQ(report.elections, 1U) << "seed " << seed;
     // Guards against an answer that is built before the controller has stored the recorded final state in
     // memory: the user is then answered only on the retry.
-    EXPECT_GT(v.cancelled, 3U) << "seed " << seed;
-    EXPECT_EQ(v.cancellations_deferred, 0U)
+    EXPECT_GT(report.cancelled, 3U) << "seed " << seed;
+    EXPECT_EQ(report.cancellations_deferred, 0U)
         << "expected every cancellation to be confirmed at once; seed " << seed;
   }
 }
@@ -61,13 +62,13 @@
   for (const std::uint64_t seed : {9U, 15U, 21U}) {
     SimulationPlan plan = plan_of(seed);
     plan.fault_every_s = 0;
-    const RunReport v = SimulatedCluster(plan).run();
-    for (const auto& b : v.broken_rules)
+    const RunReport report = SimulatedCluster(plan).run();
+    for (const auto& b : report.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_EQ(v.unfinished, 0U) << "seed " << seed;
-    EXPECT_LE(v.elections, 4U) << "seed " << seed;
-    EXPECT_EQ(v.over_limits, 0U) << "expected no request beyond the limits; seed " << seed;
-    orphaned += v.orphaned;
+    EXPECT_EQ(report.unfinished, 0U) << "seed " << seed;
+    EXPECT_LE(report.elections, 4U) << "seed " << seed;
+    EXPECT_EQ(report.over_limits, 0U) << "expected no request beyond the limits; seed " << seed;
+    orphaned += report.orphaned;
   }
   EXPECT_GT(orphaned, 5U) << "expected orphaned jobs during the upgrades";
 }
@@ -82,11 +83,11 @@
     plan.undeclared_limits = 0.4;
     plan.machines = 12;
     plan.fault_every_s = 40;
-    const RunReport v = SimulatedCluster(plan).run();
-    for (const auto& b : v.broken_rules)
+    const RunReport report = SimulatedCluster(plan).run();
+    for (const auto& b : report.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_EQ(v.unfinished, 0U) << "seed " << seed;
-    over_limits += v.over_limits;
+    EXPECT_EQ(report.unfinished, 0U) << "seed " << seed;
+    over_limits += report.over_limits;
   }
   EXPECT_GT(over_limits, 3U) << "expected requests beyond the undeclared limits";
 }
@@ -103,8 +104,8 @@
                      (leaders_zone ? ", the leader's zone" : ""));
         lost_nothing(ride_through(
             seed, 12,
-            [&](SimulatedCluster& w) {
-              w.cut_zone((w.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 45, hold);
+            [&](SimulatedCluster& cluster) {
+              cluster.cut_zone((cluster.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 45, hold);
             },
             60));
       }
@@ -114,7 +115,7 @@
 
 TEST(SimulatedCluster, ACutAtAThousandMachinesLosesNothing) {
   lost_nothing(ride_through(
-      5, 1000, [](SimulatedCluster& w) { w.cut_zone(1, 40, true); }, 50));
+      5, 1000, [](SimulatedCluster& cluster) { cluster.cut_zone(1, 40, true); }, 50));
 }
 
 // The state service is down for longer than a lease, and all controllers crash at its end.
@@ -123,11 +124,11 @@
     SCOPED_TRACE(seed);
     lost_nothing(ride_through(
         seed, 12,
-        [](SimulatedCluster& w) {
-          w.state_outage(35);
-          w.schedule_after(34, [&w] {
+        [](SimulatedCluster& cluster) {
+          cluster.state_outage(35);
+          cluster.schedule_after(34, [&cluster] {
             for (std::size_t i = 0; i < 3; ++i)
-              w.crash(i);
+              cluster.crash(i);
           });
         },
         60));
@@ -145,21 +146,21 @@
     plan.machines = 4;
     plan.max_machines = 4;
     plan.scripted = true;
-    SimulatedCluster world(plan);
-    world.begin();
-    world.step(10);
+    SimulatedCluster cluster(plan);
+    cluster.begin();
+    cluster.step(10);
     wire::JobSpec red = job_of(1, 100, "red");  // far beyond its guarantee, on all machines
     red.estimate_s = 30;
-    world.submit_job(red, 30);
-    world.step(40);
+    cluster.submit_job(red, 30);
+    cluster.step(40);
     wire::JobSpec blue = job_of(2, 4, "blue");
     blue.estimate_s = 10;
     blue.deadline_s = deadline_s;
-    world.submit_job(blue, 10);
-    world.step(400);
-    EXPECT_TRUE(world.is_done("req-2"));
-    EXPECT_TRUE(world.run_report().broken_rules.empty());
-    const auto stats = world.leader_stats();
+    cluster.submit_job(blue, 10);
+    cluster.step(400);
+    EXPECT_TRUE(cluster.is_done("req-2"));
+    EXPECT_TRUE(cluster.run_report().broken_rules.empty());
+    const auto stats = cluster.leader_stats();
     return stats ? stats->tasks_reclaimed : 999;
   };
   EXPECT_EQ(tasks_reclaimed(600), 0U);
@@ -176,21 +177,21 @@
   plan.budget_limits = false;
   plan.machines = 24;
   plan.scripted = true;
-  SimulatedCluster world(plan);
-  world.begin();
-  world.step(5);
-  wire::JobSpec s = job_of(0, 4, "red");
-  s.shape = wire::Shape::service;
-  s.priority = wire::Priority::production;
-  s.spread_zones = true;
+  SimulatedCluster cluster(plan);
+  cluster.begin();
+  cluster.step(5);
+  wire::JobSpec spec = job_of(0, 4, "red");
+  spec.shape = wire::Shape::service;
+  spec.priority = wire::Priority::production;
+  spec.spread_zones = true;
   for (int i = 1; i <= 36; ++i) {  // eight cores each; three of four are cancelled at 100 s
-    s.ref = "req-" + std::to_string(i);
-    world.submit_job(s, 0, i % 4 == 0 ? -1 : 100);
+    spec.ref = "req-" + std::to_string(i);
+    cluster.submit_job(spec, 0, i % 4 == 0 ? -1 : 100);
   }
-  world.step(400);
-  const auto stats = world.leader_stats();
+  cluster.step(400);
+  const auto stats = cluster.leader_stats();
   ASSERT_TRUE(stats);
-  EXPECT_TRUE(world.run_report().broken_rules.empty());
+  EXPECT_TRUE(cluster.run_report().broken_rules.empty());
   EXPECT_EQ(stats->live_jobs, 9U);
   EXPECT_LE(stats->machines, 9U);
 }
@@ -202,9 +203,9 @@
   SimulationPlan plan;
   plan.seed = 68;
   plan.budget_limits = false;
-  const RunReport v = SimulatedCluster(plan).run();
-  EXPECT_TRUE(v.broken_rules.empty());
-  EXPECT_EQ(v.unfinished, 0U);
+  const RunReport report = SimulatedCluster(plan).run();
+  EXPECT_TRUE(report.broken_rules.empty());
+  EXPECT_EQ(report.unfinished, 0U);
 }
 
 SimulationPlan large_fleet(std::uint64_t seed, int machines) {
@@ -228,11 +229,11 @@
   for (const std::uint64_t seed : {1U, 2U}) {
     SimulationPlan plan = large_fleet(seed, 1000);
     plan.fault_every_s = 8;
-    const RunReport v = SimulatedCluster(plan).run();
-    for (const auto& b : v.broken_rules)
+    const RunReport report = SimulatedCluster(plan).run();
+    for (const auto& b : report.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_GT(v.started, 300U);
-    EXPECT_GT(v.elections, 0U);
+    EXPECT_GT(report.started, 300U);
+    EXPECT_GT(report.elections, 0U);
   }
 }
 
@@ -244,13 +245,13 @@
     double machines_per_start, jobs_per_start, writes_per_job;
   };
   const auto cost = [](int machines) {
-    SimulatedCluster world(large_fleet(3, machines));
-    world.begin();
+    SimulatedCluster cluster(large_fleet(3, machines));
+    cluster.begin();
     // By then all machines have joined; writing each one's record once is not counted.
-    world.step(50);
-    const auto before = world.leader_stats();
-    world.step(100);
-    const auto after = world.leader_stats();
+    cluster.step(50);
+    const auto before = cluster.leader_stats();
+    cluster.step(100);
+    const auto after = cluster.leader_stats();
     EXPECT_TRUE(before && after && after->tasks_started > 200) << "expected a leader that started 200 tasks";
     if (!before || !after)
       return Cost{0, 0, 0};
@@ -280,15 +281,15 @@
 }
 
 wire::JobSpec live_service(int n, std::uint32_t tasks, int image) {
-  wire::JobSpec s = job_of(n, tasks, "red");
-  s.shape = wire::Shape::service;
-  s.job_class = "live";
-  s.priority = wire::Priority::production;
-  s.image = "live-" + std::to_string(image);
-  s.image_gb = 2.2;  // the fetch takes longer than the objective of 2 s
-  s.spread_zones = true;
-  s.allows_spot = false;
-  return s;
+  wire::JobSpec spec = job_of(n, tasks, "red");
+  spec.shape = wire::Shape::service;
+  spec.job_class = "live";
+  spec.priority = wire::Priority::production;
+  spec.image = "live-" + std::to_string(image);
+  spec.image_gb = 2.2;  // the fetch takes longer than the objective of 2 s
+  spec.spread_zones = true;
+  spec.allows_spot = false;
+  return spec;
 }
 
 // The fleet is full of job arrays, with more waiting; then services are submitted whose images other services
@@ -297,26 +298,26 @@
 TEST(LoadBalancing, ServicesStartWithoutAnImageFetchOnAFullFleet) {
   spdlog::set_level(spdlog::level::off);
   const auto late_services = [](std::uint64_t seed, bool load_balancing) {
-    SimulatedCluster world(load_balanced(seed, 60, load_balancing));
-    world.begin();
-    world.step(10);
+    SimulatedCluster cluster(load_balanced(seed, 60, load_balancing));
+    cluster.begin();
+    cluster.step(10);
     int n = 0;
     for (int i = 0; i < 60; ++i)
-      world.submit_job(live_service(++n, 2, i % 10), 0);
-    world.step(30);
+      cluster.submit_job(live_service(++n, 2, i % 10), 0);
+    cluster.step(30);
     for (int i = 0; i < 30; ++i) {
-      wire::JobSpec s = job_of(++n, 40, "blue");
-      s.estimate_s = 40;
-      world.submit_job(s, 40);
+      wire::JobSpec spec = job_of(++n, 40, "blue");
+      spec.estimate_s = 40;
+      cluster.submit_job(spec, 40);
     }
-    world.step(60);
-    const std::size_t before = world.run_report().services_late;
+    cluster.step(60);
+    const std::size_t before = cluster.run_report().services_late;
     for (int i = 0; i < 24; ++i)
-      world.submit_job(live_service(++n, 2, i % 10), 0);
-    world.step(70);
-    for (const auto& b : world.run_report().broken_rules)
+      cluster.submit_job(live_service(++n, 2, i % 10), 0);
+    cluster.step(70);
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
-    return world.run_report().services_late - before;
+    return cluster.run_report().services_late - before;
   };
   std::size_t late_with = 0, late_without = 0;
   for (const std::uint64_t seed : {1U, 2U, 3U})
@@ -331,38 +332,38 @@
   spdlog::set_level(spdlog::level::off);
   std::uint64_t migrated = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    SimulatedCluster world(load_balanced(seed, 48));
-    world.begin();
-    world.step(10);
+    SimulatedCluster cluster(load_balanced(seed, 48));
+    cluster.begin();
+    cluster.step(10);
     int n = 0;
     const auto submit_until = [&](double until) {
-      while (world.next() < until && n < 400) {
+      while (cluster.next() < until && n < 400) {
         ++n;
-        wire::JobSpec s = job_of(n, 24, n % 2 == 0 ? "red" : "blue");
-        s.estimate_s = 20;
-        world.submit_job(s, 20, n % 9 == 0 ? until + 6 : -1);
-        world.step(std::min(until, 10 + 2.5 * n));
+        wire::JobSpec spec = job_of(n, 24, n % 2 == 0 ? "red" : "blue");
+        spec.estimate_s = 20;
+        cluster.submit_job(spec, 20, n % 9 == 0 ? until + 6 : -1);
+        cluster.step(std::min(until, 10 + 2.5 * n));
       }
-      world.step(until);
+      cluster.step(until);
     };
     submit_until(150);
-    world.slow_machines(8, 4);
+    cluster.slow_machines(8, 4);
     submit_until(200);
-    const auto stats = world.leader_stats();
+    const auto stats = cluster.leader_stats();
     migrated += stats ? stats->migrations_done : 0;
     // During the migrations the leader crashes, a zone is cut off, machines die or the state service is down.
     if (seed % 4 == 0)
-      world.crash(world.leader().value_or(0));
+      cluster.crash(cluster.leader().value_or(0));
     if (seed % 4 == 1)
-      world.cut_zone(seed % 2, 20, true);
+      cluster.cut_zone(seed % 2, 20, true);
     if (seed % 4 == 2)
-      world.kill_machines(10);
+      cluster.kill_machines(10);
     if (seed % 4 == 3)
-      world.state_outage(8);
+      cluster.state_outage(8);
     submit_until(240);
-    world.step(900);
-    EXPECT_EQ(world.close().unfinished, 0U) << "seed " << seed;
-    for (const auto& b : world.run_report().broken_rules)
+    cluster.step(900);
+    EXPECT_EQ(cluster.close().unfinished, 0U) << "seed " << seed;
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
   EXPECT_GT(migrated, 20U) << "expected migrations from the slow machines";
@@ -373,38 +374,38 @@
 TEST(LoadBalancing, ABurstOfOneTeamDoesNotStarveAnother) {
   spdlog::set_level(spdlog::level::off);
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    SimulatedCluster world(load_balanced(seed, 100));
-    world.begin();
-    world.step(10);
+    SimulatedCluster cluster(load_balanced(seed, 100));
+    cluster.begin();
+    cluster.step(10);
     int n = 0;
     for (double t = 10; t < 200; t += 2) {
       const bool burst = t > 60 && t < 120;
       for (int i = 0; i < (burst ? 8 : 1); ++i) {
-        wire::JobSpec s = job_of(++n, 30, "red");
-        s.estimate_s = 30;
+        wire::JobSpec spec = job_of(++n, 30, "red");
+        spec.estimate_s = 30;
         // One user keeps cancelling and submitting again.
-        world.submit_job(s, 30, burst && i == 7 ? t + 20 : -1);
+        cluster.submit_job(spec, 30, burst && i == 7 ? t + 20 : -1);
       }
-      wire::JobSpec s = job_of(++n, 15, "blue");
-      s.estimate_s = 30;
-      world.submit_job(s, 30);
+      wire::JobSpec spec = job_of(++n, 15, "blue");
+      spec.estimate_s = 30;
+      cluster.submit_job(spec, 30);
       if (t == 90)
-        world.kill_machines(10);
+        cluster.kill_machines(10);
       if (t == 100) {
         for (std::size_t c = 0; c < 3; ++c)
-          world.crash(c);
+          cluster.crash(c);
       }
-      world.step(t + 2);
+      cluster.step(t + 2);
       if (t > 100) {
-        EXPECT_GE(world.served_share("blue", 90), 0.5) << "seed " << seed << " at " << t;
+        EXPECT_GE(cluster.served_share("blue", 90), 0.5) << "seed " << seed << " at " << t;
       }
     }
-    const auto stats = world.leader_stats();
+    const auto stats = cluster.leader_stats();
     ASSERT_TRUE(stats);
     EXPECT_GT(stats->loads.size(), 1U);
-    world.step(1500);
-    EXPECT_EQ(world.served_share("red", 300), 1.0) << "seed " << seed;
-    for (const auto& b : world.run_report().broken_rules)
+    cluster.step(1500);
+    EXPECT_EQ(cluster.served_share("red", 300), 1.0) << "seed " << seed;
+    for (const auto& b : cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
   }
 }
@@ -413,9 +414,9 @@
 // against such a job waiting beside an empty machine (seed 800994, and seed 2037 of several cells).
 TEST(SimulatedCluster, AJobThatIsLateAnywayIsPlacedOnASlowMachine) {
   hush();
-  const RunReport v = SimulatedCluster(plan_of(800994)).run();
-  EXPECT_EQ(v.unfinished, 0U);
-  for (const auto& b : v.broken_rules)
+  const RunReport report = SimulatedCluster(plan_of(800994)).run();
+  EXPECT_EQ(report.unfinished, 0U);
+  for (const auto& b : report.broken_rules)
     ADD_FAILURE() << b;
 }
 
