--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -69,7 +69,7 @@
 }
 
 // Machines were silent for longer than a lease, so their tasks were placed elsewhere. Then the
-// leader crashes, and the next one first gets heartbeats from before the move, in any order,
+// leader crashes, and the next one first gets heartbeats from before that, in any order,
 // while commands are delayed.
 TEST(LateMessages, OldHeartbeatsReachANewLeaderBeforeCurrentOnes) {
   meet(12, 1000, [](std::uint64_t seed) {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -7,7 +7,7 @@
 namespace wingtrail::simulation {
 namespace {
 
-enum class Trouble {
+enum class Fault {
   none,
   leader_ends,
   node_dead,
@@ -19,37 +19,37 @@
   older,     // one controller runs without admission control
   count
 };
-constexpr const char* kTroubles[] = {"none", "leader ends", "node dead", "cut from peers", "cut from state",
-                                     "slow", "frozen",      "restarts",  "older"};
+constexpr const char* kFaultNames[] = {"none", "leader ends", "node dead", "cut from peers", "cut from state",
+                                       "slow", "frozen",      "restarts",  "older"};
 
 struct Flood {
   std::size_t nodes = 3;
   int factor = 10;
-  Trouble trouble = Trouble::none;
+  Fault fault = Fault::none;
   bool everybody = false;  // both job classes flood
   bool one_user = false;   // one user cancels a third of the jobs after 2 s
   double write_rps = 15;
 };
 
-void inject(SimulatedCluster& cluster, Trouble trouble) {
+void inject(SimulatedCluster& cluster, Fault fault) {
   const std::size_t leader = cluster.leader().value_or(0), other = (leader + 1) % cluster.nodes();
-  switch (trouble) {
-    case Trouble::leader_ends:
+  switch (fault) {
+    case Fault::leader_ends:
       return cluster.crash(leader);
-    case Trouble::node_dead:
+    case Fault::node_dead:
       // The other controllers must be able to use its budget share while it is down.
       for (int k = 0; k < 12; ++k)
         cluster.schedule_after(k, [&cluster, other] { cluster.crash(other); });
       return;
-    case Trouble::cut_from_peers:
+    case Fault::cut_from_peers:
       return cluster.cut_node(other, false, true, 12, true);
-    case Trouble::cut_from_state:
+    case Fault::cut_from_state:
       return cluster.cut_node(leader, true, false, 12, false);
-    case Trouble::slow:
+    case Fault::slow:
       return cluster.state_slow(12);
-    case Trouble::frozen:
+    case Fault::frozen:
       return cluster.freeze(leader, 6);
-    case Trouble::restarts:
+    case Fault::restarts:
       for (int k = 0; k < 20; ++k)
         cluster.schedule_after(k, [&cluster, other] { cluster.crash(other); });
       return;
@@ -67,16 +67,16 @@
 void run_flood(std::uint64_t seed, const Flood& flood, Tally& tally) {
   SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(flood.nodes) + " controllers, " +
                std::to_string(flood.factor) + " times the load, " +
-               kTroubles[static_cast<int>(flood.trouble)]);
+               kFaultNames[static_cast<int>(flood.fault)]);
   hush();
   SimulationPlan plan = scripted(seed, 16);
   plan.fair_admission = true;
   plan.peer_agreement = true;
   plan.nodes = flood.nodes;
   plan.write_rps = flood.write_rps;
-  plan.one_without_shares = flood.trouble == Trouble::older;
-  plan.back_from = flood.trouble == Trouble::node_dead ? 0.9 : 0.05;
-  plan.back_to = flood.trouble == Trouble::node_dead ? 0.99 : 0.2;
+  plan.one_without_shares = flood.fault == Fault::older;
+  plan.back_from = flood.fault == Fault::node_dead ? 0.9 : 0.05;
+  plan.back_to = flood.fault == Fault::node_dead ? 0.99 : 0.2;
   SimulatedCluster cluster(plan);
   cluster.begin();
   cluster.step(10);
@@ -99,7 +99,7 @@
       submit("calm", "blue", t);
     if (t >= kFrom + 5 && !struck) {
       struck = true;
-      inject(cluster, flood.trouble);
+      inject(cluster, flood.fault);
     }
     cluster.step(t + 0.1);
   }
@@ -114,7 +114,7 @@
   }
   // A controller's bucket holds one second of its budget share, but at least four changes and one for
   // admissions, which is more with a budget as small as this. max_writes is measured over five seconds.
-  if (flood.trouble != Trouble::older) {
+  if (flood.fault != Fault::older) {
     const double full_buckets_s = 5.0 * static_cast<double>(flood.nodes) / flood.write_rps;
     EXPECT_LE(cluster.run_report().max_writes, 0.9 + (0.9 + full_buckets_s) / 5);
   }
@@ -127,26 +127,26 @@
 class Overloads : public testing::TestWithParam<int> {};
 
 TEST_P(Overloads, DoNotDelayOtherJobClasses) {
-  const auto trouble = static_cast<Trouble>(GetParam());
+  const auto fault = static_cast<Fault>(GetParam());
   Tally tally;
   for (const std::size_t nodes : {3U, 5U}) {
     for (const int factor : {3, 10, 40}) {
       // Without job batches it takes minutes to record the final states of such a flood: one
       // change or more each.
-      if (trouble == Trouble::older && factor == 40)
+      if (fault == Fault::older && factor == 40)
         continue;
-      run_flood(static_cast<std::uint64_t>(factor), {nodes, factor, trouble}, tally);
+      run_flood(static_cast<std::uint64_t>(factor), {nodes, factor, fault}, tally);
     }
   }
   // While a controller cannot serve, its users learn so only from a request to it; one answer in fifty is
   // late in any case.
-  const bool all_serve = trouble == Trouble::none || trouble == Trouble::cut_from_peers;
-  EXPECT_GE(tally.calm_in_time / tally.calm, trouble == Trouble::older ? 0.3 : all_serve ? 0.95 : 0.7);
+  const bool all_serve = fault == Fault::none || fault == Fault::cut_from_peers;
+  EXPECT_GE(tally.calm_in_time / tally.calm, fault == Fault::older ? 0.3 : all_serve ? 0.95 : 0.7);
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
-INSTANTIATE_TEST_SUITE_P(Each, Overloads, testing::Range(0, static_cast<int>(Trouble::count)),
+INSTANTIATE_TEST_SUITE_P(Each, Overloads, testing::Range(0, static_cast<int>(Fault::count)),
                          [](const auto& i) {
-                           std::string name = kTroubles[i.param];
+                           std::string name = kFaultNames[i.param];
                            std::replace(name.begin(), name.end(), ' ', '_');
                            return name;
                          });
@@ -154,7 +154,7 @@
 TEST(Overload, AllJobClassesFloodAtOnce) {
   Tally tally;
   for (const std::uint64_t seed : {1U, 2U})
-    run_flood(seed, {3, 40, Trouble::none, true}, tally);
+    run_flood(seed, {3, 40, Fault::none, true}, tally);
   EXPECT_GE(tally.calm_in_time / tally.calm, 0.9);
   EXPECT_GE(tally.after_in_time / tally.after, 0.95);
 }
@@ -162,8 +162,8 @@
 TEST(Overload, OneUserCancelsAndSubmitsAgain) {
   Tally tally;
   for (const std::uint64_t seed : {2U, 3U, 4U}) {
-    run_flood(seed, {3, 10, Trouble::none, false, true}, tally);
-    run_flood(seed, {3, 10, Trouble::leader_ends, false, true}, tally);
+    run_flood(seed, {3, 10, Fault::none, false, true}, tally);
+    run_flood(seed, {3, 10, Fault::leader_ends, false, true}, tally);
   }
   EXPECT_GE(tally.calm_in_time / tally.calm, 0.85)
       << "in half of the runs the leader crashes during the flood";
