--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -347,8 +347,8 @@
   }
 }
 
-// 1.5 times the machines of the fleet sites; all controllers crash and restart at once; then a zone is cut
-// off.
+// 1.5 times the machines of the fleet sites; all controllers crash and restart at once; then a
+// zone is cut off.
 TEST(LostZone, AtEighteenHundredMachines) {
   hush();
   SimulationPlan plan = with_peer_agreement(11, 1800, 3);
