--- a/src/simulation/history.cpp
+++ b/src/simulation/history.cpp
@@ -1,4 +1,4 @@
-// What tests ask of the history so far.
+// Figures about the run so far, for tests.
 #include <algorithm>
 
 #include "simulation/components.hpp"
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -1,4 +1,4 @@
-// The rules of the protocol, checked against what really is on the machines.
+// Checks of the protocol's rules against what actually runs on the machines.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 namespace wingtrail::simulation {
 
-// What the leader takes for used on a machine is what its tasks there need, once no move is under way.
+// While no migration is in progress, the CPUs that the leader counts as used on a machine are the sum over
+// its allocations there.
 void SimulatedCluster::check_capacity() {
   for (const auto& c : controllers_) {
     if (!c->controller || !c->controller->is_active_leader())
@@ -43,7 +44,7 @@
   return nullptr;
 }
 
-// A job has one holder among cells: nothing of it is on a machine of another.
+// Only one cell may hold a job: while a task starts in this cell, no task of the same job may run in another.
 void SimulatedCluster::check_other_cells(const WorkerTask& task, const UserJob& job) {
   if (!cell_network_)
     return;
@@ -78,7 +79,8 @@
   for (auto& [name, other] : machines_) {
     if (other->gone || other->dead)
       continue;
-    // Beyond its lease a hanging worker's tasks are over: it kills them before it does anything else.
+    // The tasks of a hung worker don't count after its lease has expired: it kills them before it does
+    // anything else.
     if ((now_ - other->lease_renewed_at) * other->clock_rate > kWorkerLease)
       continue;
     for (const WorkerTask& x : other->tasks) {
@@ -117,7 +119,7 @@
   }
   if (job.doomed_since >= 0 && now_ > job.doomed_since + kCancellationLimit)
     report_violation("ran_cancelled", task.name + " started");
-  // From the answer on nothing of it may start, however soon.
+  // No task may start after the cancellation was confirmed to the user.
   if (job.told_cancelled_at >= 0)
     report_violation("started_cancelled", task.name + " on " + h.name);
   for (const UserJob* need : job.dependencies) {
@@ -126,7 +128,8 @@
   }
 }
 
-// Whatever a leader decides next may start what is free to start, so this fails before `ran_twice` does.
+// A leader may start a pending task that passes its filters at any time. If that task is already on a
+// machine, a violation of `ran_twice` can follow; this check reports the cause earlier.
 void SimulatedCluster::check_free_to_start() {
   if (now_ < free_to_start_checked_at_ + kFreeCheckEvery)
     return;
@@ -167,8 +170,8 @@
   }
 }
 
-// A leader never starts what it was told is done. A later one may, if the result was not recorded before the
-// earlier one ended.
+// A leader never starts a task that a heartbeat reported to it as done. A later leader may, if the result was
+// not recorded before the earlier leader ended.
 void SimulatedCluster::check_after_done(const WorkerTask& task, const UserJob& job) {
   const auto heard = job.done_seen_by_token.find(task.index);
   if (heard == job.done_seen_by_token.end())
@@ -183,11 +186,12 @@
 
 void SimulatedCluster::check_cancelled() {
   check_free_to_start();
-  // A walk over all machines after each step would be most of a large world's time; what it looks for lasts.
+  // A walk over all machines after every event would dominate the run time of a large cluster. Every 0.5 s is
+  // enough there, because the violations looked for last longer.
   if (plan_.machines > 100 && now_ < checked_at_ + 0.5)
     return;
   checked_at_ = now_;
-  // What waits for others takes nothing: neither room nor a part of its team's limit.
+  // A job with unmet dependencies uses neither capacity nor quota.
   for (auto& c : controllers_) {
     if (!c->controller || !c->controller->is_active_leader() || !plan_.dependencies)
       continue;
@@ -211,10 +215,10 @@
   }
 }
 
-// From when it and all that need it are cancelled, as far as their users know.
+// Records since when the job, and all that depend on it, are cancelled as far as their users know.
 void SimulatedCluster::mark_doomed(UserJob& job, double since) {
-  // One that is still being submitted is accepted all the same, and counts from then (seed 700681: it took
-  // its user 40 s of retries).
+  // A dependent job that is still being submitted counts from its acceptance (seed 700681: acceptance took
+  // 40 s of retries).
   if (job.doomed_since >= 0 || !job.accepted)
     return;
   job.doomed_since = since;
@@ -229,7 +233,8 @@
                                                 [this](const UserJob* n) { return may_be_cancelled(*n); });
 }
 
-// Neither done nor bound to be: cancelled, submitted with a mistake, or in need of one that is.
+// Returns whether the job cannot complete: its tasks always fail, it is cancelled, or it depends on such a
+// job.
 bool SimulatedCluster::hopeless(const UserJob& job) const {
   if (job.always_fails || job.told_cancelled_at >= 0 || job.doomed_since >= 0)
     return true;
@@ -246,7 +251,7 @@
   return std::max(faults_until_, plan_.fault_every_s > 0 ? plan_.duration_s : 0.0);
 }
 
-void SimulatedCluster::record_question() {
+void SimulatedCluster::record_query() {
   asked_at_.push_back(now_);
 }
 
@@ -255,7 +260,7 @@
   answered_at_.push_back(now_);
 }
 
-// Of the questions within the time after which a job counts as forgotten.
+// Returns whether more than half of the queries of the last `kForgottenLimit` were answered.
 bool SimulatedCluster::most_are_answered() {
   for (auto* times : {&asked_at_, &answered_at_}) {
     while (!times->empty() && times->front() < now_ - kForgottenLimit)
@@ -264,7 +269,8 @@
   return 2 * answered_at_.size() > asked_at_.size();
 }
 
-// Faults being over, an accepted job about which nobody gets an answer counts as forgotten.
+// Reports an accepted job whose queries stay unanswered: for longer than `kUnansweredLimit` after the end of
+// all faults, or for longer than `kForgottenLimit` at any time at which most queries are answered.
 void SimulatedCluster::check_answered(UserJob& job) {
   if (!job.accepted || job.told_done || job.told_cancelled_at >= 0)
     return;
@@ -278,13 +284,13 @@
     return;
   run_report_.longest_unanswered_alone = silence;
   if (silence > kUnansweredLimit)
-    spdlog::debug("{:.3f} {}: no answer for {:.1f} s, others have theirs", now_, job.spec.ref, silence);
+    spdlog::debug("simulation: query_unanswered t={:.3f} job={} for_s={:.1f}", now_, job.spec.ref, silence);
   if (silence > kForgottenLimit)
     report_violation("forgotten",
                      job.spec.ref + ": no answer for " + std::to_string(silence) + " s, others have theirs");
 }
 
-// Whether a sound machine has room for one more task of the job, and its team's limit too.
+// Returns whether a healthy machine has free capacity for one more task of the job within its team's quota.
 bool SimulatedCluster::has_capacity_beside(const UserJob& job) const {
   const wire::JobSpec& s = job.spec;
   double team = 0;
@@ -330,8 +336,8 @@
   });
 }
 
-// Faults being over, nothing waits for long beside room for it. Gangs need room for all, and what fails
-// everywhere backs off.
+// Measures how long jobs wait beside free capacity for them after the end of all faults. Gangs are left out,
+// because they need capacity for all their tasks, and so are jobs that always fail, because they back off.
 void SimulatedCluster::check_waiting() {
   add_event_after(5, [this] { check_waiting(); });
   if (now_ < faults_end_at())
@@ -361,7 +367,8 @@
     if (j.waiting_beside_capacity_since < 0)
       j.waiting_beside_capacity_since = now_;
     if (now_ - j.waiting_beside_capacity_since > run_report_.longest_wait_beside_capacity)
-      spdlog::debug("{:.3f} {} waits beside room since {:.1f}", now_, ref, j.waiting_beside_capacity_since);
+      spdlog::debug("simulation: waits_beside_capacity t={:.3f} job={} since={:.1f}", now_, ref,
+                    j.waiting_beside_capacity_since);
     run_report_.longest_wait_beside_capacity =
         std::max(run_report_.longest_wait_beside_capacity, now_ - j.waiting_beside_capacity_since);
   }
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-// The simulated cluster as a whole: its plan, its time, and the verdict at the end.
+// The simulated cluster as a whole: its plan, its event loop, and the report at the end.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -14,7 +14,8 @@
   plan.seed = seed;
   plan.budget_limits = seed % 4 != 0;
   plan.dependencies = seed % 2 != 0;
-  // Stage after stage on a machine that is three times slower takes longer than any one job (seed 21279).
+  // A job chain whose stages run one after the other on a machine that is three times slower takes longer
+  // than any single job (seed 21279).
   if (plan.dependencies)
     plan.settle_s = 1500;
   plan.upgrade = seed % 3 == 0;
@@ -31,7 +32,7 @@
   plan.fair_admission = seed / 5 % 2 == 0;
   plan.combined_faults = seed >= 1'000'000;
   plan.late_commands = seed >= 2'000'000;
-  // A team's limit lets large tasks through a few at a time (seed 2000174: 102 of them, 12 at a time).
+  // A team's quota admits only a few large tasks at a time (seed 2000174: 102 tasks, 12 at a time).
   if (plan.late_commands)
     plan.settle_s = 1500;
   return plan;
@@ -77,7 +78,7 @@
     controllers_.push_back(std::make_unique<SimulatedController>());
     controllers_[i]->clock_rate = 1 + random_between(-0.0005, 0.0005);
   }
-  if (plan_.machines > 100) {  // budgets as of a large deployment
+  if (plan_.machines > 100) {  // budgets of a large deployment
     settings_.max_connections = 2 * plan_.machines;
     settings_.state_writes_per_s = 30;
   }
@@ -90,7 +91,7 @@
     settings_.state_writes_per_s *= 0.7;
     for (auto& c : controllers_)
       c->runs_former_version = true;
-    settings_before_upgrade_.tunables.fair_admission = 0;  // of a version that does not know them
+    settings_before_upgrade_.tunables.fair_admission = 0;  // the older version has no fair admission
   }
   state_level_ = settings_.state_requests_per_s, write_level_ = settings_before_upgrade_.state_writes_per_s;
   for (int i = 0; i < plan_.machines; ++i)
@@ -121,7 +122,8 @@
   add_event(0, [this] { check_waiting(); });
   if (!plan_.upgrade)
     return;
-  // One after the other, whatever else goes on; a node that dies before its turn comes back as it was.
+  // Controllers are upgraded one after the other, independently of faults. One that restarts before its turn
+  // runs the former version again.
   double when = random_between(15, 60);
   for (std::size_t i = 0; i < plan_.nodes; ++i, when += random_between(4, 20)) {
     add_event(when, [this, i] {
@@ -133,7 +135,7 @@
   if (external_processes_.boot)
     dependencies_from_ = when;
   add_event(when + random_between(0, 40), [this] {
-    spdlog::debug("{:.3f} the state service lowers its limits", now_);
+    spdlog::debug("simulation: state_limits_lowered t={:.3f}", now_);
     limits_lowered_ = true;
   });
 }
@@ -156,26 +158,28 @@
     if (!job->accepted || job->spec.shape == wire::Shape::service || job->is_done() || hopeless(*job))
       continue;
     ++run_report_.unfinished;
-    spdlog::debug("unfinished: {} {} of {}: {}", ref, job->done_tasks.size(), job->spec.tasks,
-                  job->body.dump());
+    spdlog::debug("simulation: unfinished job={} done={} tasks={} body={}", ref, job->done_tasks.size(),
+                  job->spec.tasks, job->body.dump());
     for (auto& c : controllers_) {
       if (!c->controller || !c->controller->is_active_leader())
         continue;
       jobs::Job* known = c->controller->registry().find(ref);
-      spdlog::debug("  leader: known {}, pending {}, placed {}, failed on {} machines", known != nullptr,
-                    known ? known->pending_tasks.size() : 0, known ? known->placed_tasks : 0,
-                    known ? known->failed_machines.size() : 0);
+      spdlog::debug("simulation: leader_job known={} pending={} placed={} failed_machines={}",
+                    known != nullptr, known ? known->pending_tasks.size() : 0,
+                    known ? known->placed_tasks : 0, known ? known->failed_machines.size() : 0);
       if (known)
-        spdlog::debug("  unmet {}, orphan {}, closing {}, away {}, aborting {}, not before {:.1f} s",
-                      known->unmet_dependencies, known->orphaned, known->final_state_pending,
-                      known->placed_remotely, known->cancelling, known->not_before - node_time(*c));
+        spdlog::debug(
+            "simulation: leader_job unmet={} orphaned={} final_state_pending={} "
+            "placed_remotely={} cancelling={} not_before_s={:.1f}",
+            known->unmet_dependencies, known->orphaned, known->final_state_pending, known->placed_remotely,
+            known->cancelling, known->not_before - node_time(*c));
       for (auto& m : c->controller->workers().machines()) {
         if (m.gone)
           continue;
         spdlog::debug(
-            "    {} type {} zone {} spot {} used {}/{} reporting {} settled {} enlisted {} health {} unknown "
-            "{} "
-            "draining {} returning {} may_start {}",
+            "simulation: leader_machine host={} type={} zone={} spot={} used={} cpus={} has_incarnation={} "
+            "fenced={} in_inventory={} health={} stray_instances={} draining={} being_returned={} "
+            "accepts_tasks={}",
             m.host, m.type, m.zone, m.spot, m.used.cpus, m.cpus, m.has_incarnation, m.fenced, m.in_inventory,
             static_cast<int>(m.health), m.stray_instance_count, m.draining, m.being_returned,
             c->controller->workers().accepts_tasks(m));
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -1,6 +1,7 @@
-// A simulated cluster in virtual time: state service, cloud, workers, users and the network between them,
-// with three real controllers (the decision code as it runs in production) in the middle. After every step
-// the rules of the protocol are checked against what really is on the machines.
+/// @file
+/// A simulated cluster in virtual time: state service, cloud, workers, users and the network between them,
+/// with real controllers (the decision code that runs in production). After every event the rules of the
+/// protocol are checked against what actually runs on the machines.
 #pragma once
 
 #include <deque>
@@ -21,109 +22,160 @@
 
 using wire::Value;
 
+/// Parameters of a simulated run. Durations are in seconds of virtual time.
 struct SimulationPlan {
   std::uint64_t seed = 1;
-  double duration_s = 240;  // faults end here; what follows must become quiet
+  /// No random fault and no random submission starts after this time.
+  double duration_s = 240;
+  /// Time after `duration_s` in which all jobs have to complete.
   double settle_s = 600;
-  double fault_every_s = 12;  // mean distance of faults; 0: none
-  bool budget_limits = true;  // teams have limits
-  int machines = 6;           // at the start
+  /// Mean time between random faults; 0: no random faults.
+  double fault_every_s = 12;
+  /// Teams have a CPU quota.
+  bool budget_limits = true;
+  /// Machines at the start.
+  int machines = 6;
   std::size_t max_machines = 24;
-  std::uint32_t job_size = 1;  // jobs have that many times the tasks
-  double arrival_s = 6;        // longest time between two jobs
+  /// Factor on the number of tasks of every random job except gangs.
+  std::uint32_t job_size = 1;
+  /// Longest time between two random submissions.
+  double arrival_s = 6;
   double idle_return_s = 20;
   double begin_within_s = 0;
-  double headroom = 0.15;     // spare capacity, as a share of the load
-  bool dependencies = false;  // half of the jobs wait for others
-  // The state service lowers its limits at some moment; nodes that were not restarted since the beginning do
-  // not know that, and write under the limits, and so in the layout, of before.
+  /// Spare capacity as a share of the load.
+  double headroom = 0.15;
+  /// Half of the random jobs that are not services depend on other jobs.
+  bool dependencies = false;
+  /// The state service lowers its limits during the run. Controllers that have not been restarted by then do
+  /// not know the lower limits: they write under the earlier limits, and so in the earlier layout.
   bool upgrade = false;
-  bool scripted = false;  // users submit only what `user` is told
-  // Besides the other faults: zones cut off, outages and stalls longer than a worker's lease, waves of
-  // machines that hang, a slow state service.
+  /// Users submit only the jobs passed to `submit_job`.
+  bool scripted = false;
+  /// Adds further random faults: zones cut off, outages and stalls longer than a worker's lease, many
+  /// machines that hang at the same time, a slow state service.
   bool cuts = false;
-  double late_writes = 0;  // of transactions, what gets no answer and is carried out 2 to 12 s later
-  double undeclared_limits =
-      1;  // the share of the limits in the settings that the state service really grants
-  bool load_balancing = false;  // the decisions of docs/spread.md
+  /// Share of transactions that get no answer and are executed 2 to 12 s later.
+  double late_writes = 0;
+  /// Share of the limits in the settings that the state service really grants.
+  double undeclared_limits = 1;
+  /// Enables load balancing over machines and zones.
+  bool load_balancing = false;
+  /// Number of zones.
   std::size_t zone_tracking = 2;
-  std::size_t nodes = 3;  // controllers
-  double write_rps = 0;   // changes a second that the state service grants; 0: as many as such a fleet has
-  bool one_without_shares = false;     // the last node has admission switched off, as one of an older version
-  bool short_lived_processes = false;  // the decisions of docs/zones.md
-  bool fair_admission = false;         // sheets, turns and shares, see docs/admission.md
-  bool peer_agreement = false;         // custody by agreement, see docs/custody.md
-  double delegation_leases = 2;        // how long a custodian may go on
-  double back_from = 1, back_to = 6;   // within what time a controller that ended is back
+  /// Number of controllers.
+  std::size_t nodes = 3;
+  /// Changes per second that the state service grants; 0: the default for the number of machines.
+  double write_rps = 0;
+  /// The last controller has fair admission switched off, like one of an older version.
+  bool one_without_shares = false;
+  /// Enables the tracking of zone states.
+  bool short_lived_processes = false;
+  /// Enables fair admission: job batches, turns and budget shares.
+  bool fair_admission = false;
+  /// Enables lease delegation by peer agreement.
+  bool peer_agreement = false;
+  /// How long a delegate may go on renewing leases, in worker leases.
+  double delegation_leases = 2;
+  /// A controller that ended restarts after a time between these two, in seconds.
+  double back_from = 1, back_to = 6;
   std::vector<settings::Objective> objectives;
-  // One of several cells, numbered from 0; see cells_world.hpp.
+  /// Number of this cell, from 0, and the number of cells; see simulated_cells.hpp.
   std::size_t cell = 0, cells = 1;
-  bool drain = false;  // it is to be emptied
-  // At random among the others: transactions without an answer, late reports, deaf and mute machines, jobs
-  // called off in numbers and at their ends, odd requests, close looks, machines up at once, slow links.
+  /// The cell is drained: its jobs have to leave it.
+  bool drain = false;
+  /// Half of the random faults are combined faults: transactions without an answer, late heartbeats, machines
+  /// that lose what is sent to them or what they send, many cancellations at once and cancellations at a
+  /// job's completion, malformed requests, bursts of queries, machines that boot quickly, slow links.
   bool combined_faults = false;
-  // Among those faults also direct commands that are held up on their way, and old reports that reach a new
-  // leader before any worker does.
+  /// The combined faults include direct commands that arrive late, and old heartbeats that reach a new leader
+  /// before any worker does.
   bool late_commands = false;
-  // A fault planted on purpose, to show that a check can fail. See docs/safety.md.
+  /// Name of a fault that is planted on purpose, to show that a check can fail.
   std::string planted_fault;
 };
 
-// What world_hunt and the suite play for a seed: every other one with chains, every third with an upgrade,
-// those from a million on with the faults of combined faults.
+/// Returns the plan that random_fault_search and the tests run for a seed: odd seeds with dependencies, every
+/// third one with an upgrade, from 1 000 000 on with combined faults, from 2 000 000 on with late commands.
 SimulationPlan plan_of(std::uint64_t seed);
 
+/// What happened in a simulated run.
 struct RunReport {
-  std::vector<std::string> broken_rules;  // rule and circumstances
+  /// One entry for each violation: rule, time, seed and circumstances.
+  std::vector<std::string> broken_rules;
   std::size_t started = 0, accepted = 0, finished = 0, cancelled = 0, elections = 0, unfinished = 0;
   std::size_t with_dependencies = 0, orphaned = 0, over_limits = 0, cancellations_deferred = 0;
-  std::size_t started_in_cut = 0;  // tasks that a worker began amid a cut of its zone, ordered after it began
-  std::size_t rented_in_cut = 0;   // machines rented in a zone that was cut off for longer than 5 s
-  std::size_t returned_in_cut = 0;       // machines with tasks on them, of a zone that was cut off then
-  std::size_t started_again = 0;         // tasks that had been started before and did not fail
-  std::size_t batched = 0;               // jobs whose records came to the state service on sheets
-  std::size_t deferred = 0;              // submissions answered 429
-  std::size_t cancellation_markers = 0;  // that nodes left in the state service for the leader
-  double max_writes = 0;                 // changes asked for in any five seconds, in terms of the budget
-  std::size_t lost_by_lease_expiry = 0;  // tasks that sound workers killed when their lease ran out
-  std::size_t services_late = 0;  // first starts of services later than two seconds after they were submitted
-  std::size_t remote_tasks_started = 0;  // tasks of jobs of other cells
-  std::size_t renewed_by_delegates = 0;  // reports that a node answered without being entitled to give orders
-  // What the faults of combined faults came to.
-  std::size_t late_writes = 0, lost_replies = 0;  // transactions carried out late, or at once unheard
-  std::size_t late_heartbeats = 0,
-              held_heartbeats = 0;  // copies that arrived again; of these, after a new leader
-  std::size_t late_commands = 0;    // direct commands held up on their way
-  // Tasks that an answered report had shown as done to an earlier leader, and that started once more.
+  /// Tasks started on a machine of a zone that had been cut off for longer than `kContactSeenWithin`.
+  std::size_t started_in_cut = 0;
+  /// Machines rented in a zone that had been cut off for longer than `kContactSeenWithin`.
+  std::size_t rented_in_cut = 0;
+  /// Machines returned with tasks on them while their zone was cut off.
+  std::size_t returned_in_cut = 0;
+  /// Tasks started again although their earlier start did not fail.
+  std::size_t started_again = 0;
+  /// Jobs whose records were written to the state service in job batches.
+  std::size_t batched = 0;
+  /// Submissions answered 429.
+  std::size_t deferred = 0;
+  /// Cancellation markers that controllers left in the state service for the leader.
+  std::size_t cancellation_markers = 0;
+  /// Highest number of changes requested within `kWriteWindow`, as a multiple of the write budget.
+  double max_writes = 0;
+  /// Tasks killed by healthy workers because their lease had expired.
+  std::size_t lost_by_lease_expiry = 0;
+  /// Service tasks whose first start came more than 2 s after submission.
+  std::size_t services_late = 0;
+  /// Tasks started here for jobs submitted in other cells.
+  std::size_t remote_tasks_started = 0;
+  /// Heartbeats that a controller answered while it was not the leader.
+  std::size_t renewed_by_delegates = 0;
+
+  // Effects of the combined faults.
+
+  /// Transactions executed late; transactions executed at once whose answer was lost.
+  std::size_t late_writes = 0, lost_replies = 0;
+  /// Copies of heartbeats delivered late; copies held back until a new leader was elected.
+  std::size_t late_heartbeats = 0, held_heartbeats = 0;
+  /// Direct commands delivered late.
+  std::size_t late_commands = 0;
+  /// Tasks started again after an answered heartbeat had reported them as done to an earlier leader.
   std::size_t again_after_done = 0;
-  std::size_t undelivered = 0;  // answers and orders that deaf machines lost, reports that mute ones did
-  std::size_t cancelled_together = 0;  // running jobs cancelled together
-  std::size_t cancelled_at_end = 0;    // jobs cancelled at the end of their last task
-  std::size_t malformed_requests = 0;  // to odd requests
-  std::size_t close_polls = 0;         // questions within milliseconds after something was told
-  std::size_t told_gone = 0;           // cancellations confirmed
-  double longest_wait_beside_capacity =
-      0;                          // a job's longest wait beside a machine with room for it, all being calm
-  double longest_unanswered = 0;  // a job's longest spell without an answered question, faults being over
-  // The same at any time, while most questions were answered.
+  /// Answers and commands lost on the way to machines, and heartbeats lost on the way from them.
+  std::size_t undelivered = 0;
+  /// Running jobs cancelled at about the same time.
+  std::size_t cancelled_together = 0;
+  /// Jobs cancelled at the completion of their last task.
+  std::size_t cancelled_at_end = 0;
+  /// Malformed or out-of-place requests sent by users.
+  std::size_t malformed_requests = 0;
+  /// Queries sent in bursts, within milliseconds after a user received a job's state.
+  std::size_t close_polls = 0;
+  /// Cancellations confirmed to users.
+  std::size_t told_gone = 0;
+  /// Longest time that a job waited although a machine had free capacity for it, without faults; seconds.
+  double longest_wait_beside_capacity = 0;
+  /// Longest time for which no query of a job was answered, after the end of all faults; seconds.
+  double longest_unanswered = 0;
+  /// The same at any time at which most queries were answered; seconds.
   double longest_unanswered_alone = 0;
 };
 
 class SimulatedCluster;
 
-// The way between cells: carries `fn` to the cell, as an event of its own there; or loses it, or delays it.
+/// The network between cells.
 struct CellNetwork {
   std::vector<SimulatedCluster*> cells;
+  /// Schedules `fn` as an event of the receiving cell; may lose, delay or duplicate it.
   std::function<void(std::size_t from, std::size_t to, std::function<void()>)> send;
 };
 
+/// One simulated cell. All randomness comes from the plan's seed, so that a run can be repeated exactly.
 class SimulatedCluster {
  public:
   using ReplyCallback = std::function<void(int, Value)>;
   using AnswerCallback = std::function<void(const ports::Answer&)>;
-  // Controllers that are processes of their own: whoever runs them carries requests to them, gives each
-  // worker an address, and brings what they ask of the services and the workers. Time is then told from
-  // outside too.
+  /// Hooks for controllers that run as processes of their own. Their owner delivers requests to them, gives
+  /// each worker an address, and forwards their calls to the simulated services and workers. The owner also
+  /// advances the time.
   struct ExternalProcesses {
     std::function<void(std::size_t, controller::IncomingRequest, AnswerCallback)> deliver;
     std::function<std::string(const std::string&)> address;
@@ -131,69 +183,94 @@
   };
   explicit SimulatedCluster(SimulationPlan plan, ExternalProcesses outside = {});
   ~SimulatedCluster();
+  /// Runs the whole plan.
   RunReport run();
 
+  /// Schedules the first events.
   void begin();
-  void step(double until);  // plays what is due by then
+  /// Executes all events due before `until`, in seconds; stops after the first violation.
+  void step(double until);
+  /// Returns the time of the next event.
   double next() const {
     return events_.empty() ? now_ + 1 : events_.begin()->first;
   }
-  const RunReport& close();  // counts what is left undone
-  // A user submits the job now, and cancels it at that time if there is one.
+  /// Ends the run and counts the unfinished jobs.
+  const RunReport& close();
+  /// A user submits the job now and, unless `cancel_at` is negative, cancels it at that time.
   void submit_job(const wire::JobSpec& spec, double run_s, double cancel_at = -1);
-  // So many more users ask about the job, again and again, as its own does.
+  /// Adds users who query the job every few seconds, besides its own user.
   void poll_closely(const std::string& ref, int users);
-  bool is_done(const std::string& ref) const;  // all its tasks have completed
-  // Of the team's accepted arrays that came at least so long ago and were not cancelled, the share that is
-  // over.
+  /// Returns whether all tasks of the job have completed.
+  bool is_done(const std::string& ref) const;
+  /// Returns the share of done jobs among the team's accepted arrays and gangs that were submitted at least
+  /// `older_than` seconds ago and not cancelled.
   double served_share(const std::string& team, double older_than) const;
-  // Of the class's jobs that came within that time, the share accepted within `s` of their first try.
+  /// Returns the share of the class's jobs submitted between `from` and `to` that were accepted within `s`
+  /// seconds of their first attempt.
   double accepted_within_share(const std::string& job_class, double s, double from, double to) const;
-  std::size_t batch_count() const;  // that the state service holds
-  // The node ends and comes back with other settings, as will the others when they do.
+  /// Number of job batches in the state service.
+  std::size_t batch_count() const;
+  /// Restarts the controller with changed settings; the others get them at their next restart.
   void restart_with(const std::function<void(settings::Settings&)>& change, std::size_t node);
-  // Faults that a test orders: for so long, from now.
+
+  // Faults that a test triggers; each begins now and lasts `for_s` seconds. `hold`: packets are held back
+  // until the fault ends, and some of them are delivered then; otherwise they are lost.
+
   void cut_zone(std::size_t zone, double for_s, bool hold);
   void state_outage(double for_s);
   void state_slow(double for_s);
   void cut_node(std::size_t i, bool from_state, bool from_peers, double for_s, bool hold);
+  /// Stalls the controller process.
   void freeze(std::size_t i, double for_s);
-  void refuse_state_service(std::size_t node, double for_s);  // that node alone
-  // That share of transactions gets no answer: carried out 2 to 12 s later, or at once.
+  /// The state service refuses the requests of this controller only.
+  void refuse_state_service(std::size_t node, double for_s);
+  /// This share of transactions gets no answer; they are executed at once or 2 to 12 s later.
   void delay_writes(double share, double for_s, bool at_once);
-  // Of that share of reports a copy arrives again at every node: up to well over a lease later, spread over
-  // the first seconds of the next leadership, or just as that begins.
+  /// When the copy of a heartbeat arrives: after up to 2.5 worker leases, within the first 5 s of the next
+  /// leadership, or within its first half millisecond.
   enum class DuplicateArrival : std::uint8_t { later, after_election, at_election };
+  /// A copy of this share of heartbeats arrives once more at every controller.
   void duplicate_heartbeats_late(double share, double for_s, DuplicateArrival when);
-  // That share of direct commands gets no answer and is carried out once, 2 to 16 s late, if token and
-  // session still match.
+  /// This share of direct commands gets no answer and is executed once, 2 to 16 s later, if fencing token and
+  /// incarnation still match.
   void delay_commands(double share, double for_s);
   enum class MachineFault : std::uint8_t {
-    hung,         // does nothing, and goes on afterwards
-    deaf,         // its reports arrive; answers to them and orders are lost
-    mute,         // reaches no controller; orders arrive
-    unreachable,  // neither, but it works
+    hung,         // executes nothing until the fault ends, then continues
+    deaf,         // its heartbeats arrive; answers to them and direct commands are lost
+    mute,         // its heartbeats reach no controller; direct commands arrive
+    unreachable,  // cut off from all controllers in both directions; its tasks continue
   };
-  // So many machines that are up, first those with tasks of that job; returns how many.
+  /// Applies the fault to up to `n` machines that are up, first to those with tasks of job `ref`. Returns how
+  /// many.
   std::size_t fail_machines(MachineFault what, std::size_t n, double for_s, const std::string& ref = {});
-  // Users call off so many jobs that run and have long to go, within a fifth of a second; up to eight of
-  // their machines hang for so long.
+  /// Users cancel up to `n` running jobs, longest first, within 0.2 s; up to eight machines with their tasks
+  /// hang for `hang_s`.
   void cancel_running_jobs(std::size_t n, double hang_s);
+  /// Users cancel this share of jobs just after the completion of their last task.
   void cancel_at_completion(double share, double for_s);
   void send_malformed_requests(double for_s);
+  /// Users who receive a job's state query all controllers within milliseconds.
   void poll_all_nodes(double for_s);
-  void boot_quickly(double for_s);  // machines that are rented are up within two seconds
+  /// Machines rented during this time are up within 2 s.
+  void boot_quickly(double for_s);
   void slow_down_links(double for_s);
-  void cancel(const std::string& ref);                // its user wants that from now on
-  double began_at(const std::string& ref) const;      // its first start; negative: nothing of it has begun
-  double cancelled_at(const std::string& ref) const;  // when its user was told so; negative: not yet
-  // Accepted jobs whose users want them cancelled, and have not heard how that ended.
+
+  /// The job's user cancels it now, and repeats the request until it is answered.
+  void cancel(const std::string& ref);
+  /// Time of the job's first task start; negative: none has started.
+  double began_at(const std::string& ref) const;
+  /// Time at which the cancellation was confirmed to the job's user; negative: not confirmed.
+  double cancelled_at(const std::string& ref) const;
+  /// Number of accepted jobs whose users want them cancelled and have received no final state yet.
   std::size_t open_cancellations() const;
+  /// Returns whether a user received an answer that the job is done.
   bool told_done(const std::string& ref) const;
   bool accepted(const std::string& ref) const;
-  std::size_t on_machines(const std::string& ref) const;   // its tasks that are there, as far as leases go
-  std::size_t key_count(const std::string& prefix) const;  // that the state service holds
-  // The node whose name is in the leader's key; for controllers that cannot be asked.
+  /// Number of the job's tasks that are on machines whose lease has not expired.
+  std::size_t on_machines(const std::string& ref) const;
+  /// Number of keys with this prefix in the state service.
+  std::size_t key_count(const std::string& prefix) const;
+  /// Returns the controller named by the leader key; for controllers that run as external processes.
   std::optional<std::size_t> leader_key_holder() const;
   std::size_t nodes() const {
     return plan_.nodes;
@@ -201,19 +278,25 @@
   bool is_cut_off(std::size_t zone) const {
     return now_ < zone_cuts_[zone].until;
   }
-  // Of a service's replicas, how many are on machines that can go on with them.
+  /// Number of the service's tasks that run on machines that are not dead.
   std::size_t replicas_up(const std::string& ref) const;
-  std::size_t machines_in_zone(std::size_t zone) const;  // that are there and not gone
-  // Of the machines there, so many die with what is on them, unseen until they are asked.
+  /// Number of the zone's machines that have been neither returned nor killed.
+  std::size_t machines_in_zone(std::size_t zone) const;
+  /// Kills up to `n` machines of the zone with their tasks; controllers notice by missing heartbeats.
   void kill_in_zone(std::size_t zone, std::size_t n);
+  /// Ends the controller's process; it restarts after the plan's `back_from` to `back_to`.
   void crash(std::size_t i);
-  void slow_machines(std::size_t n, double factor);  // some of those that are up
+  /// Multiplies the run time of tasks on up to `n` machines that are up by `factor`.
+  void slow_machines(std::size_t n, double factor);
   void kill_machines(std::size_t n);
-  std::size_t tasks_on_slow_machines(double factor) const;  // tasks on machines as slow as that
+  /// Number of running tasks on machines that are slower by at least `factor`.
+  std::size_t tasks_on_slow_machines(double factor) const;
   void schedule_after(double delay, std::function<void()> fn) {
     add_event_after(delay, std::move(fn));
   }
-  // ---- several cells
+
+  // Several cells.
+
   void join_network(std::shared_ptr<CellNetwork> reach) {
     cell_network_ = std::move(reach);
   }
@@ -223,36 +306,43 @@
   void schedule_at(double when, std::function<void()> fn) {
     add_event(when, std::move(fn));
   }
-  // A frame of another cell arrives at one of the controllers.
+  /// Delivers a frame of another cell to one of the controllers.
   void deliver_frame(std::size_t node, const peer::Frame& frame, AnswerCallback then);
-  std::size_t unfinished_jobs() const;  // accepted arrays that are to be done and are not
-  std::size_t startable_here()
-      const;  // of what waits, jobs that the leader may start here; all, without a leader
-  std::size_t completed_jobs()
-      const;  // accepted arrays, of those not cancelled, whose tasks have all completed
-  std::size_t unrecorded_final_states()
-      const;                           // accepted jobs that are over, of which the state service holds no end
-  std::size_t unstarted_jobs() const;  // accepted arrays that nothing has been begun of
+  /// Number of accepted arrays and gangs that have to complete and have not.
+  std::size_t unfinished_jobs() const;
+  /// Number of waiting jobs that the leader may start in this cell; without a leader, of all unstarted jobs.
+  std::size_t startable_here() const;
+  /// Number of accepted jobs, except cancelled ones, whose tasks have all completed.
+  std::size_t completed_jobs() const;
+  /// Number of accepted jobs whose tasks have all completed and whose final state is not in the state
+  /// service.
+  std::size_t unrecorded_final_states() const;
+  /// Number of accepted arrays and gangs of which no task has started.
+  std::size_t unstarted_jobs() const;
+  /// Returns the share of the class's jobs submitted between `from` and `to` and not cancelled that completed
+  /// within `s` seconds of their submission.
   double completed_within_share(const std::string& job_class, double s, double from, double to) const;
-  std::optional<std::size_t> leader() const;  // the node that may give orders now
+  /// Returns the controller that is the active leader now.
+  std::optional<std::size_t> leader() const;
   const RunReport& run_report() const {
     return run_report_;
   }
-  // What the leader counted; nothing if nobody leads.
+  /// Returns the leader's counters; nothing without a leader.
   std::optional<controller::Stats> leader_stats() const;
   const settings::Settings& settings() const {
     return settings_;
   }
-  // What held before the upgrade, and whether the node has not had it yet.
+  /// Settings of controllers that have not been upgraded yet.
   const settings::Settings& settings_before_upgrade() const {
     return settings_before_upgrade_;
   }
+  /// Returns whether the controller has not been upgraded yet.
   bool runs_former_version(std::size_t node) const;
   void state_service_request(std::size_t node, const std::string& method, const std::string& path,
                              const Value& body, ReplyCallback reply);
   void cloud_request(const std::string& method, const std::string& path, const Value& body,
                      const ReplyCallback& reply);
-  // What a worker answers to /commands; nothing if it does not answer.
+  /// Delivers direct commands to a worker. Returns status and body of its answer; nothing if it gives none.
   std::optional<std::pair<int, Value>> worker_commands(const std::string& host, const Value& body);
 
  private:
@@ -299,11 +389,11 @@
 
   // network
   NetworkLink& link(const std::string& a, const std::string& b);
-  bool send(const std::string& a, const std::string& b,
-            std::function<void()> fn);  // false: nothing can get there
+  /// Schedules `fn` as the arrival of a packet. Returns false if no connection could be made.
+  bool send(const std::string& a, const std::string& b, std::function<void()> fn);
   double latency();
-  std::optional<std::size_t> zone_of(const std::string& who) const;
-  // Until when the zone of one of the two, but not of both, is cut off; and whether packets are held.
+  std::optional<std::size_t> zone_of(const std::string& endpoint) const;
+  /// Returns until when a cut zone separates the two endpoints, and whether packets are held back.
   std::pair<double, bool> zone_cut(const std::string& a, const std::string& b) const;
 
   // controllers
@@ -338,7 +428,7 @@
   int execute_commands(WorkerMachine& h, const Value& body, bool direct);
   void execute_command(WorkerMachine& h, const Value& o);
   void start_gang_if_complete(UserJob& job, std::uint64_t attempt, double run);
-  UserJob* find_job_in_any_cell(const std::string& ref);  // wherever it was submitted
+  UserJob* find_job_in_any_cell(const std::string& ref);
   void check_other_cells(const WorkerTask& task, const UserJob& job);
   void fail_gang(UserJob& job, std::uint64_t attempt);
   void for_each_gang_member(const UserJob& job, std::uint64_t attempt,
@@ -361,14 +451,16 @@
   void send_malformed_request();
   void start_stray_copy(const UserJob& job);
   void release_held_heartbeats(std::size_t node);
-  void record_question();  // a user's question is sent
+  void record_query();  // a user sends a query
   void record_answer(UserJob& job);
   void check_answered(UserJob& job);
   bool most_are_answered();
   void check_waiting();
   bool has_capacity_beside(const UserJob& job) const;
-  void extend_fault_period(double for_s);  // a fault that lasts for so long begins now
-  double faults_end_at() const;            // from when no fault is left
+  /// Records that a fault lasting `for_s` seconds begins now.
+  void extend_fault_period(double for_s);
+  /// Returns the time from which no fault is left.
+  double faults_end_at() const;
 
   // faults
   void random_fault();
@@ -379,9 +471,9 @@
   void report_violation(const std::string& rule, const std::string& how);
   void check_start(WorkerMachine& h, WorkerTask& task, UserJob& job);
   void check_cancelled();
-  // No task that is on a machine may be free to start for the leader.
+  /// Reports a task that is on a machine although the leader may start it.
   void check_free_to_start();
-  // A report that showed these tasks as done was answered by a leader.
+  /// Records that a leader answered a heartbeat that reported tasks as done.
   void record_done_seen(WorkerMachine& h, const Value& report, const ports::Answer& answer);
   void check_after_done(const WorkerTask& task, const UserJob& job);
   void check_capacity();
@@ -404,7 +496,7 @@
 
   std::map<std::string, StoredValue> store_;
   std::uint64_t revision_ = 0, leases_made_ = 0;
-  std::map<std::uint64_t, std::pair<double, double>> leases_;  // ttl, end
+  std::map<std::uint64_t, std::pair<double, double>> leases_;  // time to live and end, in seconds
   std::vector<Change> changes_;
   std::vector<std::shared_ptr<Watch>> watches_;
   struct ZoneCut {
@@ -415,12 +507,12 @@
   std::vector<ZoneCut> zone_cuts_;
   double state_down_until_ = -1, state_slow_until_ = -1;
   std::map<std::size_t, double> state_refuses_;
-  std::deque<std::pair<double, double>> write_requests_;  // when, how many
+  std::deque<std::pair<double, double>> write_requests_;  // time, number of changes
   double writes_in_window_ = 0;
   double state_level_ = 0, write_level_ = 0, state_at_ = 0;
-  settings::Settings settings_before_upgrade_;  // what nodes that were not restarted yet go by
+  settings::Settings settings_before_upgrade_;  // of controllers not restarted yet
   bool limits_lowered_ = false;
-  double dependencies_from_ = 0;  // a version that does not know them must not meet any
+  double dependencies_from_ = 0;  // an older version must not receive any
 
   std::map<std::string, std::unique_ptr<WorkerMachine>> machines_;
   std::map<std::string, Value> rentals_;
@@ -439,7 +531,7 @@
   std::vector<controller::IncomingRequest> held_heartbeats_;
   double cancel_at_end_share_ = 0, cancel_at_end_until_ = -1, malformed_requests_until_ = -1,
          close_polls_until_ = -1;
-  std::deque<double> asked_at_, answered_at_;  // users' questions, within kForgotten
+  std::deque<double> asked_at_, answered_at_;  // times of users' queries, of the last kForgottenLimit
   double quick_boots_until_ = -1, slow_links_until_ = -1, faults_until_ = 0;
   RunReport run_report_;
 };
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -262,7 +262,7 @@
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref;
   // What counts is the order in which the user hears things: an answer given up on is not heard.
   const double asked_at = now_;
-  record_question();
+  record_query();
   const bool was_over = job.told_done || job.told_cancelled_at >= 0;
   send("users", node_name(i), [this, i, in, &job, asked_at, was_over, how] {
     deliver(i, in, [this, &job, asked_at, was_over, how](const ports::Answer& a) {
