--- a/src/simulation/cloud.cpp
+++ b/src/simulation/cloud.cpp
@@ -1,4 +1,4 @@
-// The cloud: machines rented and returned, its lagging list.
+// The cloud: rents and returns machines, and lists them with a delay.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -38,8 +38,8 @@
 }
 
 void SimulatedCluster::remove_machine(WorkerMachine& h) {
-  spdlog::debug("{:.3f} {} of {}: returned with {} tasks", now_, h.name, settings_.zones[h.zone],
-                h.tasks.size());
+  spdlog::debug("simulation: machine_returned t={:.3f} host={} zone={} tasks={}", now_, h.name,
+                settings_.zones[h.zone], h.tasks.size());
   run_report_.returned_in_cut +=
       now_ < zone_cuts_[h.zone].until &&
       std::any_of(h.tasks.begin(), h.tasks.end(), [](const WorkerTask& x) { return x.phase != "exited"; });
@@ -86,7 +86,7 @@
     return reply(200, {{"flavours", list}});
   }
   if (method == "GET") {
-    // A list describes some moment of the past, not always a later one than the list before it.
+    // A list describes a moment in the past, which may be earlier than that of the previous answer.
     const double when = now_ - settings_.cloud_list_lag_s * random_between(1, 2);
     Value hosts = Value::array();
     for (const auto& [at_time, list] : lists_) {
@@ -109,7 +109,8 @@
     const auto hall =
         std::find(settings_.zones.begin(), settings_.zones.end(), body["hall"].get<std::string>());
     const auto zone = static_cast<std::size_t>(hall - settings_.zones.begin());
-    // Nobody can tell a cut from silence at once, and a request may have been on its way.
+    // A controller cannot tell a cut zone from late heartbeats at once, and its request may already have been
+    // on the way; only rentals well after the start of the cut count.
     const bool long_cut = is_cut_off(zone) && now_ > zone_cuts_[zone].from + kContactSeenWithin;
     for (std::size_t k = 0; k < body["howMany"].get<std::size_t>() && live < plan_.max_machines;
          ++k, ++live) {
--- a/src/simulation/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -1,4 +1,4 @@
-// The faults that meet each other, as the operators list them: called by tests, or at random.
+// Combined faults: faults that tests trigger by name, and that random runs trigger together.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace wingtrail::simulation {
 
-// ---------------------------------------------------------------- machines and their reports
+// ---------------------------------------------------------------- machines and their heartbeats
 
 std::size_t SimulatedCluster::fail_machines(MachineFault what, std::size_t n, double for_s,
                                             const std::string& ref) {
@@ -32,7 +32,8 @@
   up.resize(std::min(n, up.size()));
   for (WorkerMachine* h : up) {
     const double until = now_ + for_s * random_between(0.95, 1.05);
-    spdlog::debug("{:.3f} {}: ails ({}) until {:.1f}", now_, h->name, static_cast<int>(what), until);
+    spdlog::debug("simulation: machine_fault t={:.3f} host={} kind={} until={:.1f}", now_, h->name,
+                  static_cast<int>(what), until);
     if (what == MachineFault::hung)
       h->hung_until = until;
     if (what == MachineFault::deaf)
@@ -60,12 +61,13 @@
   late_commands_until_ = now_ + for_s;
 }
 
-// To every node, the new leader among them: as it begins, and once it has acted.
+// Delivers the held copies to every controller, the new leader among them: at the beginning of its
+// leadership, or after it has taken its first decisions.
 void SimulatedCluster::release_held_heartbeats(std::size_t) {
   extend_fault_period(5);
   for (controller::IncomingRequest& in : std::exchange(held_heartbeats_, {})) {
     if (duplicate_arrival_ == DuplicateArrival::at_election) {
-      // Before the first answer of any worker; a worker's copies in no particular order.
+      // Arrives before the first answer of any worker; the copies of one worker arrive in random order.
       add_event_after(random_between(0, 0.0005), [this, in] {
         ++run_report_.held_heartbeats;
         for (std::size_t i = 0; i < plan_.nodes; ++i)
@@ -111,7 +113,7 @@
   std::vector<UserJob*> some(running.begin(), running.end());
   std::sort(some.begin(), some.end(), [](const UserJob* a, const UserJob* b) {
     const auto rank = [](const UserJob* j) {
-      return j->spec.shape == wire::Shape::service ? 0.0 : j->run_s;  // arrays with long to go first
+      return j->spec.shape == wire::Shape::service ? 0.0 : j->run_s;  // longest arrays first
     };
     return rank(a) != rank(b) ? rank(a) > rank(b) : a->spec.ref < b->spec.ref;
   });
@@ -137,7 +139,8 @@
   close_polls_until_ = now_ + for_s;
 }
 
-// At all nodes, again and again within milliseconds; the submission too; some call the job off at once.
+// Queries the job at all controllers four times within milliseconds and submits it again at each; one user in
+// five cancels the job at once.
 void SimulatedCluster::poll_every_node(UserJob& job) {
   for (std::size_t round = 0; round < 4; ++round) {
     for (std::size_t i = 0; i < plan_.nodes; ++i) {
@@ -185,7 +188,7 @@
   }
   if (jobs_.empty() || kind < 2)
     return;
-  // Of one that can't run, or lacks a field, no node may take charge, and none may know it later.
+  // No controller may accept a job that cannot run or lacks a field, and none may know it later.
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-6" + std::to_string(1'000'000 + ++malformed_requests_made_);
   s.depends_on.clear();
@@ -201,10 +204,10 @@
     if (what == 3)
       body["hall"] = "nowhere";
   } else {
-    static constexpr const char* kNeeded[] = {
+    static constexpr const char* kRequiredFields[] = {
         "jobclass", "owner",     "shape", "urgency",   "shards",         "cores",        "memGb",  "bundle",
         "sizeGb",   "samePlace", "apart", "expectedS", "snapshotEveryS", "accelerators", "standby"};
-    body.erase(kNeeded[random_index(std::size(kNeeded))]);
+    body.erase(kRequiredFields[random_index(std::size(kRequiredFields))]);
   }
   controller::IncomingRequest in;
   in.method = "POST";
@@ -218,17 +221,17 @@
     });
   });
   add_event_after(random_between(0.01, 3), [this, ref = s.ref, k = random_index(plan_.nodes)] {
-    controller::IncomingRequest question;
-    question.method = "GET";
-    question.path = std::string(wire::kJobsPath) + "/" + ref;
-    deliver(k, question, [this, ref](const ports::Answer& a) {
+    controller::IncomingRequest query;
+    query.method = "GET";
+    query.path = std::string(wire::kJobsPath) + "/" + ref;
+    deliver(k, query, [this, ref](const ports::Answer& a) {
       if (a.status == 200)
         report_violation("invented", ref);
     });
   });
 }
 
-// A planted fault: an order of nobody's brings a task of it to some machine.
+// Planted fault: starts a task of the job on some machine without a command from a controller.
 void SimulatedCluster::start_stray_copy(const UserJob& job) {
   for (auto& [name, h] : machines_) {
     if (h->gone || h->dead || !h->up)
@@ -238,7 +241,7 @@
   }
 }
 
-// ---------------------------------------------------------------- what tests ask
+// ---------------------------------------------------------------- figures for tests
 
 double SimulatedCluster::began_at(const std::string& ref) const {
   return jobs_.at(ref)->began_at;
--- a/src/simulation/controllers.cpp
+++ b/src/simulation/controllers.cpp
@@ -1,4 +1,4 @@
-// The controllers: real decision code, their calls and answers carried over the simulated network.
+// Runs the controllers' decision code and carries its calls and answers over the simulated network.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -43,7 +43,7 @@
     external_processes_.crash(i);
   if (!c.controller && !external_processes_.crash)
     return;
-  spdlog::debug("{:.3f} {} ends", now_, node_name(i));
+  spdlog::debug("simulation: controller_ended t={:.3f} controller={}", now_, node_name(i));
   extend_fault_period(plan_.back_to);
   c.controller.reset();
   ++c.process_number;
@@ -73,11 +73,11 @@
     if (c.was_leader && !held_heartbeats_.empty())
       release_held_heartbeats(i);
   }
-  // Two nodes that may both give orders would break everything else.
-  std::size_t entitled = 0;
+  // At most one controller may hold an unexpired leader lease; every other rule depends on it.
+  std::size_t leases_held = 0;
   for (auto& other : controllers_)
-    entitled += other->controller && node_time(*other) < other->controller->leader_lease_expires_at();
-  if (entitled > 1)
+    leases_held += other->controller && node_time(*other) < other->controller->leader_lease_expires_at();
+  if (leases_held > 1)
     report_violation("two_leaders", node_name(i) + " acts beside another");
   wake_controller(i);
 }
@@ -88,16 +88,16 @@
   if (!std::isfinite(wake) || (c.wake_at >= now_ && c.wake_at <= wake + 1e-9))
     return;
   c.wake_at = std::max(wake, now_) + 1e-6;
-  add_event(c.wake_at, [this, i, life = c.process_number, due = c.wake_at] {
+  add_event(c.wake_at, [this, i, process = c.process_number, due = c.wake_at] {
     SimulatedController& ctl = *controllers_[i];
-    if (!ctl.controller || ctl.process_number != life || ctl.wake_at != due)
+    if (!ctl.controller || ctl.process_number != process || ctl.wake_at != due)
       return;
     ctl.wake_at = -1;
-    if (now_ < ctl.paused_until) {  // a stalled process: its timers fire when it goes on
+    if (now_ < ctl.paused_until) {  // the timers of a stalled process fire when it continues
       ctl.wake_at = ctl.paused_until;
-      return add_event(ctl.paused_until, [this, i, life] {
+      return add_event(ctl.paused_until, [this, i, process] {
         SimulatedController& again = *controllers_[i];
-        if (!again.controller || again.process_number != life)
+        if (!again.controller || again.process_number != process)
           return;
         again.wake_at = -1;
         again.controller->tick(node_time(again));
@@ -112,8 +112,8 @@
 void SimulatedCluster::execute_call(std::size_t i, const ports::Call& call) {
   SimulatedController& c = *controllers_[i];
   if (plan_.planted_fault != "no_authority_check" && node_time(c) >= call.not_after) {
-    add_event_after(0, [this, i, life = c.process_number, id = call.id] {
-      if (!controllers_[i]->controller || controllers_[i]->process_number != life)
+    add_event_after(0, [this, i, process = c.process_number, id = call.id] {
+      if (!controllers_[i]->controller || controllers_[i]->process_number != process)
         return;
       ports::Reply none;
       none.delivered = false;
@@ -123,17 +123,17 @@
     return;
   }
   auto answered = std::make_shared<bool>(false);
-  auto finish = [this, i, life = c.process_number, id = call.id, answered](const ports::Reply& r) {
+  auto finish = [this, i, process = c.process_number, id = call.id, answered](const ports::Reply& r) {
     if (*answered)
       return;
     *answered = true;
     SimulatedController& ctl = *controllers_[i];
-    if (!ctl.controller || ctl.process_number != life)
+    if (!ctl.controller || ctl.process_number != process)
       return;
     if (now_ < ctl.paused_until) {
-      add_event(ctl.paused_until, [this, i, life, id, r] {
+      add_event(ctl.paused_until, [this, i, process, id, r] {
         SimulatedController& again = *controllers_[i];
-        if (!again.controller || again.process_number != life)
+        if (!again.controller || again.process_number != process)
           return;
         again.controller->on_reply(node_time(again), id, r);
         run_controller(i);
@@ -175,6 +175,7 @@
     to = host ? host->name : "nowhere";
   }
   const bool worker = call.target == ports::Target::worker;
+  const std::uint64_t process = c.process_number;
   auto back = [this, me, to, finish, worker](int status, Value body) {
     send(to, me, [finish, worker, status, body = std::move(body)] {
       ports::Reply r;
@@ -187,13 +188,13 @@
       finish(r);
     });
   };
-  const bool sent = send(me, to, [this, i, peer, host, call, back, me, to, finish, life = c.process_number] {
+  const bool sent = send(me, to, [this, i, peer, host, call, back, me, to, finish, process] {
     switch (call.target) {
       case ports::Target::cell:
         return;
       case ports::Target::state:
-        // Of a process that has ended since, and may have known of other limits.
-        writing_late_ = life != controllers_[i]->process_number;
+        // The calling process may have ended since then, and may have had other limits.
+        writing_late_ = process != controllers_[i]->process_number;
         state_service_request(i, call.method, call.path, call.body, back);
         writing_late_ = false;
         return;
@@ -261,8 +262,8 @@
   if (!c.controller)
     return;
   if (now_ < c.paused_until) {
-    add_event(c.paused_until, [this, i, in, then, life = c.process_number] {
-      if (controllers_[i]->process_number == life)
+    add_event(c.paused_until, [this, i, in, then, process = c.process_number] {
+      if (controllers_[i]->process_number == process)
         deliver(i, in, then);
     });
     return;
--- a/src/simulation/network.cpp
+++ b/src/simulation/network.cpp
@@ -1,4 +1,4 @@
-// The network between components: delays, cuts, packets held back.
+// The network between components: delays, cut links, packets that are held back.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -24,34 +24,34 @@
   if (now_ >= l.cut_until)
     return add_event_after(latency(), std::move(fn)), true;
   if (!l.holds_packets || random_bool(0.4))
-    return !l.holds_packets && random_bool(0.5);  // lost on its way, or no connection could be made
+    return !l.holds_packets && random_bool(0.5);  // true: lost on its way; false: no connection could be made
   add_event(l.cut_until + latency(), std::move(fn));
   return true;
 }
 
-std::optional<std::size_t> SimulatedCluster::zone_of(const std::string& who) const {
-  if (who.starts_with("node-"))
-    return static_cast<std::size_t>(who.back() - '0') % settings_.zones.size();
-  const auto host = machines_.find(who);
+std::optional<std::size_t> SimulatedCluster::zone_of(const std::string& endpoint) const {
+  if (endpoint.starts_with("node-"))
+    return static_cast<std::size_t>(endpoint.back() - '0') % settings_.zones.size();
+  const auto host = machines_.find(endpoint);
   return host == machines_.end() ? std::nullopt : std::optional(host->second->zone);
 }
 
 std::pair<double, bool> SimulatedCluster::zone_cut(const std::string& a, const std::string& b) const {
-  std::pair<double, bool> most{-1, false};
+  std::pair<double, bool> longest{-1, false};
   if (std::none_of(zone_cuts_.begin(), zone_cuts_.end(), [this](const ZoneCut& c) { return now_ < c.until; }))
-    return most;
+    return longest;
   const auto za = zone_of(a), zb = zone_of(b);
   if (za == zb)
-    return most;
+    return longest;
   for (const auto& z : {za, zb}) {
-    if (z && zone_cuts_[*z].until > most.first)
-      most = {zone_cuts_[*z].until, zone_cuts_[*z].holds_packets};
+    if (z && zone_cuts_[*z].until > longest.first)
+      longest = {zone_cuts_[*z].until, zone_cuts_[*z].holds_packets};
   }
-  return most;
+  return longest;
 }
 
 void SimulatedCluster::cut_zone(std::size_t zone, double for_s, bool hold) {
-  spdlog::debug("{:.3f} {} is cut off for {:.1f} s", now_, settings_.zones[zone], for_s);
+  spdlog::debug("simulation: zone_cut t={:.3f} zone={} for_s={:.1f}", now_, settings_.zones[zone], for_s);
   extend_fault_period(for_s);
   ZoneCut& cut = zone_cuts_[zone];
   if (now_ >= cut.until)
--- a/src/simulation/random_faults.cpp
+++ b/src/simulation/random_faults.cpp
@@ -1,4 +1,4 @@
-// Faults, at random and as tests order them.
+// Random faults, and simple faults that tests trigger.
 #include <spdlog/spdlog.h>
 
 #include "simulation/components.hpp"
@@ -49,12 +49,12 @@
   }
 }
 
-// One of the faults that are asked for by name elsewhere (combined_faults.cpp), often beside another.
+// Triggers one of the faults of combined_faults.cpp, some of them together with another fault.
 void SimulatedCluster::combined_fault() {
   const double span = random_between(5, 40);
   const auto kind = random_index(plan_.late_commands ? 15 : 12);
   const std::size_t i = random_index(plan_.nodes), on = leader().value_or(i);
-  spdlog::debug("{:.3f} meeting {} for {:.1f} s", now_, kind, span);
+  spdlog::debug("simulation: combined_fault t={:.3f} kind={} for_s={:.1f}", now_, kind, span);
   switch (kind) {
     case 0:
     case 1:
@@ -67,7 +67,7 @@
     case 4:
       return void(fail_machines(random_bool(0.5) ? MachineFault::deaf : MachineFault::mute,
                                 1 + random_index(4), span));
-    case 5:  // the leader alone, then everybody
+    case 5:  // refuses the leader alone, then the service is down for all
       refuse_state_service(on, random_between(3, 15));
       if (random_bool(0.5))
         add_event_after(random_between(0, 8), [this, span] { state_outage(1.5 * span); });
@@ -89,7 +89,7 @@
       return delay_writes(random_between(0.1, 0.5), span, random_bool(0.5));
     case 12:
       return delay_commands(random_between(0.1, 0.6), span);
-    case 13:  // amid all that a new leader has to find out
+    case 13:  // during the reconciliation after a failover
       duplicate_heartbeats_late(random_between(0.2, 0.8), 2 * span, DuplicateArrival::at_election);
       delay_commands(random_between(0.1, 0.6), 2 * span);
       return add_event_after(random_between(0, span), [this] { crash(leader().value_or(0)); });
@@ -106,7 +106,7 @@
   if (now_ > plan_.duration_s)
     return;
   add_event_after(random_between(0, 2 * plan_.fault_every_s), [this] { random_fault(); });
-  extend_fault_period(40);  // what is not said more exactly below
+  extend_fault_period(40);  // for faults below that don't set their own duration
   std::vector<WorkerMachine*> live;
   for (auto& [n, h] : machines_) {
     if (!h->gone && !h->dead && h->up)
@@ -118,7 +118,7 @@
   if (plan_.combined_faults && random_bool(0.5))
     return combined_fault();
   const auto kind = random_index(plan_.cuts ? 18 : 13);
-  spdlog::debug("{:.3f} trouble {} for {:.1f} s, node {}", now_, kind, span, i);
+  spdlog::debug("simulation: fault t={:.3f} kind={} for_s={:.1f} controller={}", now_, kind, span, i);
   switch (kind) {
     case 0:
       return crash(i);
@@ -187,9 +187,9 @@
   if (live.empty())
     return;
   WorkerMachine& h = *live[random_index(live.size())];
-  const auto harm = random_index(5);
-  spdlog::debug("{:.3f} {}: trouble {}", now_, h.name, harm);
-  switch (harm) {
+  const auto machine_fault = random_index(5);
+  spdlog::debug("simulation: machine_fault t={:.3f} host={} kind={}", now_, h.name, machine_fault);
+  switch (machine_fault) {
     case 0:
       h.hung_until = now_ + random_between(1, 35);
       return;
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -117,7 +117,7 @@
         report_violation("wrong_place", task.name + " away from its zone");
     }
   }
-  if (job.doomed_since >= 0 && now_ > job.doomed_since + kCancellationLimit)
+  if (job.cancelled_since >= 0 && now_ > job.cancelled_since + kCancellationLimit)
     report_violation("ran_cancelled", task.name + " started");
   // No task may start after the cancellation was confirmed to the user.
   if (job.told_cancelled_at >= 0)
@@ -207,8 +207,8 @@
     if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
       continue;
     for (const WorkerTask& x : h->tasks) {
-      if (x.occupies_machine() && x.job->doomed_since >= 0 &&
-          now_ > x.job->doomed_since + kCancellationLimit) {
+      if (x.occupies_machine() && x.job->cancelled_since >= 0 &&
+          now_ > x.job->cancelled_since + kCancellationLimit) {
         return report_violation("ran_cancelled", x.name + " on " + name);
       }
     }
@@ -219,9 +219,9 @@
 void SimulatedCluster::mark_doomed(UserJob& job, double since) {
   // A dependent job that is still being submitted counts from its acceptance (seed 700681: acceptance took
   // 40 s of retries).
-  if (job.doomed_since >= 0 || !job.accepted)
+  if (job.cancelled_since >= 0 || !job.accepted)
     return;
-  job.doomed_since = since;
+  job.cancelled_since = since;
   for (UserJob* next : job.dependents)
     mark_doomed(*next, since);
 }
@@ -236,7 +236,7 @@
 // Returns whether the job cannot complete: its tasks always fail, it is cancelled, or it depends on such a
 // job.
 bool SimulatedCluster::hopeless(const UserJob& job) const {
-  if (job.always_fails || job.told_cancelled_at >= 0 || job.doomed_since >= 0)
+  if (job.always_fails || job.told_cancelled_at >= 0 || job.cancelled_since >= 0)
     return true;
   return std::any_of(job.dependencies.begin(), job.dependencies.end(), [this](const UserJob* n) {
     return !n->is_done() && (n->cancellation_wanted || hopeless(*n));
--- a/src/simulation/simulated_cells.cpp
+++ b/src/simulation/simulated_cells.cpp
@@ -15,22 +15,22 @@
   network_->send = [this](std::size_t from, std::size_t to, std::function<void()> fn) {
     send(from, to, std::move(fn));
   };
-  for (auto& w : clusters_)
-    w->join_network(network_);
+  for (auto& cluster : clusters_)
+    cluster->join_network(network_);
 }
 
 void SimulatedCells::begin() {
-  for (auto& w : clusters_)
-    w->begin();
+  for (auto& cluster : clusters_)
+    cluster->begin();
 }
 
-// In the order of time over all cells, so that none sees another's future.
+// Events run in the order of time over all cells, so that no cell receives a message from a later time.
 void SimulatedCells::step(double until) {
   while (true) {
     SimulatedCluster* first = nullptr;
-    for (auto& w : clusters_) {
-      if (!first || w->next() < first->next())
-        first = w.get();
+    for (auto& cluster : clusters_) {
+      if (!first || cluster->next() < first->next())
+        first = cluster.get();
     }
     if (first->next() >= until || !broken_rules().empty())
       break;
@@ -42,8 +42,8 @@
 
 std::vector<std::string> SimulatedCells::broken_rules() const {
   std::vector<std::string> all;
-  for (const auto& w : clusters_) {
-    const auto& b = w->run_report().broken_rules;
+  for (const auto& cluster : clusters_) {
+    const auto& b = cluster->run_report().broken_rules;
     all.insert(all.end(), b.begin(), b.end());
   }
   return all;
@@ -56,11 +56,11 @@
 }
 
 void SimulatedCells::down(std::size_t cell, double for_s) {
-  SimulatedCluster& w = *clusters_[cell];
+  SimulatedCluster& cluster = *clusters_[cell];
   for (double t = 0; t < for_s; t += 0.5) {
-    w.schedule_at(now_ + t, [&w] {
-      for (std::size_t i = 0; i < w.nodes(); ++i)
-        w.crash(i);
+    cluster.schedule_at(now_ + t, [&cluster] {
+      for (std::size_t i = 0; i < cluster.nodes(); ++i)
+        cluster.crash(i);
     });
   }
 }
@@ -103,7 +103,7 @@
     SimulationPlan p = plan_of(seed + 31 * c);
     p.seed = seed * 64 + c;
     p.late_writes = seed % 3 == 0 ? 0.03 : 0;
-    p.upgrade = false;  // an older version of a cell's own stops the spilling; it has tests of its own
+    p.upgrade = false;  // a controller of an older version stops offloading; that case has its own tests
     p.duration_s = 150;
     p.settle_s = 1500;
     p.max_machines = c == 0 ? 7 : 16;
@@ -115,7 +115,7 @@
   cells.duplicate_share = seed % 2 == 0 ? 0.05 : 0;
   cells.begin();
   cells.add_link_faults(12, 150);
-  // Until all is done, and for a while after that: what is said late must do no harm.
+  // Runs until all jobs are done, and 60 s longer, because messages that arrive late must do no harm.
   std::size_t undone = 1;
   for (double t = 270; undone > 0 && t < 150 + plans[0].settle_s && cells.broken_rules().empty(); t += 60) {
     cells.step(t);
@@ -124,15 +124,15 @@
       undone += cells[c].unfinished_jobs();
   }
   cells.step(cells.now() + 60);
-  CellsRunReport day;
+  CellsRunReport report;
   for (std::size_t c = 0; c < n; ++c) {
     const RunReport& v = cells[c].close();
-    day.remote_tasks_started += v.remote_tasks_started;
-    day.unfinished += v.unfinished;
-    day.accepted += v.accepted;
+    report.remote_tasks_started += v.remote_tasks_started;
+    report.unfinished += v.unfinished;
+    report.accepted += v.accepted;
   }
-  day.broken_rules = cells.broken_rules();
-  return day;
+  report.broken_rules = cells.broken_rules();
+  return report;
 }
 
 }  // namespace wingtrail::simulation
--- a/src/simulation/simulated_cells.hpp
+++ b/src/simulation/simulated_cells.hpp
@@ -1,16 +1,18 @@
-// Several cells in virtual time: simulated clusters (world.hpp), each with its own controllers, state
-// service, cloud and workers, and the links between them, which delay, lose, hold, double and refuse. The
-// rules are checked over all of them: a task that is on a machine of one cell must not start in another, and
-// neither must any task of its job.
+/// @file
+/// Several cells in virtual time: simulated clusters (simulated_cluster.hpp), each with its own controllers,
+/// state service, cloud and workers, and the links between them, which delay, lose, hold back and duplicate
+/// messages. The rules are checked over all cells: while a task is on a machine of one cell, no task of the
+/// same job may start in another.
 #pragma once
 
 #include "simulation/simulated_cluster.hpp"
 
 namespace wingtrail::simulation {
 
+/// Runs the events of all cells in the order of virtual time.
 class SimulatedCells {
  public:
-  // One plan for each; their numbers are set here.
+  /// Creates one cell for each plan and sets the plans' cell numbers.
   explicit SimulatedCells(std::vector<SimulationPlan> plans, std::uint64_t seed = 1);
 
   SimulatedCluster& operator[](std::size_t c) {
@@ -19,20 +21,24 @@
   std::size_t size() const {
     return clusters_.size();
   }
+  /// Schedules the first events of all cells.
   void begin();
+  /// Executes all events due before `until`, in seconds; stops after the first violation.
   void step(double until);
   double now() const {
     return now_;
   }
-  std::vector<std::string> broken_rules() const;  // by all cells
+  /// Returns the violations of all cells.
+  std::vector<std::string> broken_rules() const;
 
-  // From now on for so long nothing that `a` says reaches `b`; `hold`: it does afterwards.
+  /// For `for_s` seconds from now, no message from `a` reaches `b`. `hold`: about half of the messages are
+  /// held back and delivered afterwards; otherwise all are lost.
   void cut(std::size_t a, std::size_t b, double for_s, bool hold);
-  // All controllers of the cell end, and end again as soon as they are back, for so long.
+  /// For `for_s` seconds from now, all controllers of the cell end every 0.5 s.
   void down(std::size_t cell, double for_s);
-  // Of what is said, that share arrives a second time, up to a minute later.
+  /// Share of messages between cells that arrive a second time, 0.5 to 60 s later.
   double duplicate_share = 0;
-  // Faults of the links at random, on average so far apart, until then.
+  /// Schedules random faults of the links until time `until`, on average `every_s` seconds apart.
   void add_link_faults(double every_s, double until);
 
  private:
@@ -52,12 +58,14 @@
   std::map<std::pair<std::size_t, std::size_t>, Link> links_;
 };
 
-// Two or three small cells with all the faults of the random days in each, and of the links; the first one
-// has more work than machines. Returns what was broken, and what it tells of the spilling.
+/// Violations and counters of a simulated run of several cells, summed over the cells.
 struct CellsRunReport {
   std::vector<std::string> broken_rules;
   std::size_t remote_tasks_started = 0, unfinished = 0, accepted = 0, offloaded = 0;
 };
+
+/// Runs two or three small cells with random faults in each cell and on the links between them. The first
+/// cell has more work than machines, so that it offloads jobs.
 CellsRunReport run_random_cells(std::uint64_t seed);
 
 }  // namespace wingtrail::simulation
--- a/src/simulation/state_service.cpp
+++ b/src/simulation/state_service.cpp
@@ -1,4 +1,4 @@
-// The state service: keys, leases, watches, budgets, and how it fails.
+// The state service: keys, leases, watches, budgets and faults.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -62,7 +62,7 @@
     const std::uint64_t id = it->first;
     it = leases_.erase(it);
     ++revision_;
-    spdlog::debug("{:.3f} lease {} is over", now_, id);
+    spdlog::debug("simulation: state_lease_expired t={:.3f} lease={}", now_, id);
     for (auto k = store_.begin(); k != store_.end();) {
       if (k->second.lease == id) {
         record_change(k->first, nullptr, true);
@@ -99,8 +99,9 @@
     w->reply(200, std::move(body));
 }
 
-// Its time is over: it is answered, with nothing if nothing has changed. While its node is refused, or the
-// service is down, it waits; an answer without what has changed meanwhile would be a wrong one (seed 100101).
+// Answers a watch whose time has expired, with an empty list if nothing has changed. While its controller is
+// refused or the service is down, the watch waits: an answer then would leave out the changes made meanwhile
+// (seed 100101).
 void SimulatedCluster::end_watch(const std::shared_ptr<Watch>& w) {
   if (!w->open)
     return;
@@ -184,7 +185,7 @@
   if (path.starts_with("/kv?")) {
     const std::string prefix = query("prefix"), after = query("after");
     const std::size_t most =
-        std::min<std::size_t>(std::stoul(query("most")), 7);  // small pages: paging is used
+        std::min<std::size_t>(std::stoul(query("most")), 7);  // small pages, so that paging is exercised
     Value items = Value::array();
     bool more = false;
     for (auto it = store_.upper_bound(std::max(after, prefix.substr(0, prefix.size() - 1)));
@@ -205,8 +206,8 @@
       return reply(404, {{"ledgerRev", revision_}});
     return reply(200, {{"path", it->first}, {"data", it->second.value}, {"stamp", it->second.version}});
   }
-  // A node that knows of lower limits to come keeps to them from its first second; what it sent before may be
-  // carried out late.
+  // A controller that knows of lower limits to come keeps to them from its start. Transactions that were sent
+  // before may be executed late.
   if (path == "/txn" && !writing_late_ &&
       exceeds_limits(body, controllers_[node]->runs_former_version ? settings_before_upgrade_ : settings_, 1))
     report_violation("protocol", "a transaction over the limits: " + body.dump().substr(0, 300));
@@ -271,7 +272,8 @@
         record_change(op["delete"].get<std::string>(), nullptr, true);
       }
     }
-    spdlog::debug("{:.3f} {}: {} {}", now_, node_name(node), revision_, body["apply"].dump());
+    spdlog::debug("simulation: transaction t={:.3f} controller={} revision={} changes={}", now_,
+                  node_name(node), revision_, body["apply"].dump());
     reply(200, {{"ledgerRev", revision_}});
     return serve_watches();
   }
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -1,4 +1,4 @@
-// Users: submissions, questions, cancellations, and what they make of the answers.
+// Users: their submissions, queries and cancellations, and the checks of the answers.
 #include <algorithm>
 #include <cstdio>
 
@@ -7,7 +7,7 @@
 
 namespace wingtrail::simulation {
 
-// Some of the jobs that were accepted, whatever has become of them, and mostly late ones.
+// Adds dependencies on some of the accepted jobs, in whatever state they are; mostly on recent ones.
 void SimulatedCluster::choose_dependencies(UserJob& job) {
   std::vector<UserJob*> known;
   for (auto& [ref, other] : jobs_) {
@@ -16,10 +16,10 @@
   }
   if (known.empty())
     return;
-  const std::size_t late = std::min<std::size_t>(known.size(), 6);
+  const std::size_t recent = std::min<std::size_t>(known.size(), 6);
   for (std::size_t k = 0, n = 1 + random_index(random_bool(0.2) ? 5 : 2); k < n; ++k) {
     UserJob* need =
-        random_bool(0.8) ? known[known.size() - 1 - random_index(late)] : known[random_index(known.size())];
+        random_bool(0.8) ? known[known.size() - 1 - random_index(recent)] : known[random_index(known.size())];
     if (std::find(job.dependencies.begin(), job.dependencies.end(), need) != job.dependencies.end())
       continue;
     job.dependencies.push_back(need);
@@ -29,7 +29,7 @@
   ++run_report_.with_dependencies;
 }
 
-// Names a job that nobody ever submitted, or itself.
+// Submits a job that depends on itself or on a job that was never submitted.
 void SimulatedCluster::submit_impossible_job() {
   wire::JobSpec s = jobs_.begin()->second->spec;
   s.ref = "req-8" + std::to_string(random_index(100000));
@@ -136,12 +136,13 @@
     return;
   submit_random_job();
   add_event_after(random_between(plan_.arrival_s / 12, plan_.arrival_s), [this] { schedule_submissions(); });
-  // With sheets some come together; of many, few may find others under way.
+  // Several submissions at once, so that job batches hold more than one job; spread-out submissions rarely
+  // meet in a batch.
   if (plan_.fair_admission && random_bool(0.15)) {
     for (std::size_t n = 1 + random_index(6); n > 0; --n)
       submit_random_job();
   }
-  // Somebody asks about a job that nobody submitted.
+  // A query of a job that was never submitted.
   if (random_bool(0.2)) {
     const std::string name = "req-9" + std::to_string(random_index(100000));
     send("users", node_name(random_index(plan_.nodes)), [this, name, i = random_index(plan_.nodes)] {
@@ -185,7 +186,7 @@
           ++run_report_.accepted;
           job.accepted_at = now_;
           for (const UserJob* need : job.dependencies) {
-            if (need->doomed_since >= 0)
+            if (need->cancelled_since >= 0)
               mark_doomed(job, now_);
           }
           add_event_after(random_between(0.5, 5), [this, &job] { poll(job); });
@@ -193,7 +194,8 @@
             poll_every_node(job);
         }
         const bool over = job.told_done || job.told_cancelled_at >= 0;
-        // An answer that a poll's overtook on its way is no step back (seed 5 without faults).
+        // An answer that was overtaken on its way by the answer to a query may show an earlier state (seed 5
+        // without faults).
         if (a.status == 200 && over == was_over)
           on_job_state(job, 200, a.body, "submission");
         if (random_bool(0.2))
@@ -244,7 +246,7 @@
     mark_doomed(job, now_);
   } else if (job.told_done || job.told_cancelled_at >= 0) {
     report_violation("went_back", job.spec.ref + " lives again by " + how);
-  } else if (job.doomed_since >= 0 && now_ > job.doomed_since + kCancellationLimit) {
+  } else if (job.cancelled_since >= 0 && now_ > job.cancelled_since + kCancellationLimit) {
     report_violation("orphaned", job.spec.ref + " by " + how);
   }
 }
@@ -260,7 +262,8 @@
   controller::IncomingRequest in;
   in.method = "GET";
   in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref;
-  // What counts is the order in which the user hears things: an answer given up on is not heard.
+  // The checks follow the order in which answers reach the user; one that comes after the user's timeout of
+  // 2 s is ignored.
   const double asked_at = now_;
   record_query();
   const bool was_over = job.told_done || job.told_cancelled_at >= 0;
@@ -276,7 +279,7 @@
         return on_job_state(job, 200, wire::job_progress(job.spec.ref, wire::Phase::running, 0, 1), how);
       const bool over = job.told_done || job.told_cancelled_at >= 0;
       if (over && !was_over && a.status == 200)
-        return;  // overtaken by another answer while it was on its way
+        return;  // another answer overtook this one on its way
       on_job_state(job, a.status, a.body, how);
     });
   });
--- a/src/simulation/workers.cpp
+++ b/src/simulation/workers.cpp
@@ -1,4 +1,4 @@
-// Workers: sessions, leases, reports, orders, the life of tasks.
+// Workers: incarnations, leases, heartbeats, commands and the execution of tasks.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -21,7 +21,8 @@
 void SimulatedCluster::check_lease(WorkerMachine& h) {
   if ((now_ - h.lease_renewed_at) * h.clock_rate <= kWorkerLease)
     return;
-  spdlog::debug("{:.3f} {}: its lease is over, next session", now_, h.name);
+  spdlog::debug("simulation: worker_lease_expired t={:.3f} host={} incarnation={}", now_, h.name,
+                h.incarnation);
   if (!h.dead && now_ >= h.hung_until)
     run_report_.lost_by_lease_expiry += static_cast<std::size_t>(std::count_if(
         h.tasks.begin(), h.tasks.end(), [](const WorkerTask& x) { return x.phase != "exited"; }));
@@ -72,14 +73,14 @@
 void SimulatedCluster::send_heartbeat(WorkerMachine& h) {
   h.reporting = true;
   h.last_heartbeat = now_;
-  const std::uint64_t serial = ++h.heartbeat_serial, session = h.incarnation;
+  const std::uint64_t serial = ++h.heartbeat_serial, incarnation = h.incarnation;
   const double sent = now_;
   const std::string me = h.name, to = node_name(h.node);
   controller::IncomingRequest in;
   in.method = "POST";
   in.path = wire::kHeartbeatPath;
-  Value report = heartbeat_value(h);
-  in.body = wire::encode_cbor(report);
+  Value heartbeat = heartbeat_value(h);
+  in.body = wire::encode_cbor(heartbeat);
   auto next = [this, me, serial](double delay, bool other) {
     WorkerMachine& x = *machines_.at(me);
     if (x.gone || x.dead || x.heartbeat_serial != serial || !x.reporting)
@@ -89,8 +90,8 @@
       x.node = (x.node + 1) % plan_.nodes;
     schedule_heartbeat(x, delay);
   };
-  auto got = [this, me, next, session, sent, serial](const ports::Answer& a) {
-    auto handle = [this, me, next, session, sent, serial, a] {
+  auto got = [this, me, next, incarnation, sent, serial](const ports::Answer& a) {
+    auto handle = [this, me, next, incarnation, sent, serial, a] {
       WorkerMachine& x = *machines_.at(me);
       if (x.gone || x.dead || x.heartbeat_serial != serial || !x.reporting)
         return;
@@ -105,7 +106,7 @@
       if (a.status != 200)
         return next(1, true);
       const std::uint64_t token = wire::count(a.body, "mandate").value_or(0);
-      if (token >= x.fencing_token && session == x.incarnation) {
+      if (token >= x.fencing_token && incarnation == x.incarnation) {
         run_report_.renewed_by_delegates += leader() != x.node;
         x.fencing_token = token;
         x.lease_renewed_at = sent;
@@ -137,19 +138,19 @@
                       });
     }
   }
-  send(me, to, [this, in, got, me, to, i = h.node, report = std::move(report)] {
-    deliver(i, in, [this, got, me, to, i, report](const ports::Answer& a) {
+  send(me, to, [this, in, got, me, to, i = h.node, heartbeat = std::move(heartbeat)] {
+    deliver(i, in, [this, got, me, to, i, heartbeat](const ports::Answer& a) {
       const bool by_leader =
           a.status == 200 && controllers_[i]->controller && controllers_[i]->controller->is_active_leader();
       if (by_leader)
-        record_done_seen(*machines_.at(me), report, a);
+        record_done_seen(*machines_.at(me), heartbeat, a);
       send(to, me, [got, a] { got(a); });
     });
   });
   add_event_after(4, [next] { next(1, true); });
 }
 
-// Whether this direct command is one that is held up: it gets no answer, and is carried out once, late.
+// Returns whether this direct command is delayed: it gets no answer, and is executed once, 2 to 16 s later.
 bool SimulatedCluster::delay_command(const WorkerMachine& machine, const Value& body) {
   if (now_ >= late_commands_until_ || !random_bool(late_command_share_))
     return false;
@@ -158,14 +159,14 @@
     const WorkerMachine& held = *machines_.at(name);
     if (held.gone || held.dead || !held.up)
       return;
-    const auto carry_out_now = [this, name, body] {
+    const auto execute = [this, name, body] {
       WorkerMachine& there = *machines_.at(name);
       if (there.gone || there.dead)
         return;
       check_lease(there);
       execute_commands(there, body, true);
     };
-    now_ < held.hung_until ? add_event(held.hung_until + 1e-6, carry_out_now) : carry_out_now();
+    now_ < held.hung_until ? add_event(held.hung_until + 1e-6, execute) : execute();
   });
   return true;
 }
@@ -186,10 +187,10 @@
 }
 
 int SimulatedCluster::execute_commands(WorkerMachine& h, const Value& body, bool) {
-  const auto token = wire::count(body, "mandate"), session = wire::count(body, "tenure");
-  if (!token || !session)
+  const auto token = wire::count(body, "mandate"), incarnation = wire::count(body, "tenure");
+  if (!token || !incarnation)
     return 400;
-  if (*token < h.fencing_token || *session != h.incarnation)
+  if (*token < h.fencing_token || *incarnation != h.incarnation)
     return 409;
   const bool higher = *token > h.fencing_token;
   h.fencing_token = *token;
@@ -203,7 +204,8 @@
 void SimulatedCluster::execute_command(WorkerMachine& h, const Value& o) {
   const auto verb = o["verb"].get<std::string>(), name = o["shard"].get<std::string>();
   const auto attempt = o["try"].get<std::uint64_t>();
-  spdlog::debug("{:.3f} {} ({}): {} {} try {}", now_, h.name, h.incarnation, verb, name, attempt);
+  spdlog::debug("simulation: command t={:.3f} host={} incarnation={} verb={} task={} attempt={}", now_,
+                h.name, h.incarnation, verb, name, attempt);
   auto it = std::find_if(h.tasks.begin(), h.tasks.end(),
                          [&](const WorkerTask& x) { return x.name == name && x.attempt == attempt; });
   if (verb == "reap") {
@@ -299,7 +301,7 @@
   }
 }
 
-// A gang runs once all its tasks that are left stand ready with the same attempt.
+// A gang runs once all its tasks that are not done are ready with the same attempt.
 void SimulatedCluster::start_gang_if_complete(UserJob& job, std::uint64_t attempt, double run) {
   std::vector<std::pair<WorkerMachine*, WorkerTask*>> ready;
   for_each_gang_member(job, attempt, [&ready](WorkerMachine& h, WorkerTask& x) {
@@ -318,7 +320,7 @@
   add_event_after(kGangPeer, [this, &job, attempt] { fail_gang(job, attempt); });
 }
 
-// Tasks of a gang that lack one of the others give up.
+// Ends the running tasks of a gang if one of its other tasks that are not done is missing.
 void SimulatedCluster::fail_gang(UserJob& job, std::uint64_t attempt) {
   std::vector<std::pair<WorkerMachine*, std::string>> left;
   for_each_gang_member(job, attempt, [&left](WorkerMachine& h, WorkerTask& x) {
@@ -359,7 +361,8 @@
   for (WorkerTask& x : h.tasks) {
     if (x.name != name || x.attempt != attempt || x.phase == "exited")
       continue;
-    spdlog::debug("{:.3f} {}: {} try {} exits: {}", now_, h.name, name, attempt, cause);
+    spdlog::debug("simulation: task_exited t={:.3f} host={} task={} attempt={} cause={}", now_, h.name, name,
+                  attempt, cause);
     if (cause == "done")
       x.job->done_tasks.insert(x.index);
     if (cause == "done" && x.job->is_done() && x.job->done_at < 0)
@@ -373,7 +376,7 @@
       });
     }
     if (cause == "error")
-      x.job->begun_tasks.erase(x.index);  // of a faulty machine; it has to start again
+      x.job->begun_tasks.erase(x.index);  // a failed task has to start again
     x.phase = "exited";
     x.cause = cause;
     schedule_heartbeat(h, 0);
