--- a/src/simulation/cloud.cpp
+++ b/src/simulation/cloud.cpp
@@ -15,50 +15,51 @@
 
 SimulatedCluster::WorkerMachine& SimulatedCluster::add_machine(std::size_t type, std::size_t zone, bool spot,
                                                                double boot) {
-  auto h = std::make_unique<WorkerMachine>();
+  auto machine = std::make_unique<WorkerMachine>();
   char name[16];
   std::snprintf(name, sizeof name, "i-%06zu", ++machines_made_);
-  h->name = name;
-  h->address = external_processes_.address ? external_processes_.address(h->name)
-                                           : "10.1.0." + std::to_string(machines_made_) + ":9000";
-  h->type = type;
-  h->zone = zone;
-  h->spot = spot;
-  h->rented_at = now_;
-  h->clock_rate = 1 + random_between(-0.0005, 0.0005);
-  h->never_boots = boot > 0 && random_bool(0.05);
-  h->fails_tasks = boot > 0 && random_bool(0.05);
-  WorkerMachine& out = *h;
-  machines_[h->name] = std::move(h);
+  machine->name = name;
+  machine->address = external_processes_.address ? external_processes_.address(machine->name)
+                                                 : "10.1.0." + std::to_string(machines_made_) + ":9000";
+  machine->type = type;
+  machine->zone = zone;
+  machine->spot = spot;
+  machine->rented_at = now_;
+  machine->clock_rate = 1 + random_between(-0.0005, 0.0005);
+  machine->never_boots = boot > 0 && random_bool(0.05);
+  machine->fails_tasks = boot > 0 && random_bool(0.05);
+  WorkerMachine& added = *machine;
+  machines_[machine->name] = std::move(machine);
   if (now_ < quick_boots_until_ && boot > 0)
-    boot = random_between(0.2, 1.5), out.never_boots = false;
-  if (!out.never_boots)
-    add_event_after(boot + random_between(0, 0.5), [this, n = out.name] { start_worker(*machines_.at(n)); });
-  return out;
+    boot = random_between(0.2, 1.5), added.never_boots = false;
+  if (!added.never_boots)
+    add_event_after(boot + random_between(0, 0.5),
+                    [this, host = added.name] { start_worker(*machines_.at(host)); });
+  return added;
 }
 
-void SimulatedCluster::remove_machine(WorkerMachine& h) {
-  spdlog::debug("simulation: machine_returned t={:.3f} host={} zone={} tasks={}", now_, h.name,
-                settings_.zones[h.zone], h.tasks.size());
-  run_report_.returned_in_cut +=
-      now_ < zone_cuts_[h.zone].until &&
-      std::any_of(h.tasks.begin(), h.tasks.end(), [](const WorkerTask& x) { return x.phase != "exited"; });
-  h.gone = true;
-  h.tasks.clear();
+void SimulatedCluster::remove_machine(WorkerMachine& machine) {
+  spdlog::debug("simulation: machine_returned t={:.3f} host={} zone={} tasks={}", now_, machine.name,
+                settings_.zones[machine.zone], machine.tasks.size());
+  run_report_.returned_in_cut += now_ < zone_cuts_[machine.zone].until &&
+                                 std::any_of(machine.tasks.begin(), machine.tasks.end(),
+                                             [](const WorkerTask& task) { return task.phase != "exited"; });
+  machine.gone = true;
+  machine.tasks.clear();
 }
 
 void SimulatedCluster::snapshot_list() {
   Value hosts = Value::array();
-  for (auto& [name, h] : machines_) {
-    if (h->gone)
+  for (auto& [name, machine] : machines_) {
+    if (machine->gone)
       continue;
     hosts.push_back({{"ref", name},
-                     {"addr", h->address},
-                     {"flavour", catalog_[h->type].name},
-                     {"hall", settings_.zones[h->zone]},
-                     {"standby", h->spot},
-                     {"phase", h->up ? "running" : "starting"},
-                     {"ageS", now_ - h->rented_at}});
+                     {"addr", machine->address},
+                     {"flavour", catalog_[machine->type].name},
+                     {"hall", settings_.zones[machine->zone]},
+                     {"standby", machine->spot},
+                     {"phase", machine->up ? "running" : "starting"},
+                     {"ageS", now_ - machine->rented_at}});
   }
   lists_.emplace_back(now_, std::move(hosts));
   if (lists_.size() > 40)
@@ -100,8 +101,8 @@
     if (auto it = rentals_.find(name); it != rentals_.end())
       return reply(200, it->second);
     std::size_t live = 0;
-    for (auto& [n, h] : machines_)
-      live += !h->gone;
+    for (auto& [host, machine] : machines_)
+      live += !machine->gone;
     if (now_ < no_capacity_until_ || live >= plan_.max_machines)
       return reply(503, {{"error", "no capacity"}});
     Value names = Value::array();
@@ -111,7 +112,7 @@
     const auto zone = static_cast<std::size_t>(hall - settings_.zones.begin());
     // A controller cannot tell a cut zone from late heartbeats at once, and its request may already have been
     // on the way; only rentals well after the start of the cut count.
-    const bool long_cut = is_cut_off(zone) && now_ > zone_cuts_[zone].from + kContactSeenWithin;
+    const bool long_cut = is_cut_off(zone) && now_ > zone_cuts_[zone].from + kCutNoticedWithin;
     for (std::size_t k = 0; k < body["howMany"].get<std::size_t>() && live < plan_.max_machines;
          ++k, ++live) {
       run_report_.rented_in_cut += long_cut;
--- a/src/simulation/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -14,36 +14,36 @@
                                             const std::string& ref) {
   extend_fault_period(for_s);
   std::vector<WorkerMachine*> up;
-  for (auto& [name, h] : machines_) {
-    if (!h->gone && !h->dead && h->up)
-      up.push_back(h.get());
+  for (auto& [name, machine] : machines_) {
+    if (!machine->gone && !machine->dead && machine->up)
+      up.push_back(machine.get());
   }
   if (ref.empty()) {
     for (std::size_t k = up.size(); k > 1; --k)
       std::swap(up[k - 1], up[random_index(k)]);
   } else {
-    const auto has = [&ref](const WorkerMachine* h) {
-      return std::any_of(h->tasks.begin(), h->tasks.end(), [&ref](const WorkerTask& x) {
-        return x.job && x.job->spec.ref == ref && x.phase != "exited";
+    const auto has_task = [&ref](const WorkerMachine* machine) {
+      return std::any_of(machine->tasks.begin(), machine->tasks.end(), [&ref](const WorkerTask& task) {
+        return task.job && task.job->spec.ref == ref && task.phase != "exited";
       });
     };
-    std::stable_partition(up.begin(), up.end(), has);
+    std::stable_partition(up.begin(), up.end(), has_task);
   }
   up.resize(std::min(n, up.size()));
-  for (WorkerMachine* h : up) {
+  for (WorkerMachine* machine : up) {
     const double until = now_ + for_s * random_between(0.95, 1.05);
-    spdlog::debug("simulation: machine_fault t={:.3f} host={} kind={} until={:.1f}", now_, h->name,
+    spdlog::debug("simulation: machine_fault t={:.3f} host={} kind={} until={:.1f}", now_, machine->name,
                   static_cast<int>(what), until);
     if (what == MachineFault::hung)
-      h->hung_until = until;
+      machine->hung_until = until;
     if (what == MachineFault::deaf)
-      h->deaf_until = until;
+      machine->incoming_lost_until = until;
     if (what == MachineFault::mute)
-      h->mute_until = until;
+      machine->outgoing_lost_until = until;
     if (what != MachineFault::unreachable)
       continue;
     for (std::size_t k = 0; k < plan_.nodes; ++k)
-      cut(node_name(k), h->name, for_s, false);
+      cut(node_name(k), machine->name, for_s, false);
   }
   return up.size();
 }
@@ -65,20 +65,20 @@
 // leadership, or after it has taken its first decisions.
 void SimulatedCluster::release_held_heartbeats(std::size_t) {
   extend_fault_period(5);
-  for (controller::IncomingRequest& in : std::exchange(held_heartbeats_, {})) {
+  for (controller::IncomingRequest& request : std::exchange(held_heartbeats_, {})) {
     if (duplicate_arrival_ == DuplicateArrival::at_election) {
       // Arrives before the first answer of any worker; the copies of one worker arrive in random order.
-      add_event_after(random_between(0, 0.0005), [this, in] {
+      add_event_after(random_between(0, 0.0005), [this, request] {
         ++run_report_.held_heartbeats;
         for (std::size_t i = 0; i < plan_.nodes; ++i)
-          deliver(i, in, [](const ports::Answer&) {});
+          deliver(i, request, [](const ports::Answer&) {});
       });
       continue;
     }
-    add_event_after(random_bool(0.3) ? random_between(0, 0.2) : random_between(0.2, 5), [this, in] {
+    add_event_after(random_bool(0.3) ? random_between(0, 0.2) : random_between(0.2, 5), [this, request] {
       ++run_report_.held_heartbeats;
       for (std::size_t i = 0; i < plan_.nodes; ++i)
-        deliver(i, in, [](const ports::Answer&) {});
+        deliver(i, request, [](const ports::Answer&) {});
     });
   }
 }
@@ -102,24 +102,25 @@
 
 void SimulatedCluster::cancel_running_jobs(std::size_t n, double hang_s) {
   std::set<UserJob*> running;
-  for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead)
+  for (const auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead)
       continue;
-    for (const WorkerTask& x : h->tasks) {
-      if (x.occupies_machine() && x.job->accepted && !x.job->cancellation_wanted && !x.job->is_done())
-        running.insert(x.job);
+    for (const WorkerTask& task : machine->tasks) {
+      if (task.occupies_machine() && task.job->accepted && !task.job->cancellation_wanted &&
+          !task.job->is_done())
+        running.insert(task.job);
     }
   }
-  std::vector<UserJob*> some(running.begin(), running.end());
-  std::sort(some.begin(), some.end(), [](const UserJob* a, const UserJob* b) {
+  std::vector<UserJob*> selected(running.begin(), running.end());
+  std::sort(selected.begin(), selected.end(), [](const UserJob* a, const UserJob* b) {
     const auto rank = [](const UserJob* j) {
       return j->spec.shape == wire::Shape::service ? 0.0 : j->run_s;  // longest arrays first
     };
     return rank(a) != rank(b) ? rank(a) > rank(b) : a->spec.ref < b->spec.ref;
   });
-  some.resize(std::min(n, some.size()));
+  selected.resize(std::min(n, selected.size()));
   std::size_t hung = 0;
-  for (UserJob* job : some) {
+  for (UserJob* job : selected) {
     ++run_report_.cancelled_together;
     add_event_after(random_between(0, 0.2), [this, job] {
       job->cancellation_wanted = true;
@@ -172,7 +173,7 @@
   const std::size_t i = random_index(plan_.nodes);
   std::vector<UserJob*> open, done;
   for (auto& [ref, job] : jobs_) {
-    if (job->accepted && !job->told_done && job->told_cancelled_at < 0)
+    if (job->accepted && !job->told_done && job->cancellation_confirmed_at < 0)
       open.push_back(job.get());
     if (job->told_done)
       done.push_back(job.get());
@@ -209,12 +210,12 @@
         "sizeGb",   "samePlace", "apart", "expectedS", "snapshotEveryS", "accelerators", "standby"};
     body.erase(kRequiredFields[random_index(std::size(kRequiredFields))]);
   }
-  controller::IncomingRequest in;
-  in.method = "POST";
-  in.path = wire::kJobsPath;
-  in.body = wire::encode_cbor(body);
-  send("users", node_name(i), [this, in, i, ref = s.ref, kind] {
-    deliver(i, in, [this, ref, kind](const ports::Answer& a) {
+  controller::IncomingRequest request;
+  request.method = "POST";
+  request.path = wire::kJobsPath;
+  request.body = wire::encode_cbor(body);
+  send("users", node_name(i), [this, request, i, ref = s.ref, kind] {
+    deliver(i, request, [this, ref, kind](const ports::Answer& a) {
       ++run_report_.malformed_requests;
       if (a.status < 300 || plan_.planted_fault == "odd_accepted" || (kind == 3 && a.status != 400))
         report_violation("accepted_odd", ref + " got " + std::to_string(a.status));
@@ -232,12 +233,12 @@
 }
 
 // Planted fault: starts a task of the job on some machine without a command from a controller.
-void SimulatedCluster::start_stray_copy(const UserJob& job) {
-  for (auto& [name, h] : machines_) {
-    if (h->gone || h->dead || !h->up)
+void SimulatedCluster::start_uncommanded_task(const UserJob& job) {
+  for (auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead || !machine->up)
       continue;
     return execute_command(
-        *h, {{"verb", "start"}, {"shard", job.spec.ref + "/0"}, {"try", std::uint64_t{1} << 60}});
+        *machine, {{"verb", "start"}, {"shard", job.spec.ref + "/0"}, {"try", std::uint64_t{1} << 60}});
   }
 }
 
@@ -248,13 +249,13 @@
 }
 
 double SimulatedCluster::cancelled_at(const std::string& ref) const {
-  return jobs_.at(ref)->told_cancelled_at;
+  return jobs_.at(ref)->cancellation_confirmed_at;
 }
 
 std::size_t SimulatedCluster::open_cancellations() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
     return j.second->cancellation_wanted && j.second->accepted && !j.second->told_done &&
-           j.second->told_cancelled_at < 0;
+           j.second->cancellation_confirmed_at < 0;
   }));
 }
 bool SimulatedCluster::told_done(const std::string& ref) const {
@@ -266,12 +267,13 @@
 
 std::size_t SimulatedCluster::on_machines(const std::string& ref) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
+  for (const auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead ||
+        (now_ - machine->lease_renewed_at) * machine->clock_rate > kWorkerLease)
       continue;
-    n +=
-        static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(), [&ref](const WorkerTask& x) {
-          return x.job && x.job->spec.ref == ref && x.phase != "exited";
+    n += static_cast<std::size_t>(
+        std::count_if(machine->tasks.begin(), machine->tasks.end(), [&ref](const WorkerTask& task) {
+          return task.job && task.job->spec.ref == ref && task.phase != "exited";
         }));
   }
   return n;
--- a/src/simulation/components.hpp
+++ b/src/simulation/components.hpp
@@ -13,7 +13,7 @@
 /// Window over which changes are counted against the write budget.
 inline constexpr double kWriteWindow = 5;
 /// Time within which controllers notice that a zone is cut off, with as few machines as some tests have.
-inline constexpr double kContactSeenWithin = 20;
+inline constexpr double kCutNoticedWithin = 20;
 inline constexpr double kHeartbeatInterval = 3, kWorkerLease = 20;
 /// Time after the confirmation of a cancellation from which no task of the job may run.
 inline constexpr double kCancellationLimit = 30;
@@ -50,7 +50,8 @@
   std::string name, address;
   std::size_t type = 0, zone = 0;
   bool spot = false, up = false, gone = false, dead = false, never_boots = false, fails_tasks = false;
-  double rented_at = 0, hung_until = -1, deaf_until = -1, mute_until = -1, slowdown = 1, clock_rate = 1;
+  double rented_at = 0, hung_until = -1, incoming_lost_until = -1, outgoing_lost_until = -1, slowdown = 1,
+         clock_rate = 1;
   std::uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
   double lease_renewed_at = 0;
   std::size_t node = 0;
@@ -69,7 +70,7 @@
   bool always_fails = false;
   bool submitted = false, accepted = false, abandoned = false;
   bool cancellation_wanted = false, cancelled = false;
-  double told_cancelled_at = -1;
+  double cancellation_confirmed_at = -1;
   bool told_done = false;
   std::set<std::uint32_t> done_tasks, begun_tasks;
   /// By task: fencing token of the first leader that answered a heartbeat that reported the task as done.
--- a/src/simulation/controllers.cpp
+++ b/src/simulation/controllers.cpp
@@ -158,7 +158,7 @@
     });
     return add_event(now_ + call.timeout_s, [finish] { finish(ports::Reply{}); });
   }
-  const std::string me = node_name(i);
+  const std::string caller = node_name(i);
   std::string to = call.target == ports::Target::state   ? "state"
                    : call.target == ports::Target::cloud ? "cloud"
                                                          : "";
@@ -168,16 +168,16 @@
     peer = call.peer < i ? call.peer : call.peer + 1;
     to = node_name(peer);
   } else if (call.target == ports::Target::worker) {
-    for (auto& [name, h] : machines_) {
-      if (h->address == call.address)
-        host = h.get();
+    for (auto& [name, machine] : machines_) {
+      if (machine->address == call.address)
+        host = machine.get();
     }
     to = host ? host->name : "nowhere";
   }
   const bool worker = call.target == ports::Target::worker;
   const std::uint64_t process = c.process_number;
-  auto back = [this, me, to, finish, worker](int status, Value body) {
-    send(to, me, [finish, worker, status, body = std::move(body)] {
+  auto back = [this, caller, to, finish, worker](int status, Value body) {
+    send(to, caller, [finish, worker, status, body = std::move(body)] {
       ports::Reply r;
       r.status = status;
       if (worker) {
@@ -188,15 +188,15 @@
       finish(r);
     });
   };
-  const bool sent = send(me, to, [this, i, peer, host, call, back, me, to, finish, process] {
+  const bool sent = send(caller, to, [this, i, peer, host, call, back, caller, to, finish, process] {
     switch (call.target) {
       case ports::Target::cell:
         return;
       case ports::Target::state:
         // The calling process may have ended since then, and may have had other limits.
-        writing_late_ = process != controllers_[i]->process_number;
+        executing_late_write_ = process != controllers_[i]->process_number;
         state_service_request(i, call.method, call.path, call.body, back);
-        writing_late_ = false;
+        executing_late_write_ = false;
         return;
       case ports::Target::cloud:
         return cloud_request(call.method, call.path, call.body, back);
@@ -205,8 +205,8 @@
         if (!other.controller || now_ < other.paused_until)
           return;
         const std::uint64_t id = ++other.requests;
-        other.open_requests[id] = [this, me, to, finish](const ports::Answer& a) {
-          send(to, me, [finish, a] {
+        other.open_requests[id] = [this, caller, to, finish](const ports::Answer& a) {
+          send(to, caller, [finish, a] {
             ports::Reply r;
             r.status = a.status;
             r.frame = a.frame;
@@ -219,16 +219,16 @@
       case ports::Target::worker: {
         if (!host || host->gone || host->dead || !host->up)
           return;
-        if (now_ < host->deaf_until)
+        if (now_ < host->incoming_lost_until)
           return void(++run_report_.undelivered);
         const std::string name = host->name;
         auto arrive = [this, name, call, back] {
-          WorkerMachine& h = *machines_.at(name);
-          if (h.gone || h.dead || !h.up)
+          WorkerMachine& machine = *machines_.at(name);
+          if (machine.gone || machine.dead || !machine.up)
             return;
-          check_lease(h);
-          const int status = execute_commands(h, call.body, true);
-          back(status, status == 400 ? Value::object() : heartbeat_value(h));
+          check_lease(machine);
+          const int status = execute_commands(machine, call.body, true);
+          back(status, status == 400 ? Value::object() : heartbeat_value(machine));
         };
         if (delay_command(*host, call.body))
           return;
@@ -255,22 +255,22 @@
   run_controller(node);
 }
 
-void SimulatedCluster::deliver(std::size_t i, controller::IncomingRequest in, AnswerCallback then) {
+void SimulatedCluster::deliver(std::size_t i, controller::IncomingRequest request, AnswerCallback then) {
   if (external_processes_.deliver)
-    return external_processes_.deliver(i, std::move(in), std::move(then));
+    return external_processes_.deliver(i, std::move(request), std::move(then));
   SimulatedController& c = *controllers_[i];
   if (!c.controller)
     return;
   if (now_ < c.paused_until) {
-    add_event(c.paused_until, [this, i, in, then, process = c.process_number] {
+    add_event(c.paused_until, [this, i, request, then, process = c.process_number] {
       if (controllers_[i]->process_number == process)
-        deliver(i, in, then);
+        deliver(i, request, then);
     });
     return;
   }
-  in.id = ++c.requests;
-  c.open_requests[in.id] = std::move(then);
-  c.controller->on_request(node_time(c), in);
+  request.id = ++c.requests;
+  c.open_requests[request.id] = std::move(then);
+  c.controller->on_request(node_time(c), request);
   run_controller(i);
 }
 
--- a/src/simulation/history.cpp
+++ b/src/simulation/history.cpp
@@ -9,7 +9,7 @@
 std::size_t SimulatedCluster::unfinished_jobs() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [this](const auto& j) {
     const UserJob& job = *j.second;
-    return job.accepted && job.spec.shape != wire::Shape::service && !job.is_done() && !hopeless(job);
+    return job.accepted && job.spec.shape != wire::Shape::service && !job.is_done() && !cannot_complete(job);
   }));
 }
 
@@ -46,15 +46,15 @@
 
 double SimulatedCluster::completed_within_share(const std::string& job_class, double s, double from,
                                                 double to) const {
-  double came = 0, in_time = 0;
+  double submitted = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
     if (job->spec.job_class != job_class || job->submitted_at < from || job->submitted_at >= to ||
         job->cancellation_wanted)
       continue;
-    ++came;
+    ++submitted;
     in_time += job->done_at >= 0 && job->done_at <= job->submitted_at + s;
   }
-  return came > 0 ? in_time / came : 1;
+  return submitted > 0 ? in_time / submitted : 1;
 }
 
 bool SimulatedCluster::is_done(const std::string& ref) const {
@@ -62,54 +62,55 @@
 }
 
 double SimulatedCluster::served_share(const std::string& team, double older_than) const {
-  double came = 0, over = 0;
+  double submitted = 0, done = 0;
   for (const auto& [ref, job] : jobs_) {
     if (job->spec.team != team || job->spec.shape == wire::Shape::service || job->cancellation_wanted ||
         !job->accepted || now_ - job->submitted_at < older_than)
       continue;
-    ++came;
-    over += job->is_done();
+    ++submitted;
+    done += job->is_done();
   }
-  return came > 0 ? over / came : 1;
+  return submitted > 0 ? done / submitted : 1;
 }
 
 double SimulatedCluster::accepted_within_share(const std::string& job_class, double s, double from,
                                                double to) const {
-  double came = 0, in_time = 0;
+  double submitted = 0, in_time = 0;
   for (const auto& [ref, job] : jobs_) {
     if (job->spec.job_class != job_class || job->submitted_at < from || job->submitted_at >= to)
       continue;
-    ++came;
+    ++submitted;
     in_time += job->accepted && job->accepted_at <= job->submitted_at + s;
   }
-  return came > 0 ? in_time / came : 1;
+  return submitted > 0 ? in_time / submitted : 1;
 }
 
 std::size_t SimulatedCluster::replicas_up(const std::string& ref) const {
   std::size_t up = 0;
-  for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead)
+  for (const auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead)
       continue;
-    for (const WorkerTask& x : h->tasks)
-      up += x.job && x.job->spec.ref == ref && x.occupies_machine();
+    for (const WorkerTask& task : machine->tasks)
+      up += task.job && task.job->spec.ref == ref && task.occupies_machine();
   }
   return up;
 }
 
 std::size_t SimulatedCluster::machines_in_zone(std::size_t zone) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : machines_)
-    n += h->zone == zone && !h->gone && !h->dead;
+  for (const auto& [name, machine] : machines_)
+    n += machine->zone == zone && !machine->gone && !machine->dead;
   return n;
 }
 
 std::size_t SimulatedCluster::tasks_on_slow_machines(double factor) const {
   std::size_t n = 0;
-  for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead || h->slowdown < factor)
+  for (const auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead || machine->slowdown < factor)
       continue;
-    n += static_cast<std::size_t>(std::count_if(h->tasks.begin(), h->tasks.end(),
-                                                [](const WorkerTask& x) { return x.occupies_machine(); }));
+    n += static_cast<std::size_t>(
+        std::count_if(machine->tasks.begin(), machine->tasks.end(),
+                      [](const WorkerTask& task) { return task.occupies_machine(); }));
   }
   return n;
 }
--- a/src/simulation/random_faults.cpp
+++ b/src/simulation/random_faults.cpp
@@ -15,36 +15,36 @@
 }
 
 void SimulatedCluster::slow_machines(std::size_t n, double factor) {
-  for (auto& [name, h] : machines_) {
+  for (auto& [name, machine] : machines_) {
     if (n == 0)
       return;
-    if (h->gone || h->dead || !h->up)
+    if (machine->gone || machine->dead || !machine->up)
       continue;
-    h->slowdown = factor;
+    machine->slowdown = factor;
     --n;
   }
 }
 
 void SimulatedCluster::kill_machines(std::size_t n) {
-  for (auto& [name, h] : machines_) {
+  for (auto& [name, machine] : machines_) {
     if (n == 0)
       return;
-    if (h->gone || h->dead || !h->up)
+    if (machine->gone || machine->dead || !machine->up)
       continue;
-    h->dead = true;
-    h->tasks.clear();
+    machine->dead = true;
+    machine->tasks.clear();
     --n;
   }
 }
 
 void SimulatedCluster::kill_in_zone(std::size_t zone, std::size_t n) {
-  for (auto& [name, h] : machines_) {
+  for (auto& [name, machine] : machines_) {
     if (n == 0)
       return;
-    if (h->gone || h->dead || !h->up || h->zone != zone)
+    if (machine->gone || machine->dead || !machine->up || machine->zone != zone)
       continue;
-    h->dead = true;
-    h->tasks.clear();
+    machine->dead = true;
+    machine->tasks.clear();
     --n;
   }
 }
@@ -108,9 +108,9 @@
   add_event_after(random_between(0, 2 * plan_.fault_every_s), [this] { random_fault(); });
   extend_fault_period(40);  // for faults below that don't set their own duration
   std::vector<WorkerMachine*> live;
-  for (auto& [n, h] : machines_) {
-    if (!h->gone && !h->dead && h->up)
-      live.push_back(h.get());
+  for (auto& [name, machine] : machines_) {
+    if (!machine->gone && !machine->dead && machine->up)
+      live.push_back(machine.get());
   }
   const std::size_t i = random_index(plan_.nodes);
   const bool hold = random_bool(0.5);
@@ -135,8 +135,8 @@
     case 4:
       return cut(node_name(i), "state", span, hold);
     case 5:
-      for (auto& [n, h] : machines_)
-        cut(node_name(i), n, span, hold);
+      for (auto& [name, machine] : machines_)
+        cut(node_name(i), name, span, hold);
       return;
     case 6:
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
@@ -145,8 +145,8 @@
       }
       return;
     case 7:
-      for (auto& [n, h] : machines_)
-        cut(node_name(i), n, span, hold);
+      for (auto& [name, machine] : machines_)
+        cut(node_name(i), name, span, hold);
       for (std::size_t k = 0; k < plan_.nodes; ++k) {
         if (k != i)
           cut(node_name(i), node_name(k), span, hold);
@@ -176,9 +176,9 @@
         state_slow_until_ = now_ + span;
         return;
       }
-      for (WorkerMachine* h : live) {
+      for (WorkerMachine* machine : live) {
         if (random_bool(0.5))
-          h->hung_until = now_ + span * random_between(0.9, 1.1);
+          machine->hung_until = now_ + span * random_between(0.9, 1.1);
       }
       return;
     default:
@@ -186,26 +186,26 @@
   }
   if (live.empty())
     return;
-  WorkerMachine& h = *live[random_index(live.size())];
+  WorkerMachine& machine = *live[random_index(live.size())];
   const auto machine_fault = random_index(5);
-  spdlog::debug("simulation: machine_fault t={:.3f} host={} kind={}", now_, h.name, machine_fault);
+  spdlog::debug("simulation: machine_fault t={:.3f} host={} kind={}", now_, machine.name, machine_fault);
   switch (machine_fault) {
     case 0:
-      h.hung_until = now_ + random_between(1, 35);
+      machine.hung_until = now_ + random_between(1, 35);
       return;
     case 1:
-      h.dead = true;
-      h.tasks.clear();
+      machine.dead = true;
+      machine.tasks.clear();
       return;
     case 2:
-      h.fails_tasks = true;
+      machine.fails_tasks = true;
       return;
     case 3:
-      h.slowdown = 3;
+      machine.slowdown = 3;
       return;
     default:
       for (std::size_t k = 0; k < plan_.nodes; ++k)
-        cut(node_name(k), h.name, span, hold);
+        cut(node_name(k), machine.name, span, hold);
   }
 }
 
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -52,21 +52,22 @@
   for (SimulatedCluster* other : cell_network_->cells) {
     if (other == this)
       continue;
-    for (const auto& [name, h] : other->machines_) {
-      if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
+    for (const auto& [name, machine] : other->machines_) {
+      if (machine->gone || machine->dead ||
+          (now_ - machine->lease_renewed_at) * machine->clock_rate > kWorkerLease)
         continue;
-      for (const WorkerTask& x : h->tasks) {
-        if (x.job != &job || !x.occupies_machine())
+      for (const WorkerTask& other_task : machine->tasks) {
+        if (other_task.job != &job || !other_task.occupies_machine())
           continue;
-        report_violation(x.index == task.index ? "ran_twice" : "two_holders",
-                         task.name + " begins in " + settings_.cells.name + ", " + x.name + " is on " + name +
-                             " of " + other->settings_.cells.name);
+        report_violation(other_task.index == task.index ? "ran_twice" : "two_holders",
+                         task.name + " begins in " + settings_.cells.name + ", " + other_task.name +
+                             " is on " + name + " of " + other->settings_.cells.name);
       }
     }
   }
 }
 
-void SimulatedCluster::check_start(WorkerMachine& h, WorkerTask& task, UserJob& job) {
+void SimulatedCluster::check_start(WorkerMachine& machine, WorkerTask& task, UserJob& job) {
   ++run_report_.started;
   if (job.began_at < 0)
     job.began_at = now_;
@@ -83,17 +84,17 @@
     // anything else.
     if ((now_ - other->lease_renewed_at) * other->clock_rate > kWorkerLease)
       continue;
-    for (const WorkerTask& x : other->tasks) {
-      if (!x.occupies_machine())
+    for (const WorkerTask& other_task : other->tasks) {
+      if (!other_task.occupies_machine())
         continue;
-      if (x.job->spec.team == s.team)
-        team += x.job->spec.task_resources.cpus;
-      if (x.job != &job)
+      if (other_task.job->spec.team == s.team)
+        team += other_task.job->spec.task_resources.cpus;
+      if (other_task.job != &job)
         continue;
-      if (&x == &task)
+      if (&other_task == &task)
         continue;
-      if (x.index == task.index)
-        report_violation("ran_twice", task.name + " on " + h.name + " and on " + name);
+      if (other_task.index == task.index)
+        report_violation("ran_twice", task.name + " on " + machine.name + " and on " + name);
       ++zones[other->zone];
     }
   }
@@ -102,26 +103,27 @@
       report_violation("quota", s.team + " uses " + std::to_string(team));
     }
   }
-  if (h.spot && !s.allows_spot)
+  if (machine.spot && !s.allows_spot)
     report_violation("wrong_place", task.name + " on spot");
-  if (s.zone && *s.zone != settings_.zones[h.zone])
+  if (s.zone && *s.zone != settings_.zones[machine.zone])
     report_violation("wrong_place", task.name + " in a zone it may not be in");
-  if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end()) {
+  if (!s.types.empty() &&
+      std::find(s.types.begin(), s.types.end(), catalog_[machine.type].name) == s.types.end()) {
     report_violation("wrong_place", task.name + " on a type it may not be on");
   }
-  if (s.spread_zones && zones[h.zone] + 1 > static_cast<int>((s.tasks + 1) / 2))
+  if (s.spread_zones && zones[machine.zone] + 1 > static_cast<int>((s.tasks + 1) / 2))
     report_violation("wrong_place", task.name + " spread");
   if (s.same_zone) {
     for (const auto& [zone, n] : zones) {
-      if (zone != h.zone && n > 0)
+      if (zone != machine.zone && n > 0)
         report_violation("wrong_place", task.name + " away from its zone");
     }
   }
   if (job.cancelled_since >= 0 && now_ > job.cancelled_since + kCancellationLimit)
     report_violation("ran_cancelled", task.name + " started");
   // No task may start after the cancellation was confirmed to the user.
-  if (job.told_cancelled_at >= 0)
-    report_violation("started_cancelled", task.name + " on " + h.name);
+  if (job.cancellation_confirmed_at >= 0)
+    report_violation("started_cancelled", task.name + " on " + machine.name);
   for (const UserJob* need : job.dependencies) {
     if (!need->is_done())
       report_violation("too_early", task.name + " before " + need->spec.ref);
@@ -138,23 +140,26 @@
     if (!c->controller || !c->controller->is_active_leader() ||
         node_time(*c) >= c->controller->leader_lease_expires_at())
       continue;
-    for (const auto& [name, h] : machines_) {
-      if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
+    for (const auto& [name, machine] : machines_) {
+      if (machine->gone || machine->dead ||
+          (now_ - machine->lease_renewed_at) * machine->clock_rate > kWorkerLease)
         continue;
-      for (const WorkerTask& x : h->tasks) {
-        if (!x.job || x.phase == "exited")
+      for (const WorkerTask& other_task : machine->tasks) {
+        if (!other_task.job || other_task.phase == "exited")
           continue;
-        const jobs::Job* job = c->controller->registry().find(x.job->spec.ref);
-        if (!job || x.index >= job->tasks.size() || job->tasks[x.index].state != jobs::TaskState::pending)
+        const jobs::Job* job = c->controller->registry().find(other_task.job->spec.ref);
+        if (!job || other_task.index >= job->tasks.size() ||
+            job->tasks[other_task.index].state != jobs::TaskState::pending)
           continue;
         if (c->controller->scheduler().filters().admits(*job))
-          return report_violation("free_to_start", x.name + " is on " + name);
+          return report_violation("free_to_start", other_task.name + " is on " + name);
       }
     }
   }
 }
 
-void SimulatedCluster::record_done_seen(WorkerMachine& h, const Value& report, const ports::Answer& answer) {
+void SimulatedCluster::record_done_seen(WorkerMachine& machine, const Value& report,
+                                        const ports::Answer& answer) {
   const std::uint64_t token = wire::count(answer.body, "mandate").value_or(0);
   for (const Value& shown : report["shards"]) {
     if (!shown.contains("cause") || shown["cause"] != "done")
@@ -165,7 +170,7 @@
       continue;
     if (plan_.planted_fault == "again_after_done") {
       const std::uint64_t attempt = shown["try"].get<std::uint64_t>() + (std::uint64_t{1} << 20);
-      execute_command(h, {{"verb", "start"}, {"shard", shown["shard"]}, {"try", attempt}});
+      execute_command(machine, {{"verb", "start"}, {"shard", shown["shard"]}, {"try", attempt}});
     }
   }
 }
@@ -173,18 +178,18 @@
 // A leader never starts a task that a heartbeat reported to it as done. A later leader may, if the result was
 // not recorded before the earlier leader ended.
 void SimulatedCluster::check_after_done(const WorkerTask& task, const UserJob& job) {
-  const auto heard = job.done_seen_by_token.find(task.index);
-  if (heard == job.done_seen_by_token.end())
+  const auto seen = job.done_seen_by_token.find(task.index);
+  if (seen == job.done_seen_by_token.end())
     return;
   ++run_report_.again_after_done;
   const std::uint64_t started_by =
       (task.attempt & ~delegation::kStrictCancellationFlag) >> delegation::kFencingTokenShift;
-  if (started_by == heard->second)
+  if (started_by == seen->second)
     report_violation("again_after_done",
                      task.name + " by the leader that heard of its end, token " + std::to_string(started_by));
 }
 
-void SimulatedCluster::check_cancelled() {
+void SimulatedCluster::check_rules() {
   check_free_to_start();
   // A walk over all machines after every event would dominate the run time of a large cluster. Every 0.5 s is
   // enough there, because the violations looked for last longer.
@@ -203,27 +208,28 @@
         report_violation("waiting_placed", job.spec.ref);
     });
   }
-  for (auto& [name, h] : machines_) {
-    if (h->gone || h->dead || (now_ - h->lease_renewed_at) * h->clock_rate > kWorkerLease)
+  for (auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead ||
+        (now_ - machine->lease_renewed_at) * machine->clock_rate > kWorkerLease)
       continue;
-    for (const WorkerTask& x : h->tasks) {
-      if (x.occupies_machine() && x.job->cancelled_since >= 0 &&
-          now_ > x.job->cancelled_since + kCancellationLimit) {
-        return report_violation("ran_cancelled", x.name + " on " + name);
+    for (const WorkerTask& other_task : machine->tasks) {
+      if (other_task.occupies_machine() && other_task.job->cancelled_since >= 0 &&
+          now_ > other_task.job->cancelled_since + kCancellationLimit) {
+        return report_violation("ran_cancelled", other_task.name + " on " + name);
       }
     }
   }
 }
 
 // Records since when the job, and all that depend on it, are cancelled as far as their users know.
-void SimulatedCluster::mark_doomed(UserJob& job, double since) {
+void SimulatedCluster::mark_cancelled(UserJob& job, double since) {
   // A dependent job that is still being submitted counts from its acceptance (seed 700681: acceptance took
   // 40 s of retries).
   if (job.cancelled_since >= 0 || !job.accepted)
     return;
   job.cancelled_since = since;
   for (UserJob* next : job.dependents)
-    mark_doomed(*next, since);
+    mark_cancelled(*next, since);
 }
 
 bool SimulatedCluster::may_be_cancelled(const UserJob& job) const {
@@ -235,11 +241,11 @@
 
 // Returns whether the job cannot complete: its tasks always fail, it is cancelled, or it depends on such a
 // job.
-bool SimulatedCluster::hopeless(const UserJob& job) const {
-  if (job.always_fails || job.told_cancelled_at >= 0 || job.cancelled_since >= 0)
+bool SimulatedCluster::cannot_complete(const UserJob& job) const {
+  if (job.always_fails || job.cancellation_confirmed_at >= 0 || job.cancelled_since >= 0)
     return true;
   return std::any_of(job.dependencies.begin(), job.dependencies.end(), [this](const UserJob* n) {
-    return !n->is_done() && (n->cancellation_wanted || hopeless(*n));
+    return !n->is_done() && (n->cancellation_wanted || cannot_complete(*n));
   });
 }
 
@@ -272,7 +278,7 @@
 // Reports an accepted job whose queries stay unanswered: for longer than `kUnansweredLimit` after the end of
 // all faults, or for longer than `kForgottenLimit` at any time at which most queries are answered.
 void SimulatedCluster::check_answered(UserJob& job) {
-  if (!job.accepted || job.told_done || job.told_cancelled_at >= 0)
+  if (!job.accepted || job.told_done || job.cancellation_confirmed_at >= 0)
     return;
   const double spell = now_ - std::max({job.answered_at, job.accepted_at, faults_end_at()});
   run_report_.longest_unanswered = std::max(run_report_.longest_unanswered, spell);
@@ -295,15 +301,15 @@
   const wire::JobSpec& s = job.spec;
   double team = 0;
   std::map<std::size_t, std::uint32_t> zones;
-  for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead)
+  for (const auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead)
       continue;
-    for (const WorkerTask& x : h->tasks) {
-      if (x.phase == "exited" || !x.job)
+    for (const WorkerTask& other_task : machine->tasks) {
+      if (other_task.phase == "exited" || !other_task.job)
         continue;
-      if (x.job->spec.team == s.team)
-        team += x.job->spec.task_resources.cpus;
-      zones[h->zone] += x.job == &job;
+      if (other_task.job->spec.team == s.team)
+        team += other_task.job->spec.task_resources.cpus;
+      zones[machine->zone] += other_task.job == &job;
     }
   }
   for (const auto& t : settings_.teams) {
@@ -311,28 +317,30 @@
       return false;
   }
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
-    const WorkerMachine& h = *entry.second;
-    if (h.gone || h.dead || !h.up || h.fails_tasks || h.slowdown > 1 ||
-        now_ < std::max({h.hung_until, h.deaf_until, h.mute_until}))
+    const WorkerMachine& machine = *entry.second;
+    if (machine.gone || machine.dead || !machine.up || machine.fails_tasks || machine.slowdown > 1 ||
+        now_ < std::max({machine.hung_until, machine.incoming_lost_until, machine.outgoing_lost_until}))
       return false;
-    if ((h.spot && !s.allows_spot) || (s.zone && *s.zone != settings_.zones[h.zone]))
+    if ((machine.spot && !s.allows_spot) || (s.zone && *s.zone != settings_.zones[machine.zone]))
       return false;
-    if (!s.types.empty() && std::find(s.types.begin(), s.types.end(), catalog_[h.type].name) == s.types.end())
+    if (!s.types.empty() &&
+        std::find(s.types.begin(), s.types.end(), catalog_[machine.type].name) == s.types.end())
       return false;
-    const auto here = zones.find(h.zone);
+    const auto here = zones.find(machine.zone);
     if (s.spread_zones && here != zones.end() && here->second + 1 > (s.tasks + 1) / 2)
       return false;
-    if (s.same_zone && std::any_of(zones.begin(), zones.end(),
-                                   [&h](const auto& z) { return z.second > 0 && z.first != h.zone; }))
+    if (s.same_zone && std::any_of(zones.begin(), zones.end(), [&machine](const auto& z) {
+          return z.second > 0 && z.first != machine.zone;
+        }))
       return false;
     double cpus = s.task_resources.cpus, memory = s.task_resources.memory_gb;
-    for (const WorkerTask& x : h.tasks) {
-      if (x.phase == "exited" || !x.job)
+    for (const WorkerTask& other_task : machine.tasks) {
+      if (other_task.phase == "exited" || !other_task.job)
         continue;
-      cpus += x.job->spec.task_resources.cpus;
-      memory += x.job->spec.task_resources.memory_gb;
+      cpus += other_task.job->spec.task_resources.cpus;
+      memory += other_task.job->spec.task_resources.memory_gb;
     }
-    return cpus <= catalog_[h.type].cpus + 1e-9 && memory <= catalog_[h.type].memory_gb + 1e-9;
+    return cpus <= catalog_[machine.type].cpus + 1e-9 && memory <= catalog_[machine.type].memory_gb + 1e-9;
   });
 }
 
@@ -343,12 +351,12 @@
   if (now_ < faults_end_at())
     return;
   std::map<const UserJob*, std::set<std::uint32_t>> on_machines;
-  for (const auto& [name, h] : machines_) {
-    if (h->gone || h->dead)
+  for (const auto& [name, machine] : machines_) {
+    if (machine->gone || machine->dead)
       continue;
-    for (const WorkerTask& x : h->tasks) {
-      if (x.job && x.phase != "exited")
-        on_machines[x.job].insert(x.index);
+    for (const WorkerTask& other_task : machine->tasks) {
+      if (other_task.job && other_task.phase != "exited")
+        on_machines[other_task.job].insert(other_task.index);
     }
   }
   for (auto& [ref, job] : jobs_) {
@@ -357,7 +365,8 @@
     if (const auto found = on_machines.find(&j); found != on_machines.end())
       there.insert(found->second.begin(), found->second.end());
     const bool waits = j.accepted && !j.cancellation_wanted && !j.always_fails &&
-                       j.spec.shape != wire::Shape::gang && !hopeless(j) && there.size() < j.spec.tasks &&
+                       j.spec.shape != wire::Shape::gang && !cannot_complete(j) &&
+                       there.size() < j.spec.tasks &&
                        std::all_of(j.dependencies.begin(), j.dependencies.end(),
                                    [](const UserJob* n) { return n->is_done(); });
     if (!waits || !has_capacity_beside(j)) {
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -146,7 +146,7 @@
     now_ = node.key();
     node.mapped()();
     expire_leases();
-    check_cancelled();
+    check_rules();
   }
   if (external_processes_.deliver)
     now_ = std::max(now_, until);
@@ -155,7 +155,7 @@
 const RunReport& SimulatedCluster::close() {
   check_capacity();
   for (auto& [ref, job] : jobs_) {
-    if (!job->accepted || job->spec.shape == wire::Shape::service || job->is_done() || hopeless(*job))
+    if (!job->accepted || job->spec.shape == wire::Shape::service || job->is_done() || cannot_complete(*job))
       continue;
     ++run_report_.unfinished;
     spdlog::debug("simulation: unfinished job={} done={} tasks={} body={}", ref, job->done_tasks.size(),
@@ -197,9 +197,9 @@
   return std::nullopt;
 }
 
-void SimulatedCluster::report_violation(const std::string& rule, const std::string& how) {
+void SimulatedCluster::report_violation(const std::string& rule, const std::string& details) {
   run_report_.broken_rules.push_back(rule + " at " + std::to_string(now_) + " (seed " +
-                                     std::to_string(plan_.seed) + "): " + how);
+                                     std::to_string(plan_.seed) + "): " + details);
 }
 
 std::optional<std::size_t> SimulatedCluster::leader() const {
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -104,9 +104,9 @@
   std::vector<std::string> broken_rules;
   std::size_t started = 0, accepted = 0, finished = 0, cancelled = 0, elections = 0, unfinished = 0;
   std::size_t with_dependencies = 0, orphaned = 0, over_limits = 0, cancellations_deferred = 0;
-  /// Tasks started on a machine of a zone that had been cut off for longer than `kContactSeenWithin`.
+  /// Tasks started on a machine of a zone that had been cut off for longer than `kCutNoticedWithin`.
   std::size_t started_in_cut = 0;
-  /// Machines rented in a zone that had been cut off for longer than `kContactSeenWithin`.
+  /// Machines rented in a zone that had been cut off for longer than `kCutNoticedWithin`.
   std::size_t rented_in_cut = 0;
   /// Machines returned with tasks on them while their zone was cut off.
   std::size_t returned_in_cut = 0;
@@ -402,7 +402,7 @@
   double node_time(const SimulatedController& c) const;
   void run_controller(std::size_t i);
   void execute_call(std::size_t i, const ports::Call& call);
-  void deliver(std::size_t i, controller::IncomingRequest in, AnswerCallback then);
+  void deliver(std::size_t i, controller::IncomingRequest request, AnswerCallback then);
 
   // state service
   void record_change(const std::string& key, Value value, bool erased);
@@ -414,27 +414,27 @@
 
   // cloud
   WorkerMachine& add_machine(std::size_t type, std::size_t zone, bool spot, double boot);
-  void remove_machine(WorkerMachine& h);
+  void remove_machine(WorkerMachine& machine);
   void snapshot_list();
   void keep_listing();
 
   // workers
-  void start_worker(WorkerMachine& h);
-  void check_lease(WorkerMachine& h);
-  void send_heartbeat(WorkerMachine& h);
-  void schedule_heartbeat(WorkerMachine& h, double delay);
-  Value heartbeat_value(WorkerMachine& h);
+  void start_worker(WorkerMachine& machine);
+  void check_lease(WorkerMachine& machine);
+  void send_heartbeat(WorkerMachine& machine);
+  void schedule_heartbeat(WorkerMachine& machine, double delay);
+  Value heartbeat_value(WorkerMachine& machine);
   bool delay_command(const WorkerMachine& machine, const Value& body);
-  int execute_commands(WorkerMachine& h, const Value& body, bool direct);
-  void execute_command(WorkerMachine& h, const Value& o);
+  int execute_commands(WorkerMachine& machine, const Value& body, bool direct);
+  void execute_command(WorkerMachine& machine, const Value& command);
   void start_gang_if_complete(UserJob& job, std::uint64_t attempt, double run);
   UserJob* find_job_in_any_cell(const std::string& ref);
   void check_other_cells(const WorkerTask& task, const UserJob& job);
   void fail_gang(UserJob& job, std::uint64_t attempt);
   void for_each_gang_member(const UserJob& job, std::uint64_t attempt,
                             const std::function<void(WorkerMachine&, WorkerTask&)>& f);
-  void on_image_ready(WorkerMachine& h, std::uint64_t attempt, const std::string& name);
-  void finish_task(WorkerMachine& h, std::uint64_t attempt, const std::string& name,
+  void on_image_ready(WorkerMachine& machine, std::uint64_t attempt, const std::string& name);
+  void finish_task(WorkerMachine& machine, std::uint64_t attempt, const std::string& name,
                    const std::string& cause);
 
   // users
@@ -443,13 +443,13 @@
   void submit(UserJob& job, double since);
   void poll(UserJob& job);
   void cancel_job(UserJob& job);
-  void on_job_state(UserJob& job, int status, const Value& body, const char* how);
+  void on_job_state(UserJob& job, int status, const Value& body, const char* source);
   void submit_at(UserJob& job, double since, std::size_t node);
-  void query_at_node(UserJob& job, std::size_t node, const char* how);
+  void query_at_node(UserJob& job, std::size_t node, const char* source);
   void cancel_at_node(UserJob& job, std::size_t node);
   void poll_every_node(UserJob& job);
   void send_malformed_request();
-  void start_stray_copy(const UserJob& job);
+  void start_uncommanded_task(const UserJob& job);
   void release_held_heartbeats(std::size_t node);
   void record_query();  // a user sends a query
   void record_answer(UserJob& job);
@@ -468,18 +468,18 @@
   void cut(const std::string& a, const std::string& b, double for_s, bool hold);
 
   // rules
-  void report_violation(const std::string& rule, const std::string& how);
-  void check_start(WorkerMachine& h, WorkerTask& task, UserJob& job);
-  void check_cancelled();
+  void report_violation(const std::string& rule, const std::string& details);
+  void check_start(WorkerMachine& machine, WorkerTask& task, UserJob& job);
+  void check_rules();
   /// Reports a task that is on a machine although the leader may start it.
   void check_free_to_start();
   /// Records that a leader answered a heartbeat that reported tasks as done.
-  void record_done_seen(WorkerMachine& h, const Value& report, const ports::Answer& answer);
+  void record_done_seen(WorkerMachine& machine, const Value& report, const ports::Answer& answer);
   void check_after_done(const WorkerTask& task, const UserJob& job);
   void check_capacity();
-  void mark_doomed(UserJob& job, double since);
+  void mark_cancelled(UserJob& job, double since);
   bool may_be_cancelled(const UserJob& job) const;
-  bool hopeless(const UserJob& job) const;
+  bool cannot_complete(const UserJob& job) const;
   void choose_dependencies(UserJob& job);
   void submit_impossible_job();
 
@@ -525,7 +525,7 @@
   std::size_t jobs_made_ = 0, malformed_requests_made_ = 0;
   double late_write_share_ = 0, late_writes_until_ = -1, late_heartbeat_share_ = 0,
          late_heartbeats_until_ = -1;
-  bool late_at_once_ = false, writing_late_ = false;
+  bool late_writes_at_once_ = false, executing_late_write_ = false;
   DuplicateArrival duplicate_arrival_ = DuplicateArrival::later;
   double late_command_share_ = 0, late_commands_until_ = -1;
   std::vector<controller::IncomingRequest> held_heartbeats_;
--- a/src/simulation/state_service.cpp
+++ b/src/simulation/state_service.cpp
@@ -16,7 +16,7 @@
   extend_fault_period(for_s);
   late_write_share_ = share;
   late_writes_until_ = now_ + for_s;
-  late_at_once_ = at_once;
+  late_writes_at_once_ = at_once;
 }
 
 std::optional<std::size_t> SimulatedCluster::leader_key_holder() const {
@@ -116,9 +116,9 @@
 }
 
 void SimulatedCluster::execute_write_late(std::size_t node, const Value& body) {
-  writing_late_ = true;
+  executing_late_write_ = true;
   state_service_request(node, "POST", "/txn", body, [](int, const Value&) {});
-  writing_late_ = false;
+  executing_late_write_ = false;
 }
 
 bool SimulatedCluster::exceeds_limits(const Value& body, const settings::Settings& s, double share) const {
@@ -208,15 +208,16 @@
   }
   // A controller that knows of lower limits to come keeps to them from its start. Transactions that were sent
   // before may be executed late.
-  if (path == "/txn" && !writing_late_ &&
+  if (path == "/txn" && !executing_late_write_ &&
       exceeds_limits(body, controllers_[node]->runs_former_version ? settings_before_upgrade_ : settings_, 1))
     report_violation("protocol", "a transaction over the limits: " + body.dump().substr(0, 300));
   if (path == "/txn" && plan_.late_writes > 0 && random_bool(plan_.late_writes)) {
     add_event_after(random_between(2, 12), [this, node, body] { execute_write_late(node, body); });
     return;
   }
-  if (path == "/txn" && !writing_late_ && now_ < late_writes_until_ && random_bool(late_write_share_)) {
-    const bool at_once = late_at_once_;
+  if (path == "/txn" && !executing_late_write_ && now_ < late_writes_until_ &&
+      random_bool(late_write_share_)) {
+    const bool at_once = late_writes_at_once_;
     (at_once ? run_report_.lost_replies : run_report_.late_writes) += body["apply"].empty() ? 0 : 1;
     if (!at_once) {
       extend_fault_period(12);
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -18,13 +18,13 @@
     return;
   const std::size_t recent = std::min<std::size_t>(known.size(), 6);
   for (std::size_t k = 0, n = 1 + random_index(random_bool(0.2) ? 5 : 2); k < n; ++k) {
-    UserJob* need =
+    UserJob* dependency =
         random_bool(0.8) ? known[known.size() - 1 - random_index(recent)] : known[random_index(known.size())];
-    if (std::find(job.dependencies.begin(), job.dependencies.end(), need) != job.dependencies.end())
+    if (std::find(job.dependencies.begin(), job.dependencies.end(), dependency) != job.dependencies.end())
       continue;
-    job.dependencies.push_back(need);
-    need->dependents.push_back(&job);
-    job.spec.depends_on.push_back(need->spec.ref);
+    job.dependencies.push_back(dependency);
+    dependency->dependents.push_back(&job);
+    job.spec.depends_on.push_back(dependency->spec.ref);
   }
   ++run_report_.with_dependencies;
 }
@@ -36,15 +36,15 @@
   s.depends_on = {random_bool(0.3) ? s.ref : "req-7" + std::to_string(random_index(100000))};
   if (random_bool(0.5))
     s.depends_on.push_back(jobs_.begin()->first);
-  controller::IncomingRequest in;
-  in.method = "POST";
-  in.path = wire::kJobsPath;
-  in.body = wire::encode_cbor(wire::job_value(s));
-  const std::size_t i = random_index(plan_.nodes);
-  send("users", node_name(i), [this, in, i, ref = s.ref] {
-    deliver(i, in, [this, ref](const ports::Answer& a) {
-      if (a.status < 300 || a.status == 400)
-        report_violation("protocol", ref + " needs what never was, but got " + std::to_string(a.status));
+  controller::IncomingRequest request;
+  request.method = "POST";
+  request.path = wire::kJobsPath;
+  request.body = wire::encode_cbor(wire::job_value(s));
+  const std::size_t node = random_index(plan_.nodes);
+  send("users", node_name(node), [this, request, node, ref = s.ref] {
+    deliver(node, request, [this, ref](const ports::Answer& answer) {
+      if (answer.status < 300 || answer.status == 400)
+        report_violation("protocol", ref + " needs what never was, but got " + std::to_string(answer.status));
     });
   });
 }
@@ -120,11 +120,11 @@
   jobs_[s.ref] = std::move(job);
   j.submitted = true;
   submit(j, now_);
-  const double leave = random_bool(0.25)                 ? random_between(0, 30)
-                       : s.shape == wire::Shape::service ? random_between(40, 120)
-                                                         : -1;
-  if (leave >= 0) {
-    add_event_after(leave, [this, &j] {
+  const double cancel_after = random_bool(0.25)                 ? random_between(0, 30)
+                              : s.shape == wire::Shape::service ? random_between(40, 120)
+                                                                : -1;
+  if (cancel_after >= 0) {
+    add_event_after(cancel_after, [this, &j] {
       j.cancellation_wanted = true;
       cancel_job(j);
     });
@@ -145,12 +145,12 @@
   // A query of a job that was never submitted.
   if (random_bool(0.2)) {
     const std::string name = "req-9" + std::to_string(random_index(100000));
-    send("users", node_name(random_index(plan_.nodes)), [this, name, i = random_index(plan_.nodes)] {
-      controller::IncomingRequest in;
-      in.method = "GET";
-      in.path = std::string(wire::kJobsPath) + "/" + name;
-      deliver(i, in, [this, name](const ports::Answer& a) {
-        if (a.status == 200)
+    send("users", node_name(random_index(plan_.nodes)), [this, name, node = random_index(plan_.nodes)] {
+      controller::IncomingRequest request;
+      request.method = "GET";
+      request.path = std::string(wire::kJobsPath) + "/" + name;
+      deliver(node, request, [this, name](const ports::Answer& answer) {
+        if (answer.status == 200)
           report_violation("invented", name);
       });
     });
@@ -161,61 +161,62 @@
   submit_at(job, since, random_index(plan_.nodes));
 }
 
-void SimulatedCluster::submit_at(UserJob& job, double since, std::size_t i) {
-  controller::IncomingRequest in;
-  in.method = "POST";
-  in.path = wire::kJobsPath;
-  in.body = wire::encode_cbor(job.body);
-  auto settled = std::make_shared<bool>(false);
-  const bool was_over = job.told_done || job.told_cancelled_at >= 0;
-  send("users", node_name(i), [this, i, in, &job, settled, was_over, since] {
-    deliver(i, in, [this, &job, settled, was_over, since](const ports::Answer& a) {
-      if (*settled)
+void SimulatedCluster::submit_at(UserJob& job, double since, std::size_t node) {
+  controller::IncomingRequest request;
+  request.method = "POST";
+  request.path = wire::kJobsPath;
+  request.body = wire::encode_cbor(job.body);
+  auto answered = std::make_shared<bool>(false);
+  const bool was_final = job.told_done || job.cancellation_confirmed_at >= 0;
+  send("users", node_name(node), [this, node, request, &job, answered, was_final, since] {
+    deliver(node, request, [this, &job, answered, was_final, since](const ports::Answer& answer) {
+      if (*answered)
         return;
-      run_report_.deferred += a.status == 429;
-      if (plan_.fair_admission && !job.accepted && (a.status == 429 || a.status == 503)) {
-        *settled = true;
-        const double back = std::max(1, a.retry_after_s.value_or(1));
-        if (now_ + back <= since + 60)
-          add_event_after(back, [this, &job, since] { submit(job, since); });
+      run_report_.deferred += answer.status == 429;
+      if (plan_.fair_admission && !job.accepted && (answer.status == 429 || answer.status == 503)) {
+        *answered = true;
+        const double retry_after_s = std::max(1, answer.retry_after_s.value_or(1));
+        if (now_ + retry_after_s <= since + 60)
+          add_event_after(retry_after_s, [this, &job, since] { submit(job, since); });
         return;
       }
-      if (a.status == 200 || a.status == 201) {
-        *settled = true;
+      if (answer.status == 200 || answer.status == 201) {
+        *answered = true;
         if (!std::exchange(job.accepted, true)) {
           ++run_report_.accepted;
           job.accepted_at = now_;
-          for (const UserJob* need : job.dependencies) {
-            if (need->cancelled_since >= 0)
-              mark_doomed(job, now_);
+          for (const UserJob* dependency : job.dependencies) {
+            if (dependency->cancelled_since >= 0)
+              mark_cancelled(job, now_);
           }
           add_event_after(random_between(0.5, 5), [this, &job] { poll(job); });
           if (now_ < close_polls_until_)
             poll_every_node(job);
         }
-        const bool over = job.told_done || job.told_cancelled_at >= 0;
+        const bool is_final = job.told_done || job.cancellation_confirmed_at >= 0;
         // An answer that was overtaken on its way by the answer to a query may show an earlier state (seed 5
         // without faults).
-        if (a.status == 200 && over == was_over)
-          on_job_state(job, 200, a.body, "submission");
+        if (answer.status == 200 && is_final == was_final)
+          on_job_state(job, 200, answer.body, "submission");
         if (random_bool(0.2))
           add_event_after(random_between(1, 60), [this, &job] { submit(job, now_ - 100); });
-      } else if (a.status == 400 || a.status == 422 || a.status == 404) {
+      } else if (answer.status == 400 || answer.status == 422 || answer.status == 404) {
         if (job.accepted)
-          report_violation("forgotten", job.spec.ref + " submitted again got " + std::to_string(a.status));
+          report_violation("forgotten",
+                           job.spec.ref + " submitted again got " + std::to_string(answer.status));
       }
     });
   });
-  add_event_after(5, [this, settled, &job, since] {
-    if (*settled || job.accepted || now_ - since > 60)
+  add_event_after(5, [this, answered, &job, since] {
+    if (*answered || job.accepted || now_ - since > 60)
       return;
     submit(job, since);
   });
 }
 
-void SimulatedCluster::on_job_state(UserJob& job, int status, const Value& body, const char* how) {
+void SimulatedCluster::on_job_state(UserJob& job, int status, const Value& body, const char* source) {
   if (status == 404 && job.accepted)
-    return report_violation("forgotten", job.spec.ref + " by " + how);
+    return report_violation("forgotten", job.spec.ref + " by " + source);
   if (status != 200)
     return;
   const auto phase = wire::parse_phase(body);
@@ -224,7 +225,7 @@
   if (*phase == wire::Phase::done) {
     if (job.done_tasks.size() < job.spec.tasks)
       report_violation("not_done", job.spec.ref);
-    if (job.told_cancelled_at >= 0)
+    if (job.cancellation_confirmed_at >= 0)
       report_violation("went_back", job.spec.ref + " from cancelled to done");
     if (!job.told_done)
       ++run_report_.finished;
@@ -233,54 +234,54 @@
   } else if (*phase == wire::Phase::cancelled) {
     if (!may_be_cancelled(job))
       report_violation("went_back", job.spec.ref + " is called cancelled");
-    if (job.told_cancelled_at < 0) {
-      job.told_cancelled_at = now_;
+    if (job.cancellation_confirmed_at < 0) {
+      job.cancellation_confirmed_at = now_;
       ++run_report_.told_gone;
       if (plan_.planted_fault == "start_after_told")
-        start_stray_copy(job);
+        start_uncommanded_task(job);
       if (now_ < close_polls_until_)
         poll_every_node(job);
       ++run_report_.cancelled;
       run_report_.orphaned += !job.cancellation_wanted;
     }
-    mark_doomed(job, now_);
-  } else if (job.told_done || job.told_cancelled_at >= 0) {
-    report_violation("went_back", job.spec.ref + " lives again by " + how);
+    mark_cancelled(job, now_);
+  } else if (job.told_done || job.cancellation_confirmed_at >= 0) {
+    report_violation("went_back", job.spec.ref + " lives again by " + source);
   } else if (job.cancelled_since >= 0 && now_ > job.cancelled_since + kCancellationLimit) {
-    report_violation("orphaned", job.spec.ref + " by " + how);
+    report_violation("orphaned", job.spec.ref + " by " + source);
   }
 }
 
 void SimulatedCluster::poll(UserJob& job) {
   check_answered(job);
   query_at_node(job, random_index(plan_.nodes), "poll");
-  const bool over = job.told_done || job.told_cancelled_at >= 0;
-  add_event_after(over ? random_between(10, 40) : random_between(2, 5), [this, &job] { poll(job); });
+  const bool is_final = job.told_done || job.cancellation_confirmed_at >= 0;
+  add_event_after(is_final ? random_between(10, 40) : random_between(2, 5), [this, &job] { poll(job); });
 }
 
-void SimulatedCluster::query_at_node(UserJob& job, std::size_t i, const char* how) {
-  controller::IncomingRequest in;
-  in.method = "GET";
-  in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref;
+void SimulatedCluster::query_at_node(UserJob& job, std::size_t node, const char* source) {
+  controller::IncomingRequest request;
+  request.method = "GET";
+  request.path = std::string(wire::kJobsPath) + "/" + job.spec.ref;
   // The checks follow the order in which answers reach the user; one that comes after the user's timeout of
   // 2 s is ignored.
   const double asked_at = now_;
   record_query();
-  const bool was_over = job.told_done || job.told_cancelled_at >= 0;
-  send("users", node_name(i), [this, i, in, &job, asked_at, was_over, how] {
-    deliver(i, in, [this, &job, asked_at, was_over, how](const ports::Answer& a) {
+  const bool was_final = job.told_done || job.cancellation_confirmed_at >= 0;
+  send("users", node_name(node), [this, node, request, &job, asked_at, was_final, source] {
+    deliver(node, request, [this, &job, asked_at, was_final, source](const ports::Answer& answer) {
       if (now_ - asked_at > 2 || plan_.planted_fault == "questions_unanswered")
         return;
       if (plan_.planted_fault == "one_unanswered" && job.spec.ref == jobs_.begin()->first)
         return;
-      if (a.status == 200)
+      if (answer.status == 200)
         record_answer(job);
-      if (plan_.planted_fault == "older_answer" && was_over)
-        return on_job_state(job, 200, wire::job_progress(job.spec.ref, wire::Phase::running, 0, 1), how);
-      const bool over = job.told_done || job.told_cancelled_at >= 0;
-      if (over && !was_over && a.status == 200)
+      if (plan_.planted_fault == "older_answer" && was_final)
+        return on_job_state(job, 200, wire::job_progress(job.spec.ref, wire::Phase::running, 0, 1), source);
+      const bool is_final = job.told_done || job.cancellation_confirmed_at >= 0;
+      if (is_final && !was_final && answer.status == 200)
         return;  // another answer overtook this one on its way
-      on_job_state(job, a.status, a.body, how);
+      on_job_state(job, answer.status, answer.body, source);
     });
   });
 }
@@ -297,19 +298,19 @@
   });
 }
 
-void SimulatedCluster::cancel_at_node(UserJob& job, std::size_t i) {
-  controller::IncomingRequest in;
-  in.method = "POST";
-  in.path = std::string(wire::kJobsPath) + "/" + job.spec.ref + wire::kAbortSuffix;
-  send("users", node_name(i), [this, i, in, &job] {
-    deliver(i, in, [this, &job](const ports::Answer& a) {
-      if (a.status == 404)
+void SimulatedCluster::cancel_at_node(UserJob& job, std::size_t node) {
+  controller::IncomingRequest request;
+  request.method = "POST";
+  request.path = std::string(wire::kJobsPath) + "/" + job.spec.ref + wire::kAbortSuffix;
+  send("users", node_name(node), [this, node, request, &job] {
+    deliver(node, request, [this, &job](const ports::Answer& answer) {
+      if (answer.status == 404)
         return report_violation("forgotten", job.spec.ref + " by abort");
-      run_report_.cancellations_deferred += a.status != 200;
-      if (a.status != 200)
+      run_report_.cancellations_deferred += answer.status != 200;
+      if (answer.status != 200)
         return;
       job.cancelled = true;
-      on_job_state(job, 200, a.body, "abort");
+      on_job_state(job, 200, answer.body, "abort");
     });
   });
 }
