--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -1,7 +1,8 @@
-// What tests of combined faults share: a day in the simulated cluster with jobs whose faults the test orders.
-// A test brings its combination about on purpose, with several seeds and the second fault's moment swept, and
-// asserts that it did happen before it asserts the rules, which the simulated cluster checks after every
-// step. COMBINED_FAULTS_WIDE=N plays N times as many seeds.
+/// @file
+/// Shared parts of the tests of combined faults: a simulated run with jobs whose faults the test triggers. A
+/// test triggers its combination of faults on purpose, with several seeds and at several times of the second
+/// fault, and asserts that the combination occurred before it asserts the rules, which the simulated cluster
+/// checks after every event. COMBINED_FAULTS_WIDE=N runs N times as many seeds.
 #pragma once
 
 #include "scenarios.hpp"
@@ -9,7 +10,7 @@
 
 namespace wingtrail::simulation {
 
-// As deployed, but for the sizes.
+/// Returns a scripted plan with the features of a deployment enabled, at a smaller size.
 inline SimulationPlan deployed(std::uint64_t seed, int machines = 10) {
   SimulationPlan plan = scripted(seed, machines);
   plan.peer_agreement = plan.fair_admission = plan.load_balancing = plan.short_lived_processes = true;
@@ -18,6 +19,7 @@
   return plan;
 }
 
+/// A simulated run that starts with two services and 40 s without faults.
 class Day {
  public:
   explicit Day(const SimulationPlan& plan) : world(plan) {
@@ -32,10 +34,11 @@
       service.allows_spot = false;
       world.submit_job(service, 0);
     }
-    world.step(40);  // custody begins once no node of an older version can have led for cancel_s
+    world.step(
+        40);  // leases are delegated once no controller of an older version can have led for `cancel_s`
   }
 
-  // Arrays with long to go, from req-10 on; every third bound to a zone.
+  /// Submits long arrays, numbered from req-10; every third one is restricted to a zone.
   void long_arrays(int count, double run_s = 60, std::uint32_t tasks = 3) {
     for (int n = 0; n < count; ++n) {
       wire::JobSpec s = job_of(10 + n, tasks, n % 2 == 0 ? "red" : "blue");
@@ -45,7 +48,8 @@
       world.submit_job(s, run_s);
     }
   }
-  // Small jobs until then, one in `every_s`; that share is cancelled after some seconds.
+  /// Submits a small job every `every_s` seconds until time `until`; the share `cancelled` of them is
+  /// cancelled within 4 s.
   void stream(double until, double every_s, double cancelled, std::uint32_t tasks = 1, double run_s = 3) {
     for (double t = world.now(); t < until; t += every_s) {
       const int n = 1000 + made_++;
@@ -58,6 +62,7 @@
       });
     }
   }
+  /// Schedules `fn` at time `when`, in seconds.
   void at(double when, const std::function<void()>& fn) {
     world.schedule_at(when, fn);
   }
@@ -67,6 +72,7 @@
   static std::string ref(int n) {
     return std::string("req-").append(std::to_string(n));
   }
+  /// Cancels `count` jobs from `req-<first>` on, from time `from` on, `apart` seconds after each other.
   void cancel(int first, int count, double from, double apart = 0.05) {
     for (int n = 0; n < count; ++n)
       at(from + n * apart, [this, n, first] { world.cancel(ref(first + n)); });
@@ -75,15 +81,17 @@
     return world.run_report().elections;
   }
 
-  // All becomes quiet; then nothing is left undone, untold or unanswered.
+  /// Runs for `calm_s` without new faults, and expects no violation, no unfinished job, no long wait beside
+  /// free capacity and no unconfirmed cancellation.
   const RunReport& finish(double calm_s = 420) {
     world.step(world.now() + calm_s);
     const RunReport& v = world.close();
     for (const auto& b : v.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_EQ(v.unfinished, 0U);
-    EXPECT_LE(v.longest_wait_beside_capacity, 90) << "all was calm";
-    EXPECT_EQ(world.open_cancellations(), 0U) << "users who were put off have to hear in the end";
+    EXPECT_EQ(v.unfinished, 0U) << "jobs were not done at the end";
+    EXPECT_LE(v.longest_wait_beside_capacity, 90)
+        << "a job waited for so many seconds beside free capacity for it, without faults";
+    EXPECT_EQ(world.open_cancellations(), 0U) << "deferred cancellations were never confirmed";
     return v;
   }
 
@@ -93,13 +101,14 @@
   int made_ = 0;
 };
 
+/// Factor on the number of seeds, from COMBINED_FAULTS_WIDE.
 inline int wide() {
   const char* n = std::getenv("COMBINED_FAULTS_WIDE");
   return n ? std::max(1, std::atoi(n)) : 1;
 }
 
-// Plays `day` for so many seeds; it returns what shows that the meeting happened, and the sum of that must be
-// at least `happened`.
+/// Runs `day` for `seeds` seeds. It returns a count that shows how often the combination of faults occurred;
+/// the sum over all seeds has to be at least `happened`.
 inline void meet(int seeds, std::size_t happened, const std::function<std::size_t(std::uint64_t)>& day) {
   std::size_t sum = 0;
   for (int seed = 1; seed <= seeds * wide(); ++seed) {
@@ -108,15 +117,19 @@
     if (::testing::Test::HasFailure())
       return;
   }
-  EXPECT_GE(sum, happened * static_cast<std::size_t>(wide())) << "the meeting did not happen";
+  EXPECT_GE(sum, happened * static_cast<std::size_t>(wide()))
+      << "the combination of faults did not occur often enough";
 }
 
-// The state service refuses the leader alone from 60 s on; cancellations `a` later; from `b` on it is down
-// for all. Returns how many cancellations were confirmed while the old leader was refused.
+/// A state service that fails in two steps: from 60 s on it refuses the leader alone; `a` seconds later users
+/// cancel seven jobs; `b` seconds after 60 s it is down for all controllers, for `down_s` seconds.
 struct Gap {
   double a = 2, b = 8, down_s = 45;
+  /// Further faults, if any.
   std::function<void(Day&)> beside;
 };
+/// Runs such a failure. Returns how many of the cancellations were confirmed before the state service was
+/// back.
 inline std::size_t play_gap(const SimulationPlan& plan, const Gap& gap) {
   Day day(plan);
   day.long_arrays(9, 110);
@@ -131,8 +144,8 @@
   day.world.step(until);
   std::size_t confirmed = 0;
   for (int n = 10; n < 17; ++n) {
-    const double told = day.world.cancelled_at(Day::ref(n));
-    confirmed += told >= 60 && told < until;
+    const double confirmed_at = day.world.cancelled_at(Day::ref(n));
+    confirmed += confirmed_at >= 60 && confirmed_at < until;
   }
   day.finish();
   return confirmed;
--- a/tests/random_fault_search.cpp
+++ b/tests/random_fault_search.cpp
@@ -28,7 +28,9 @@
 
 }  // namespace
 
-// random_fault_search FIRST COUNT [LOG_LEVEL [quiet | cells]]
+// Runs the simulated cluster with random faults for COUNT seeds from FIRST on, and reports violations and
+// unfinished jobs. `quiet`: without faults; `cells`: several cells.
+// Usage: random_fault_search FIRST COUNT [LOG_LEVEL [quiet | cells]]
 int main(int argc, char** argv) {
   const int first = argc > 1 ? std::atoi(argv[1]) : 1, count = argc > 2 ? std::atoi(argv[2]) : 100;
   spdlog::set_level(argc > 3 ? spdlog::level::from_str(argv[3]) : spdlog::level::off);
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -1,5 +1,5 @@
-// Days of a test's own in the simulated cluster: what users submit and what goes wrong is ordered by the
-// test.
+/// @file
+/// Scripted runs of the simulated cluster: the test chooses the jobs that users submit and the faults.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,12 +12,13 @@
 
 namespace wingtrail::simulation {
 
-// LOG_LEVEL=debug tells a test's day in detail.
+/// Switches logging off, or to the level in LOG_LEVEL; `debug` logs every event of a simulated run.
 inline void hush() {
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level ? spdlog::level::from_str(level) : spdlog::level::off);
 }
 
+/// Returns an array `req-<n>` of `tasks` tasks with 2 CPUs each, which may run on spot machines.
 inline wire::JobSpec job_of(int n, std::uint32_t tasks, const std::string& team) {
   wire::JobSpec s;
   s.ref = std::string("req-").append(std::to_string(n));
@@ -31,7 +32,7 @@
   return s;
 }
 
-// Without faults of its own and of a fixed size: what happens is what the test orders.
+/// Returns a plan without random faults and random jobs, with a fixed number of machines.
 inline SimulationPlan scripted(std::uint64_t seed, int machines) {
   SimulationPlan plan;
   plan.seed = seed;
@@ -40,18 +41,23 @@
   plan.machines = machines;
   plan.max_machines = static_cast<std::size_t>(machines);
   plan.scripted = true;
-  plan.idle_return_s = 1e4;  // replicas move only because of the fault
+  plan.idle_return_s = 1e4;  // replicas are moved only because of the fault
   return plan;
 }
 
+/// What a run with one fault came to.
 struct Ride {
   RunReport verdict;
-  std::size_t before = 0,
-              again = 0;  // tasks started before the fault; those started once more because of it
+  /// Tasks started before the fault.
+  std::size_t before = 0;
+  /// Tasks started again during the fault.
+  std::size_t again = 0;
+  /// The long array completed.
   bool over = false;
 };
 
-// Services and one long array over all zones; then the fault; then time for everything to be over.
+/// Runs three services and one long array over all zones, triggers the fault at 50 s, counts restarts for
+/// `lasts` seconds, and continues until 250 s, by which the array has to be done.
 inline Ride ride_through(const SimulationPlan& plan, const std::function<void(SimulatedCluster&)>& trouble,
                          double lasts) {
   hush();
@@ -68,7 +74,7 @@
   }
   wire::JobSpec array = job_of(9, machines, "blue");
   array.estimate_s = 70;
-  world.step(45);  // custody begins once no node of an older version can have led for cancel_s
+  world.step(45);  // leases are delegated once no controller of an older version can have led for `cancel_s`
   world.submit_job(array, 70);
   world.step(50);
   Ride r;
@@ -88,15 +94,17 @@
   return ride_through(scripted(seed, machines), trouble, lasts);
 }
 
+/// Expects that the fault restarted no task, that no machine was returned during the cut and no worker's
+/// lease expired, and that delegates renewed leases.
 inline void lost_nothing(const Ride& r) {
   for (const auto& b : r.verdict.broken_rules)
     ADD_FAILURE() << b;
-  EXPECT_GT(r.before, 20U);
-  EXPECT_EQ(r.again, 0U) << "what ran on unseen was started again";
-  EXPECT_EQ(r.verdict.returned_in_cut, 0U);
-  EXPECT_EQ(r.verdict.lost_by_lease_expiry, 0U);
-  EXPECT_GT(r.verdict.renewed_by_delegates, 0U);
-  EXPECT_TRUE(r.over);
+  EXPECT_GT(r.before, 20U) << "too few tasks were started before the fault";
+  EXPECT_EQ(r.again, 0U) << "tasks that kept running during the fault were started again";
+  EXPECT_EQ(r.verdict.returned_in_cut, 0U) << "machines with tasks were returned during the cut";
+  EXPECT_EQ(r.verdict.lost_by_lease_expiry, 0U) << "workers killed tasks because their lease expired";
+  EXPECT_GT(r.verdict.renewed_by_delegates, 0U) << "no delegate renewed a lease";
+  EXPECT_TRUE(r.over) << "the long array did not complete";
 }
 
 }  // namespace wingtrail::simulation
