--- a/src/simulation/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -153,7 +153,8 @@
   for (std::size_t i = 0; i < plan_.nodes; ++i) {
     add_event_after(random_between(0, 0.02), [this, i, &job] { submit_at(job, now_ - 100, i); });
   }
-  if (job.cancellation_wanted || job.told_done || job.spec.shape == wire::Shape::service || !random_bool(0.2))
+  if (job.cancellation_wanted || job.reported_done || job.spec.shape == wire::Shape::service ||
+      !random_bool(0.2))
     return;
   add_event_after(random_between(0, 0.03), [this, &job] {
     job.cancellation_wanted = true;
@@ -173,9 +174,9 @@
   const std::size_t i = random_index(plan_.nodes);
   std::vector<UserJob*> open, done;
   for (auto& [ref, job] : jobs_) {
-    if (job->accepted && !job->told_done && job->cancellation_confirmed_at < 0)
+    if (job->accepted && !job->reported_done && job->cancellation_confirmed_at < 0)
       open.push_back(job.get());
-    if (job->told_done)
+    if (job->reported_done)
       done.push_back(job.get());
   }
   const auto kind = random_index(4);
@@ -190,10 +191,10 @@
   if (jobs_.empty() || kind < 2)
     return;
   // No controller may accept a job that cannot run or lacks a field, and none may know it later.
-  wire::JobSpec s = jobs_.begin()->second->spec;
-  s.ref = "req-6" + std::to_string(1'000'000 + ++malformed_requests_made_);
-  s.depends_on.clear();
-  Value body = wire::job_value(s);
+  wire::JobSpec spec = jobs_.begin()->second->spec;
+  spec.ref = "req-6" + std::to_string(1'000'000 + ++malformed_requests_made_);
+  spec.depends_on.clear();
+  Value body = wire::job_value(spec);
   if (kind == 2) {
     const auto what = random_index(4);
     if (what == 0)
@@ -214,14 +215,14 @@
   request.method = "POST";
   request.path = wire::kJobsPath;
   request.body = wire::encode_cbor(body);
-  send("users", node_name(i), [this, request, i, ref = s.ref, kind] {
+  send("users", node_name(i), [this, request, i, ref = spec.ref, kind] {
     deliver(i, request, [this, ref, kind](const ports::Answer& a) {
       ++run_report_.malformed_requests;
       if (a.status < 300 || plan_.planted_fault == "odd_accepted" || (kind == 3 && a.status != 400))
         report_violation("accepted_odd", ref + " got " + std::to_string(a.status));
     });
   });
-  add_event_after(random_between(0.01, 3), [this, ref = s.ref, k = random_index(plan_.nodes)] {
+  add_event_after(random_between(0.01, 3), [this, ref = spec.ref, k = random_index(plan_.nodes)] {
     controller::IncomingRequest query;
     query.method = "GET";
     query.path = std::string(wire::kJobsPath) + "/" + ref;
@@ -254,12 +255,12 @@
 
 std::size_t SimulatedCluster::open_cancellations() const {
   return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
-    return j.second->cancellation_wanted && j.second->accepted && !j.second->told_done &&
+    return j.second->cancellation_wanted && j.second->accepted && !j.second->reported_done &&
            j.second->cancellation_confirmed_at < 0;
   }));
 }
-bool SimulatedCluster::told_done(const std::string& ref) const {
-  return jobs_.at(ref)->told_done;
+bool SimulatedCluster::reported_done(const std::string& ref) const {
+  return jobs_.at(ref)->reported_done;
 }
 bool SimulatedCluster::accepted(const std::string& ref) const {
   return jobs_.at(ref)->accepted;
--- a/src/simulation/components.hpp
+++ b/src/simulation/components.hpp
@@ -71,7 +71,7 @@
   bool submitted = false, accepted = false, abandoned = false;
   bool cancellation_wanted = false, cancelled = false;
   double cancellation_confirmed_at = -1;
-  bool told_done = false;
+  bool reported_done = false;
   std::set<std::uint32_t> done_tasks, begun_tasks;
   /// By task: fencing token of the first leader that answered a heartbeat that reported the task as done.
   std::map<std::uint32_t, std::uint64_t> done_seen_by_token;
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -19,15 +19,16 @@
     const controller::Stats stats = c->controller->stats();
     if (stats.migrations_begun > stats.migrations_done + stats.migrations_failed)
       continue;
-    for (const workers::Machine& m : c->controller->workers().machines()) {
-      if (m.gone)
+    for (const workers::Machine& machine : c->controller->workers().machines()) {
+      if (machine.gone)
         continue;
       double cpus = 0;
-      for (const workers::Allocation& s : m.allocations)
-        cpus += s.occupies_machine && !s.stops_immediately() ? s.resources.cpus : 0;
-      if (std::abs(cpus - m.used.cpus) > 1e-6)
-        report_violation(
-            "room", m.host + ": " + std::to_string(m.used.cpus) + " used, " + std::to_string(cpus) + " held");
+      for (const workers::Allocation& allocation : machine.allocations)
+        cpus +=
+            allocation.occupies_machine && !allocation.stops_immediately() ? allocation.resources.cpus : 0;
+      if (std::abs(cpus - machine.used.cpus) > 1e-6)
+        report_violation("room", machine.host + ": " + std::to_string(machine.used.cpus) + " used, " +
+                                     std::to_string(cpus) + " held");
     }
   }
 }
@@ -74,7 +75,7 @@
   run_report_.started_again += !job.begun_tasks.insert(task.index).second;
   check_after_done(task, job);
   check_other_cells(task, job);
-  const wire::JobSpec& s = job.spec;
+  const wire::JobSpec& spec = job.spec;
   std::map<std::size_t, int> zones;
   double team = 0;
   for (auto& [name, other] : machines_) {
@@ -87,7 +88,7 @@
     for (const WorkerTask& other_task : other->tasks) {
       if (!other_task.occupies_machine())
         continue;
-      if (other_task.job->spec.team == s.team)
+      if (other_task.job->spec.team == spec.team)
         team += other_task.job->spec.task_resources.cpus;
       if (other_task.job != &job)
         continue;
@@ -99,21 +100,21 @@
     }
   }
   for (const auto& t : settings_.teams) {
-    if (t.name == s.team && t.cpus_max > 0 && team > t.cpus_max + 1e-6) {
-      report_violation("quota", s.team + " uses " + std::to_string(team));
+    if (t.name == spec.team && t.cpus_max > 0 && team > t.cpus_max + 1e-6) {
+      report_violation("quota", spec.team + " uses " + std::to_string(team));
     }
   }
-  if (machine.spot && !s.allows_spot)
+  if (machine.spot && !spec.allows_spot)
     report_violation("wrong_place", task.name + " on spot");
-  if (s.zone && *s.zone != settings_.zones[machine.zone])
+  if (spec.zone && *spec.zone != settings_.zones[machine.zone])
     report_violation("wrong_place", task.name + " in a zone it may not be in");
-  if (!s.types.empty() &&
-      std::find(s.types.begin(), s.types.end(), catalog_[machine.type].name) == s.types.end()) {
+  if (!spec.types.empty() &&
+      std::find(spec.types.begin(), spec.types.end(), catalog_[machine.type].name) == spec.types.end()) {
     report_violation("wrong_place", task.name + " on a type it may not be on");
   }
-  if (s.spread_zones && zones[machine.zone] + 1 > static_cast<int>((s.tasks + 1) / 2))
+  if (spec.spread_zones && zones[machine.zone] + 1 > static_cast<int>((spec.tasks + 1) / 2))
     report_violation("wrong_place", task.name + " spread");
-  if (s.same_zone) {
+  if (spec.same_zone) {
     for (const auto& [zone, n] : zones) {
       if (zone != machine.zone && n > 0)
         report_violation("wrong_place", task.name + " away from its zone");
@@ -233,7 +234,8 @@
 }
 
 bool SimulatedCluster::may_be_cancelled(const UserJob& job) const {
-  if (job.told_done || (job.is_done() && job.spec.shape != wire::Shape::service && !job.cancellation_wanted))
+  if (job.reported_done ||
+      (job.is_done() && job.spec.shape != wire::Shape::service && !job.cancellation_wanted))
     return false;
   return job.cancellation_wanted || std::any_of(job.dependencies.begin(), job.dependencies.end(),
                                                 [this](const UserJob* n) { return may_be_cancelled(*n); });
@@ -278,7 +280,7 @@
 // Reports an accepted job whose queries stay unanswered: for longer than `kUnansweredLimit` after the end of
 // all faults, or for longer than `kForgottenLimit` at any time at which most queries are answered.
 void SimulatedCluster::check_answered(UserJob& job) {
-  if (!job.accepted || job.told_done || job.cancellation_confirmed_at >= 0)
+  if (!job.accepted || job.reported_done || job.cancellation_confirmed_at >= 0)
     return;
   const double spell = now_ - std::max({job.answered_at, job.accepted_at, faults_end_at()});
   run_report_.longest_unanswered = std::max(run_report_.longest_unanswered, spell);
@@ -298,7 +300,7 @@
 
 // Returns whether a healthy machine has free capacity for one more task of the job within its team's quota.
 bool SimulatedCluster::has_capacity_beside(const UserJob& job) const {
-  const wire::JobSpec& s = job.spec;
+  const wire::JobSpec& spec = job.spec;
   double team = 0;
   std::map<std::size_t, std::uint32_t> zones;
   for (const auto& [name, machine] : machines_) {
@@ -307,13 +309,13 @@
     for (const WorkerTask& other_task : machine->tasks) {
       if (other_task.phase == "exited" || !other_task.job)
         continue;
-      if (other_task.job->spec.team == s.team)
+      if (other_task.job->spec.team == spec.team)
         team += other_task.job->spec.task_resources.cpus;
       zones[machine->zone] += other_task.job == &job;
     }
   }
   for (const auto& t : settings_.teams) {
-    if (t.name == s.team && t.cpus_max > 0 && team + s.task_resources.cpus > t.cpus_max + 1e-6)
+    if (t.name == spec.team && t.cpus_max > 0 && team + spec.task_resources.cpus > t.cpus_max + 1e-6)
       return false;
   }
   return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
@@ -321,19 +323,19 @@
     if (machine.gone || machine.dead || !machine.up || machine.fails_tasks || machine.slowdown > 1 ||
         now_ < std::max({machine.hung_until, machine.incoming_lost_until, machine.outgoing_lost_until}))
       return false;
-    if ((machine.spot && !s.allows_spot) || (s.zone && *s.zone != settings_.zones[machine.zone]))
+    if ((machine.spot && !spec.allows_spot) || (spec.zone && *spec.zone != settings_.zones[machine.zone]))
       return false;
-    if (!s.types.empty() &&
-        std::find(s.types.begin(), s.types.end(), catalog_[machine.type].name) == s.types.end())
+    if (!spec.types.empty() &&
+        std::find(spec.types.begin(), spec.types.end(), catalog_[machine.type].name) == spec.types.end())
       return false;
     const auto here = zones.find(machine.zone);
-    if (s.spread_zones && here != zones.end() && here->second + 1 > (s.tasks + 1) / 2)
+    if (spec.spread_zones && here != zones.end() && here->second + 1 > (spec.tasks + 1) / 2)
       return false;
-    if (s.same_zone && std::any_of(zones.begin(), zones.end(), [&machine](const auto& z) {
+    if (spec.same_zone && std::any_of(zones.begin(), zones.end(), [&machine](const auto& z) {
           return z.second > 0 && z.first != machine.zone;
         }))
       return false;
-    double cpus = s.task_resources.cpus, memory = s.task_resources.memory_gb;
+    double cpus = spec.task_resources.cpus, memory = spec.task_resources.memory_gb;
     for (const WorkerTask& other_task : machine.tasks) {
       if (other_task.phase == "exited" || !other_task.job)
         continue;
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -264,7 +264,7 @@
   /// Number of accepted jobs whose users want them cancelled and have received no final state yet.
   std::size_t open_cancellations() const;
   /// Returns whether a user received an answer that the job is done.
-  bool told_done(const std::string& ref) const;
+  bool reported_done(const std::string& ref) const;
   bool accepted(const std::string& ref) const;
   /// Number of the job's tasks that are on machines whose lease has not expired.
   std::size_t on_machines(const std::string& ref) const;
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -31,17 +31,17 @@
 
 // Submits a job that depends on itself or on a job that was never submitted.
 void SimulatedCluster::submit_impossible_job() {
-  wire::JobSpec s = jobs_.begin()->second->spec;
-  s.ref = "req-8" + std::to_string(random_index(100000));
-  s.depends_on = {random_bool(0.3) ? s.ref : "req-7" + std::to_string(random_index(100000))};
+  wire::JobSpec spec = jobs_.begin()->second->spec;
+  spec.ref = "req-8" + std::to_string(random_index(100000));
+  spec.depends_on = {random_bool(0.3) ? spec.ref : "req-7" + std::to_string(random_index(100000))};
   if (random_bool(0.5))
-    s.depends_on.push_back(jobs_.begin()->first);
+    spec.depends_on.push_back(jobs_.begin()->first);
   controller::IncomingRequest request;
   request.method = "POST";
   request.path = wire::kJobsPath;
-  request.body = wire::encode_cbor(wire::job_value(s));
+  request.body = wire::encode_cbor(wire::job_value(spec));
   const std::size_t node = random_index(plan_.nodes);
-  send("users", node_name(node), [this, request, node, ref = s.ref] {
+  send("users", node_name(node), [this, request, node, ref = spec.ref] {
     deliver(node, request, [this, ref](const ports::Answer& answer) {
       if (answer.status < 300 || answer.status == 400)
         report_violation("protocol", ref + " needs what never was, but got " + std::to_string(answer.status));
@@ -80,49 +80,50 @@
   auto job = std::make_unique<UserJob>();
   char ref[24];
   std::snprintf(ref, sizeof ref, "req-%06zu", ++jobs_made_ + 100000 * plan_.cell);
-  wire::JobSpec& s = job->spec;
-  s.ref = ref;
-  s.job_class = random_bool(0.5) ? "web" : "batch";
-  s.team = random_bool(0.5) ? "red" : "blue";
-  s.image = "img-" + std::to_string(random_index(4));
-  s.image_gb = random_between(0.2, 3);
-  s.task_resources = {random_bool(0.5) ? 2.0 : 4.0, 0, random_between(1, 8)};
-  s.shape = random_bool(0.25) ? wire::Shape::service : wire::Shape::array;
-  if (s.shape == wire::Shape::service) {
-    s.tasks = static_cast<std::uint32_t>(1 + random_index(4));
-    s.priority = wire::Priority::production;
-    s.spread_zones = random_bool(0.5);
+  wire::JobSpec& spec = job->spec;
+  spec.ref = ref;
+  spec.job_class = random_bool(0.5) ? "web" : "batch";
+  spec.team = random_bool(0.5) ? "red" : "blue";
+  spec.image = "img-" + std::to_string(random_index(4));
+  spec.image_gb = random_between(0.2, 3);
+  spec.task_resources = {random_bool(0.5) ? 2.0 : 4.0, 0, random_between(1, 8)};
+  spec.shape = random_bool(0.25) ? wire::Shape::service : wire::Shape::array;
+  if (spec.shape == wire::Shape::service) {
+    spec.tasks = static_cast<std::uint32_t>(1 + random_index(4));
+    spec.priority = wire::Priority::production;
+    spec.spread_zones = random_bool(0.5);
   } else {
-    s.tasks = static_cast<std::uint32_t>(1 + random_index(random_bool(0.1) ? 40 : 10));
-    s.priority = random_bool(0.2) ? wire::Priority::high : wire::Priority::normal;
-    s.allows_spot = random_bool(0.6);
-    s.same_zone = random_bool(0.15);
+    spec.tasks = static_cast<std::uint32_t>(1 + random_index(random_bool(0.1) ? 40 : 10));
+    spec.priority = random_bool(0.2) ? wire::Priority::high : wire::Priority::normal;
+    spec.allows_spot = random_bool(0.6);
+    spec.same_zone = random_bool(0.15);
     job->run_s = random_bool(0.1) ? random_between(40, 90) : random_between(1, 15);
-    s.estimate_s = job->run_s * random_between(0.5, 2);
+    spec.estimate_s = job->run_s * random_between(0.5, 2);
     job->always_fails = random_bool(0.03);
-    if (s.tasks > 1 && s.tasks <= 4 && random_bool(0.3))
-      s.shape = wire::Shape::gang;
+    if (spec.tasks > 1 && spec.tasks <= 4 && random_bool(0.3))
+      spec.shape = wire::Shape::gang;
   }
-  if (s.shape != wire::Shape::gang)
-    s.tasks *= plan_.job_size;
+  if (spec.shape != wire::Shape::gang)
+    spec.tasks *= plan_.job_size;
   if (random_bool(0.1))
-    s.zone = settings_.zones[random_index(plan_.zone_tracking)];
+    spec.zone = settings_.zones[random_index(plan_.zone_tracking)];
   if (random_bool(0.1))
-    s.types = {catalog_[random_index(2)].name};
-  if (plan_.dependencies && now_ >= dependencies_from_ && s.shape != wire::Shape::service && random_bool(0.5))
+    spec.types = {catalog_[random_index(2)].name};
+  if (plan_.dependencies && now_ >= dependencies_from_ && spec.shape != wire::Shape::service &&
+      random_bool(0.5))
     choose_dependencies(*job);
-  if (s.depends_on.empty() == false && random_bool(0.5))
-    s.deadline_s = random_between(20, 300);
+  if (spec.depends_on.empty() == false && random_bool(0.5))
+    spec.deadline_s = random_between(20, 300);
   if (plan_.dependencies && now_ >= dependencies_from_ && !jobs_.empty() && random_bool(0.1))
     submit_impossible_job();
-  job->body = wire::job_value(s);
+  job->body = wire::job_value(spec);
   UserJob& j = *job;
-  jobs_[s.ref] = std::move(job);
+  jobs_[spec.ref] = std::move(job);
   j.submitted = true;
   submit(j, now_);
-  const double cancel_after = random_bool(0.25)                 ? random_between(0, 30)
-                              : s.shape == wire::Shape::service ? random_between(40, 120)
-                                                                : -1;
+  const double cancel_after = random_bool(0.25)                    ? random_between(0, 30)
+                              : spec.shape == wire::Shape::service ? random_between(40, 120)
+                                                                   : -1;
   if (cancel_after >= 0) {
     add_event_after(cancel_after, [this, &j] {
       j.cancellation_wanted = true;
@@ -167,7 +168,7 @@
   request.path = wire::kJobsPath;
   request.body = wire::encode_cbor(job.body);
   auto answered = std::make_shared<bool>(false);
-  const bool was_final = job.told_done || job.cancellation_confirmed_at >= 0;
+  const bool was_final = job.reported_done || job.cancellation_confirmed_at >= 0;
   send("users", node_name(node), [this, node, request, &job, answered, was_final, since] {
     deliver(node, request, [this, &job, answered, was_final, since](const ports::Answer& answer) {
       if (*answered)
@@ -193,7 +194,7 @@
           if (now_ < close_polls_until_)
             poll_every_node(job);
         }
-        const bool is_final = job.told_done || job.cancellation_confirmed_at >= 0;
+        const bool is_final = job.reported_done || job.cancellation_confirmed_at >= 0;
         // An answer that was overtaken on its way by the answer to a query may show an earlier state (seed 5
         // without faults).
         if (answer.status == 200 && is_final == was_final)
@@ -227,9 +228,9 @@
       report_violation("not_done", job.spec.ref);
     if (job.cancellation_confirmed_at >= 0)
       report_violation("went_back", job.spec.ref + " from cancelled to done");
-    if (!job.told_done)
+    if (!job.reported_done)
       ++run_report_.finished;
-    if (!std::exchange(job.told_done, true) && now_ < close_polls_until_)
+    if (!std::exchange(job.reported_done, true) && now_ < close_polls_until_)
       poll_every_node(job);
   } else if (*phase == wire::Phase::cancelled) {
     if (!may_be_cancelled(job))
@@ -245,7 +246,7 @@
       run_report_.orphaned += !job.cancellation_wanted;
     }
     mark_cancelled(job, now_);
-  } else if (job.told_done || job.cancellation_confirmed_at >= 0) {
+  } else if (job.reported_done || job.cancellation_confirmed_at >= 0) {
     report_violation("went_back", job.spec.ref + " lives again by " + source);
   } else if (job.cancelled_since >= 0 && now_ > job.cancelled_since + kCancellationLimit) {
     report_violation("orphaned", job.spec.ref + " by " + source);
@@ -255,7 +256,7 @@
 void SimulatedCluster::poll(UserJob& job) {
   check_answered(job);
   query_at_node(job, random_index(plan_.nodes), "poll");
-  const bool is_final = job.told_done || job.cancellation_confirmed_at >= 0;
+  const bool is_final = job.reported_done || job.cancellation_confirmed_at >= 0;
   add_event_after(is_final ? random_between(10, 40) : random_between(2, 5), [this, &job] { poll(job); });
 }
 
@@ -267,7 +268,7 @@
   // 2 s is ignored.
   const double asked_at = now_;
   record_query();
-  const bool was_final = job.told_done || job.cancellation_confirmed_at >= 0;
+  const bool was_final = job.reported_done || job.cancellation_confirmed_at >= 0;
   send("users", node_name(node), [this, node, request, &job, asked_at, was_final, source] {
     deliver(node, request, [this, &job, asked_at, was_final, source](const ports::Answer& answer) {
       if (now_ - asked_at > 2 || plan_.planted_fault == "questions_unanswered")
@@ -278,7 +279,7 @@
         record_answer(job);
       if (plan_.planted_fault == "older_answer" && was_final)
         return on_job_state(job, 200, wire::job_progress(job.spec.ref, wire::Phase::running, 0, 1), source);
-      const bool is_final = job.told_done || job.cancellation_confirmed_at >= 0;
+      const bool is_final = job.reported_done || job.cancellation_confirmed_at >= 0;
       if (is_final && !was_final && answer.status == 200)
         return;  // another answer overtook this one on its way
       on_job_state(job, answer.status, answer.body, source);
