--- a/src/simulation/combined_faults.cpp
+++ b/src/simulation/combined_faults.cpp
@@ -36,9 +36,9 @@
                   static_cast<int>(what), until);
     if (what == MachineFault::hung)
       machine->hung_until = until;
-    if (what == MachineFault::deaf)
+    if (what == MachineFault::incoming_lost)
       machine->incoming_lost_until = until;
-    if (what == MachineFault::mute)
+    if (what == MachineFault::outgoing_lost)
       machine->outgoing_lost_until = until;
     if (what != MachineFault::unreachable)
       continue;
@@ -145,7 +145,7 @@
 void SimulatedCluster::poll_every_node(UserJob& job) {
   for (std::size_t round = 0; round < 4; ++round) {
     for (std::size_t i = 0; i < plan_.nodes; ++i) {
-      ++run_report_.close_polls;
+      ++run_report_.burst_queries;
       add_event_after(static_cast<double>(round) * random_between(0.001, 0.02) + random_between(0, 0.003),
                       [this, i, &job] { query_at_node(job, i, "a close look"); });
     }
--- a/src/simulation/controllers.cpp
+++ b/src/simulation/controllers.cpp
@@ -20,13 +20,13 @@
   if (c.controller)
     return;
   settings::Settings s = c.runs_former_version ? settings_before_upgrade_ : settings_;
-  if (plan_.one_without_shares && i + 1 == plan_.nodes)
+  if (plan_.one_without_fair_admission && i + 1 == plan_.nodes)
     s.tunables.fair_admission = 0;
   s.node = node_name(i);
-  s.zone = settings_.zones[i % plan_.zone_tracking];
+  s.zone = settings_.zones[i % plan_.zones];
   for (std::size_t p = 0; p < plan_.nodes; ++p) {
     if (p != i)
-      s.peers.push_back({node_name(p), settings_.zones[p % plan_.zone_tracking], {}});
+      s.peers.push_back({node_name(p), settings_.zones[p % plan_.zones], {}});
   }
   ++c.process_number;
   c.open_requests.clear();
--- a/src/simulation/random_faults.cpp
+++ b/src/simulation/random_faults.cpp
@@ -65,7 +65,7 @@
           random_between(0.1, 0.5), span,
           kind == 3 ? DuplicateArrival::after_election : DuplicateArrival::later);
     case 4:
-      return void(fail_machines(random_bool(0.5) ? MachineFault::deaf : MachineFault::mute,
+      return void(fail_machines(random_bool(0.5) ? MachineFault::incoming_lost : MachineFault::outgoing_lost,
                                 1 + random_index(4), span));
     case 5:  // refuses the leader alone, then the service is down for all
       refuse_state_service(on, random_between(3, 15));
@@ -165,7 +165,7 @@
       return;
     case 13:
     case 14:
-      return cut_zone(random_index(plan_.zone_tracking), random_between(2, 90), hold);
+      return cut_zone(random_index(plan_.zones), random_between(2, 90), hold);
     case 15:
       return state_outage(random_between(5, 50));
     case 16:
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -288,9 +288,9 @@
     report_violation("unanswered",
                      job.spec.ref + ": no answer for " + std::to_string(spell) + " s, all being calm");
   const double silence = now_ - std::max(job.answered_at, job.accepted_at);
-  if (silence <= run_report_.longest_unanswered_alone || !most_are_answered())
+  if (silence <= run_report_.longest_unanswered_beside_answers || !most_are_answered())
     return;
-  run_report_.longest_unanswered_alone = silence;
+  run_report_.longest_unanswered_beside_answers = silence;
   if (silence > kUnansweredLimit)
     spdlog::debug("simulation: query_unanswered t={:.3f} job={} for_s={:.1f}", now_, job.spec.ref, silence);
   if (silence > kForgottenLimit)
--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -21,14 +21,14 @@
   plan.upgrade = seed % 3 == 0;
   plan.cuts = seed % 5 < 2;
   plan.load_balancing = seed / 2 % 2 == 0;
-  plan.short_lived_processes = seed / 3 % 2 == 0;
+  plan.zone_tracking = seed / 3 % 2 == 0;
   plan.peer_agreement = seed / 4 % 2 == 0;
   if (plan.peer_agreement)
     plan.delegation_leases = 4;
   if (seed % 7 < 3)
     plan.back_from = 0.05, plan.back_to = 0.3;
   if (seed % 6 == 1)
-    plan.zone_tracking = 3;
+    plan.zones = 3;
   plan.fair_admission = seed / 5 % 2 == 0;
   plan.combined_faults = seed >= 1'000'000;
   plan.late_commands = seed >= 2'000'000;
@@ -40,7 +40,7 @@
 
 SimulatedCluster::SimulatedCluster(SimulationPlan plan, ExternalProcesses outside)
     : plan_(std::move(plan)), external_processes_(std::move(outside)), rng_(plan_.seed) {
-  for (std::size_t z = 0; z < plan_.zone_tracking; ++z)
+  for (std::size_t z = 0; z < plan_.zones; ++z)
     settings_.zones.push_back(std::string("z").append(std::to_string(z)));
   settings_.teams = {{"red", 32, plan_.budget_limits ? 64.0 : 0, 0, 0},
                      {"blue", 16, plan_.budget_limits ? 48.0 : 0, 0, 0}};
@@ -57,7 +57,7 @@
   settings_.tunables.headroom = plan_.headroom;
   settings_.tunables.begin_within_s = plan_.begin_within_s;
   settings_.tunables.load_balancing = plan_.load_balancing;
-  settings_.tunables.zone_tracking = plan_.short_lived_processes;
+  settings_.tunables.zone_tracking = plan_.zone_tracking;
   settings_.tunables.fair_admission = plan_.fair_admission;
   settings_.tunables.peer_agreement = plan_.peer_agreement;
   settings_.tunables.delegation_leases = plan_.delegation_leases;
@@ -95,8 +95,7 @@
   }
   state_level_ = settings_.state_requests_per_s, write_level_ = settings_before_upgrade_.state_writes_per_s;
   for (int i = 0; i < plan_.machines; ++i)
-    add_machine(static_cast<std::size_t>(i % 2), static_cast<std::size_t>(i / 2) % plan_.zone_tracking, false,
-                0);
+    add_machine(static_cast<std::size_t>(i % 2), static_cast<std::size_t>(i / 2) % plan_.zones, false, 0);
 }
 
 SimulatedCluster::~SimulatedCluster() = default;
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -57,19 +57,19 @@
   /// Share of transactions that get no answer and are executed 2 to 12 s later.
   double late_writes = 0;
   /// Share of the limits in the settings that the state service really grants.
-  double undeclared_limits = 1;
+  double granted_limits_share = 1;
   /// Enables load balancing over machines and zones.
   bool load_balancing = false;
   /// Number of zones.
-  std::size_t zone_tracking = 2;
+  std::size_t zones = 2;
   /// Number of controllers.
   std::size_t nodes = 3;
   /// Changes per second that the state service grants; 0: the default for the number of machines.
   double write_rps = 0;
   /// The last controller has fair admission switched off, like one of an older version.
-  bool one_without_shares = false;
+  bool one_without_fair_admission = false;
   /// Enables the tracking of zone states.
-  bool short_lived_processes = false;
+  bool zone_tracking = false;
   /// Enables fair admission: job batches, turns and budget shares.
   bool fair_admission = false;
   /// Enables lease delegation by peer agreement.
@@ -148,15 +148,15 @@
   /// Malformed or out-of-place requests sent by users.
   std::size_t malformed_requests = 0;
   /// Queries sent in bursts, within milliseconds after a user received a job's state.
-  std::size_t close_polls = 0;
+  std::size_t burst_queries = 0;
   /// Cancellations confirmed to users.
-  std::size_t told_gone = 0;
+  std::size_t cancellations_confirmed = 0;
   /// Longest time that a job waited although a machine had free capacity for it, without faults; seconds.
   double longest_wait_beside_capacity = 0;
   /// Longest time for which no query of a job was answered, after the end of all faults; seconds.
   double longest_unanswered = 0;
   /// The same at any time at which most queries were answered; seconds.
-  double longest_unanswered_alone = 0;
+  double longest_unanswered_beside_answers = 0;
 };
 
 class SimulatedCluster;
@@ -199,7 +199,7 @@
   /// A user submits the job now and, unless `cancel_at` is negative, cancels it at that time.
   void submit_job(const wire::JobSpec& spec, double run_s, double cancel_at = -1);
   /// Adds users who query the job every few seconds, besides its own user.
-  void poll_closely(const std::string& ref, int users);
+  void add_pollers(const std::string& ref, int users);
   /// Returns whether all tasks of the job have completed.
   bool is_done(const std::string& ref) const;
   /// Returns the share of done jobs among the team's accepted arrays and gangs that were submitted at least
@@ -235,10 +235,10 @@
   /// incarnation still match.
   void delay_commands(double share, double for_s);
   enum class MachineFault : std::uint8_t {
-    hung,         // executes nothing until the fault ends, then continues
-    deaf,         // its heartbeats arrive; answers to them and direct commands are lost
-    mute,         // its heartbeats reach no controller; direct commands arrive
-    unreachable,  // cut off from all controllers in both directions; its tasks continue
+    hung,           // executes nothing until the fault ends, then continues
+    incoming_lost,  // its heartbeats arrive; answers to them and direct commands are lost
+    outgoing_lost,  // its heartbeats reach no controller; direct commands arrive
+    unreachable,    // cut off from all controllers in both directions; its tasks continue
   };
   /// Applies the fault to up to `n` machines that are up, first to those with tasks of job `ref`. Returns how
   /// many.
--- a/src/simulation/state_service.cpp
+++ b/src/simulation/state_service.cpp
@@ -228,7 +228,7 @@
     };
   }
   if (path == "/txn") {
-    if (exceeds_limits(body, granted, plan_.undeclared_limits)) {
+    if (exceeds_limits(body, granted, plan_.granted_limits_share)) {
       ++run_report_.over_limits;
       return reply(400, {{"error", "limits"}});
     }
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -71,7 +71,7 @@
   });
 }
 
-void SimulatedCluster::poll_closely(const std::string& ref, int users) {
+void SimulatedCluster::add_pollers(const std::string& ref, int users) {
   for (int n = 0; n < users; ++n)
     add_event_after(random_between(0, 4), [this, &job = *jobs_.at(ref)] { poll(job); });
 }
@@ -106,7 +106,7 @@
   if (spec.shape != wire::Shape::gang)
     spec.tasks *= plan_.job_size;
   if (random_bool(0.1))
-    spec.zone = settings_.zones[random_index(plan_.zone_tracking)];
+    spec.zone = settings_.zones[random_index(plan_.zones)];
   if (random_bool(0.1))
     spec.types = {catalog_[random_index(2)].name};
   if (plan_.dependencies && now_ >= dependencies_from_ && spec.shape != wire::Shape::service &&
@@ -237,7 +237,7 @@
       report_violation("went_back", job.spec.ref + " is called cancelled");
     if (job.cancellation_confirmed_at < 0) {
       job.cancellation_confirmed_at = now_;
-      ++run_report_.told_gone;
+      ++run_report_.cancellations_confirmed;
       if (plan_.planted_fault == "start_after_told")
         start_uncommanded_task(job);
       if (now_ < close_polls_until_)
--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -13,7 +13,7 @@
 /// Returns a scripted plan with the features of a deployment enabled, at a smaller size.
 inline SimulationPlan deployed(std::uint64_t seed, int machines = 10) {
   SimulationPlan plan = scripted(seed, machines);
-  plan.peer_agreement = plan.fair_admission = plan.load_balancing = plan.short_lived_processes = true;
+  plan.peer_agreement = plan.fair_admission = plan.load_balancing = plan.zone_tracking = true;
   plan.delegation_leases = 4;
   plan.begin_within_s = 240;
   return plan;
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -46,11 +46,15 @@
        }},
       {"machines receive nothing",
        [](Day& d) {
-         d.at(61, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::deaf, 3, 40, "req-10"); });
+         d.at(61, [&d] {
+           d.world.fail_machines(SimulatedCluster::MachineFault::incoming_lost, 3, 40, "req-10");
+         });
        }},
       {"machines can send nothing",
        [](Day& d) {
-         d.at(61, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::mute, 3, 40, "req-10"); });
+         d.at(61, [&d] {
+           d.world.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 3, 40, "req-10");
+         });
        }},
       {"answers of the state service lost",
        [](Day& d) {
@@ -94,7 +98,7 @@
         SimulationPlan plan = deployed(7);
         plan.delegation_leases = leases;
         plan.peer_agreement = agreement;
-        plan.one_without_shares = one_without_admission;
+        plan.one_without_fair_admission = one_without_admission;
         confirmed += play_gap(plan, {2.5, 9, 45, {}});
         if (HasFailure())
           return;
@@ -117,7 +121,7 @@
     for (double t = 70; t < 120; t += 18)
       day.at(t, [&] { day.crash_leader(); });
     day.world.step(130);
-    return day.finish(200).close_polls;
+    return day.finish(200).burst_queries;
   });
 }
 
@@ -281,7 +285,7 @@
     if (seed % 2 == 0)
       day.at(70, [&] { day.crash_leader(); });
     day.world.step(110);
-    return day.finish().told_gone;
+    return day.finish().cancellations_confirmed;
   });
 }
 
@@ -313,8 +317,8 @@
     day.long_arrays(6, 80);
     day.world.step(58);
     constexpr SimulatedCluster::MachineFault kinds[] = {SimulatedCluster::MachineFault::unreachable,
-                                                        SimulatedCluster::MachineFault::deaf,
-                                                        SimulatedCluster::MachineFault::mute};
+                                                        SimulatedCluster::MachineFault::incoming_lost,
+                                                        SimulatedCluster::MachineFault::outgoing_lost};
     day.world.fail_machines(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
     day.at(58.5 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 3, 60, 1.7);
@@ -479,7 +483,7 @@
     });
     day.cancel(10, 7, 60, 0.8);
     day.world.step(170);
-    return day.finish().close_polls;
+    return day.finish().burst_queries;
   });
 }
 
@@ -506,7 +510,7 @@
     day.world.state_outage(33);
     const double back = day.world.now() + 33;
     for (int n = 11; n < 14; ++n)
-      day.world.poll_closely(Day::ref(n), 60);
+      day.world.add_pollers(Day::ref(n), 60);
     day.world.step(back);
     day.world.delay_writes(0.7, 8, false);  // applies to reads for users too, so that some of these succeed
     day.world.step(back + 1.4);
--- a/tests/final_state_backlog_test.cpp
+++ b/tests/final_state_backlog_test.cpp
@@ -99,7 +99,7 @@
     EXPECT_GT(scenario.max_unrecorded(), kBacklog) << "expected a backlog of final states";
     const RunReport& report = scenario.finish();
     EXPECT_GT(report.orphaned, 100U) << "expected more orphaned jobs";
-    EXPECT_LE(report.longest_unanswered_alone, 75)
+    EXPECT_LE(report.longest_unanswered_beside_answers, 75)
         << "a job's queries failed for longer than 75 s while others succeeded";
     if (::testing::Test::HasFailure())
       return;
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -49,8 +49,8 @@
   meet(12, 100, [](std::uint64_t seed) {
     Day day(deployed(seed, 7));
     constexpr SimulatedCluster::MachineFault kinds[] = {
-        SimulatedCluster::MachineFault::hung, SimulatedCluster::MachineFault::deaf,
-        SimulatedCluster::MachineFault::mute, SimulatedCluster::MachineFault::unreachable};
+        SimulatedCluster::MachineFault::hung, SimulatedCluster::MachineFault::incoming_lost,
+        SimulatedCluster::MachineFault::outgoing_lost, SimulatedCluster::MachineFault::unreachable};
     day.long_arrays(8, 25);
     day.stream(120, 0.4, 0.5, 2, 4);
     day.world.delay_commands(0.4, 80);
@@ -83,9 +83,9 @@
     day.at(70, [&] { day.world.delay_commands(0.5, 80); });
     for (double t = 78 + 0.4 * static_cast<double>(seed); t < 150; t += 16) {
       day.at(t - 1, [&day, seed] {
-        day.world.fail_machines(
-            seed % 2 == 0 ? SimulatedCluster::MachineFault::hung : SimulatedCluster::MachineFault::deaf, 2,
-            6);
+        day.world.fail_machines(seed % 2 == 0 ? SimulatedCluster::MachineFault::hung
+                                              : SimulatedCluster::MachineFault::incoming_lost,
+                                2, 6);
       });
       day.at(t, [&] { day.crash_leader(); });
     }
@@ -103,7 +103,8 @@
     day.long_arrays(8, 50);
     day.stream(110, 0.7, 0.4, 2, 5);
     day.world.step(55);
-    day.world.fail_machines(SimulatedCluster::MachineFault::mute, 4, seed % 2 == 0 ? 14 : 40, "req-10");
+    day.world.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 4, seed % 2 == 0 ? 14 : 40,
+                            "req-10");
     day.at(56 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 4, 57, 2);
     day.world.step(120);
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -12,7 +12,7 @@
 
 SimulationPlan with_peer_agreement(std::uint64_t seed, int machines, double leases = 2) {
   SimulationPlan plan = scripted(seed, machines);
-  plan.peer_agreement = plan.short_lived_processes = true;
+  plan.peer_agreement = plan.zone_tracking = true;
   plan.delegation_leases = leases;
   plan.back_from = 0.05;
   plan.back_to = 0.3;
@@ -212,7 +212,7 @@
                std::to_string(loss.cut_s) + " s");
   hush();
   SimulationPlan plan = with_peer_agreement(seed, static_cast<int>(loss.machines), 2);
-  plan.zone_tracking = loss.zones;
+  plan.zones = loss.zones;
   plan.max_machines = loss.machines * 2;
   SimulatedCluster cluster(plan);
   cluster.begin();
@@ -352,7 +352,7 @@
 TEST(LostZone, AtEighteenHundredMachines) {
   hush();
   SimulationPlan plan = with_peer_agreement(11, 1800, 3);
-  plan.zone_tracking = 3;
+  plan.zones = 3;
   SimulatedCluster cluster(plan);
   cluster.begin();
   cluster.step(5);
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -74,7 +74,7 @@
   plan.peer_agreement = true;
   plan.nodes = flood.nodes;
   plan.write_rps = flood.write_rps;
-  plan.one_without_shares = flood.fault == Fault::older;
+  plan.one_without_fair_admission = flood.fault == Fault::older;
   plan.back_from = flood.fault == Fault::node_dead ? 0.9 : 0.05;
   plan.back_to = flood.fault == Fault::node_dead ? 0.99 : 0.2;
   SimulatedCluster cluster(plan);
@@ -291,7 +291,7 @@
     }
     cluster.step(15);
     for (int n = 1; n <= 30; ++n)
-      cluster.poll_closely("req-" + std::to_string(n), 150);
+      cluster.add_pollers("req-" + std::to_string(n), 150);
     for (std::size_t i = 0; i < cluster.nodes(); ++i)
       cluster.cut_node(i, false, true, 50, false);
     cluster.state_slow(60);
--- a/tests/process_cluster.cpp
+++ b/tests/process_cluster.cpp
@@ -212,7 +212,8 @@
                                [this] { cluster_->cancel_running_jobs(4, 0); });
     cluster_->schedule_after(kRefusedAtS + kDownAfterS, [this] {
       print_progress(std::to_string(cluster_->run_report().cancelled_together) +
-                     " running jobs cancelled so far, " + std::to_string(cluster_->run_report().told_gone) +
+                     " running jobs cancelled so far, " +
+                     std::to_string(cluster_->run_report().cancellations_confirmed) +
                      " cancellations confirmed; now the state service is down for every controller");
       cluster_->state_outage(kDownForS);
     });
--- a/tests/random_fault_search.cpp
+++ b/tests/random_fault_search.cpp
@@ -61,7 +61,7 @@
                 << v.again_after_done << " started again after they were done, " << v.held_heartbeats
                 << " kept for the next leader, " << v.undelivered << " unheard, " << v.cancelled_together
                 << " called off together, " << v.cancelled_at_end << " cancelled at the end, "
-                << v.malformed_requests << " odd requests, " << v.close_polls
+                << v.malformed_requests << " odd requests, " << v.burst_queries
                 << " close looks, beside room for " << v.longest_wait_beside_capacity
                 << " s at most, unanswered for " << v.longest_unanswered << " s at most\n";
     }
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -80,7 +80,7 @@
   std::size_t over_limits = 0;
   for (const std::uint64_t seed : {3U, 9U, 21U}) {
     SimulationPlan plan = plan_of(seed);
-    plan.undeclared_limits = 0.4;
+    plan.granted_limits_share = 0.4;
     plan.machines = 12;
     plan.fault_every_s = 40;
     const RunReport report = SimulatedCluster(plan).run();
