--- a/tests/combined_faults.hpp
+++ b/tests/combined_faults.hpp
@@ -34,8 +34,8 @@
       service.allows_spot = false;
       world.submit_job(service, 0);
     }
-    world.step(
-        40);  // leases are delegated once no controller of an older version can have led for `cancel_s`
+    // Leases are delegated once no controller of an older version can have led for `cancel_s`.
+    world.step(40);
   }
 
   /// Submits long arrays, numbered from req-10; every third one is restricted to a zone.
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -74,7 +74,8 @@
   }
   wire::JobSpec array = job_of(9, machines, "blue");
   array.estimate_s = 70;
-  world.step(45);  // leases are delegated once no controller of an older version can have led for `cancel_s`
+  // Leases are delegated once no controller of an older version can have led for `cancel_s`.
+  world.step(45);
   world.submit_job(array, 70);
   world.step(50);
   Ride r;
