--- a/tests/cells_simulation_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -36,7 +36,7 @@
 };
 // Runs a surge of six and a half times the usual load in the first cell, with the usual load in the others.
 SurgeResult run_surge(std::vector<SimulationPlan> plans, double others_per_s) {
-  hush();
+  configure_logging();
   SimulatedCells cells(std::move(plans), 5);
   cells.begin();
   // Jobs are submitted from the start, since the machines of a cluster without load are returned.
@@ -71,7 +71,7 @@
   const SurgeResult one = run_surge({cell_plan(1, 16)}, 0.4);
   const SurgeResult alone = run_surge({cell_plan(1, 8)}, 0);
   const SurgeResult quiet = [] {
-    hush();
+    configure_logging();
     SimulatedCells cells({cell_plan(1, 8), cell_plan(2, 8)}, 5);
     cells.begin();
     int n = 0;
@@ -112,7 +112,7 @@
 
 TEST_P(HandOver, NoJobIsLostOrRunsTwiceUnderAFaultAtAnyMoment) {
   const auto fault = static_cast<Fault>(GetParam());
-  hush();
+  configure_logging();
   std::size_t foreign_tasks = 0;
   for (int moment = 0; moment < 12; ++moment) {
     SCOPED_TRACE("moment " + std::to_string(moment));
@@ -172,7 +172,7 @@
 // told that the job is cancelled. Once the cell is reachable, the job ends there and its final state is
 // recorded.
 TEST(Cells, ACancellationIsRecordedOnlyAfterTheRemoteJobHasEnded) {
-  hush();
+  configure_logging();
   SimulatedCells cells({cell_plan(5, 2), cell_plan(6, 6)}, 3);
   cells.begin();
   cells.step(15);
@@ -196,7 +196,7 @@
 
 // A draining cell offloads its waiting jobs and finishes the running ones, until it has no job left.
 TEST(Cells, ADrainedCellHasNoJobsLeft) {
-  hush();
+  configure_logging();
   SimulatedCells cells({cell_plan(7, 4), cell_plan(8, 12)}, 3);
   cells.begin();
   cells.step(15);
@@ -218,7 +218,7 @@
 // All controllers of the holding cell crash again and again for a minute. It keeps its foreign jobs, the
 // origin cell waits for it, and no task is lost or started again.
 TEST(Cells, ANeighbourWhoseControllersAreDownKeepsItsForeignJobs) {
-  hush();
+  configure_logging();
   SimulatedCells cells({cell_plan(9, 2), cell_plan(10, 6)}, 4);
   cells.begin();
   cells.step(55);  // lease delegation has begun
@@ -237,7 +237,7 @@
 }
 
 TEST(Cells, RandomRunsOfSeveralCellsWithAllFaults) {
-  hush();
+  configure_logging();
   std::size_t foreign_tasks = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const CellsRunReport report = run_random_cells(seed);
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -11,12 +11,13 @@
 // controller. Sweeps the moment of the cancellations, the start of the outage and its length.
 TEST(CombinedFaults, CancellationsWhileOnlyTheLeaderIsRefusedThenAnOutage) {
   std::size_t confirmed = 0;
-  for (double a = -1; a <= 7; a += wide() > 1 ? 0.5 : 2) {
-    for (double b = 1; b <= 13; b += wide() > 1 ? 1 : 3) {
+  for (double a = -1; a <= 7; a += seed_factor() > 1 ? 0.5 : 2) {
+    for (double b = 1; b <= 13; b += seed_factor() > 1 ? 1 : 3) {
       for (const double down : {12.0, 45.0, 100.0}) {
         SCOPED_TRACE("cancelled after " + std::to_string(a) + " s, down after " + std::to_string(b) +
                      " s for " + std::to_string(down));
-        confirmed += play_gap(deployed(static_cast<std::uint64_t>(10 * a + b + 20)), {a, b, down, {}});
+        confirmed +=
+            run_staged_outage(deployed(static_cast<std::uint64_t>(10 * a + b + 20)), {a, b, down, {}});
         if (HasFailure())
           return;
       }
@@ -27,59 +28,60 @@
 
 // The same sequence combined with one further fault each.
 TEST(CombinedFaults, LeaderRefusedThenAnOutageBesideAThirdFault) {
-  const std::vector<std::pair<std::string, std::function<void(Day&)>>> third_faults = {
+  const std::vector<std::pair<std::string, std::function<void(FaultRun&)>>> third_faults = {
       {"all controllers crash during the outage",
-       [](Day& d) {
+       [](FaultRun& d) {
          d.at(75, [&d] {
            for (std::size_t i = 0; i < 3; ++i)
-             d.world.crash(i);
+             d.cluster.crash(i);
          });
        }},
       {"machines hang",
-       [](Day& d) {
-         d.at(62.1, [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::hung, 3, 30, "req-10"); });
+       [](FaultRun& d) {
+         d.at(62.1, [&d] { d.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 3, 30, "req-10"); });
        }},
       {"machines unreachable",
-       [](Day& d) {
-         d.at(61,
-              [&d] { d.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 50, "req-11"); });
+       [](FaultRun& d) {
+         d.at(61, [&d] {
+           d.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 50, "req-11");
+         });
        }},
       {"machines receive nothing",
-       [](Day& d) {
+       [](FaultRun& d) {
          d.at(61, [&d] {
-           d.world.fail_machines(SimulatedCluster::MachineFault::incoming_lost, 3, 40, "req-10");
+           d.cluster.fail_machines(SimulatedCluster::MachineFault::incoming_lost, 3, 40, "req-10");
          });
        }},
       {"machines can send nothing",
-       [](Day& d) {
+       [](FaultRun& d) {
          d.at(61, [&d] {
-           d.world.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 3, 40, "req-10");
+           d.cluster.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 3, 40, "req-10");
          });
        }},
       {"answers of the state service lost",
-       [](Day& d) {
-         d.at(58, [&d] { d.world.delay_writes(0.4, 20, true); });
+       [](FaultRun& d) {
+         d.at(58, [&d] { d.cluster.delay_writes(0.4, 20, true); });
        }},
       {"transactions carried out late",
-       [](Day& d) {
-         d.at(58, [&d] { d.world.delay_writes(0.4, 20, false); });
+       [](FaultRun& d) {
+         d.at(58, [&d] { d.cluster.delay_writes(0.4, 20, false); });
        }},
       {"old heartbeats",
-       [](Day& d) {
+       [](FaultRun& d) {
          d.at(50, [&d] {
-           d.world.duplicate_heartbeats_late(0.5, 12, SimulatedCluster::DuplicateArrival::after_election);
+           d.cluster.duplicate_heartbeats_late(0.5, 12, SimulatedCluster::DuplicateArrival::after_election);
          });
        }},
       {"the old leader hangs",
-       [](Day& d) {
-         d.at(61, [&d] { d.world.freeze(d.world.leader().value_or(0), 9); });
+       [](FaultRun& d) {
+         d.at(61, [&d] { d.cluster.freeze(d.cluster.leader().value_or(0), 9); });
        }},
   };
   std::size_t confirmed = 0;
   for (const auto& [name, inject] : third_faults) {
-    for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(2 * wide()); ++seed) {
+    for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(2 * seed_factor()); ++seed) {
       SCOPED_TRACE(name + ", seed " + std::to_string(seed));
-      confirmed += play_gap(deployed(seed), {2.0 + static_cast<double>(seed % 3), 8, 50, inject});
+      confirmed += run_staged_outage(deployed(seed), {2.0 + static_cast<double>(seed % 3), 8, 50, inject});
       if (HasFailure())
         return;
     }
@@ -99,7 +101,7 @@
         plan.delegation_leases = leases;
         plan.peer_agreement = agreement;
         plan.one_without_fair_admission = one_without_admission;
-        confirmed += play_gap(plan, {2.5, 9, 45, {}});
+        confirmed += run_staged_outage(plan, {2.5, 9, 45, {}});
         if (HasFailure())
           return;
       }
@@ -111,16 +113,16 @@
 // 1. Users query all controllers repeatedly and repeat the submission within milliseconds of an answer; some
 // cancel at once. No controller may answer with an older state than one answered before.
 TEST(CombinedFaults, QueriesAtAllControllersWithinMilliseconds) {
-  meet(4, 3000, [](std::uint64_t seed) {
-    Day day(deployed(seed));
-    day.world.poll_all_nodes(90);
+  run_seeds(4, 3000, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
+    day.cluster.poll_all_nodes(90);
     day.long_arrays(4, 20);
     day.stream(120, 0.4, 0.4);
     if (seed % 2 == 0)
-      day.at(60, [&] { day.world.state_slow(20); });
+      day.at(60, [&] { day.cluster.state_slow(20); });
     for (double t = 70; t < 120; t += 18)
       day.at(t, [&] { day.crash_leader(); });
-    day.world.step(130);
+    day.cluster.step(130);
     return day.finish(200).burst_queries;
   });
 }
@@ -128,15 +130,15 @@
 // 2. The state service carries a transaction out, but its answer is lost, while other controllers
 // read what was written.
 TEST(CombinedFaults, OnlyTheAnswerIsLost) {
-  meet(6, 100, [](std::uint64_t seed) {
-    Day day(deployed(seed));
-    day.world.poll_all_nodes(80);
-    day.world.delay_writes(seed % 2 == 0 ? 0.25 : 0.6, 60, true);
+  run_seeds(6, 100, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
+    day.cluster.poll_all_nodes(80);
+    day.cluster.delay_writes(seed % 2 == 0 ? 0.25 : 0.6, 60, true);
     day.long_arrays(4, 20);
     day.stream(110, 0.5, 0.4);
     day.at(60 + static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(90, [&] { day.crash_leader(); });
-    day.world.step(130);
+    day.cluster.step(130);
     return day.finish(240).lost_replies;
   });
 }
@@ -144,22 +146,22 @@
 // 3. Every team is at its limit; machines of cancelled jobs are unreachable or hang; the leader changes. The
 // capacity is used again as soon as the tasks are proved to be gone.
 TEST(CombinedFaults, TeamsAtTheirLimitsCancelJobsOnUnreachableMachines) {
-  meet(8, 8, [](std::uint64_t seed) {
+  run_seeds(8, 8, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 14);
     plan.budget_limits = true;
-    Day day(plan);
+    FaultRun day(plan);
     for (int n = 0; n < 10; ++n) {
       wire::JobSpec spec = job_of(10 + n, 8, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 50;
-      day.world.submit_job(spec, 50);
+      day.cluster.submit_job(spec, 50);
     }
-    day.world.step(55);
+    day.cluster.step(55);
     const auto fault =
         seed % 2 == 0 ? SimulatedCluster::MachineFault::unreachable : SimulatedCluster::MachineFault::hung;
-    day.world.fail_machines(fault, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
+    day.cluster.fail_machines(fault, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
     day.cancel(10, 6, 55.1, 0.2);
     day.at(55 + 0.7 * static_cast<double>(seed), [&] { day.crash_leader(); });
-    day.world.step(60);
+    day.cluster.step(60);
     const std::size_t elections = day.elections();
     day.finish();
     return elections;
@@ -169,21 +171,21 @@
 // 4. Jobs are cancelled in the seconds around a failover: the leader crashes, hangs or is cut off
 // from the state service.
 TEST(CombinedFaults, CancelledDuringAFailover) {
-  meet(12, 12, [](std::uint64_t seed) {
-    Day day(deployed(seed));
+  run_seeds(12, 12, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
     day.long_arrays(9, 70);
     day.stream(80, 0.3, 0.5);
-    day.world.step(58);
-    const std::size_t elections_before = day.elections(), old = day.world.leader().value_or(0);
+    day.cluster.step(58);
+    const std::size_t elections_before = day.elections(), old = day.cluster.leader().value_or(0);
     const double shift = 0.5 * static_cast<double>(seed % 12);
     if (seed % 3 == 0)
-      day.at(60, [&] { day.world.crash(old); });
+      day.at(60, [&] { day.cluster.crash(old); });
     if (seed % 3 == 1)
-      day.at(60, [&] { day.world.freeze(old, 7); });
+      day.at(60, [&] { day.cluster.freeze(old, 7); });
     if (seed % 3 == 2)
-      day.at(60, [&] { day.world.cut_node(old, true, false, 12, seed % 2 == 0); });
+      day.at(60, [&] { day.cluster.cut_node(old, true, false, 12, seed % 2 == 0); });
     day.cancel(10, 8, 59 + shift, 0.1);
-    day.world.step(80);
+    day.cluster.step(80);
     const std::size_t changes = day.elections() - elections_before;
     day.finish();
     return changes;
@@ -193,24 +195,24 @@
 // 5. Machines that boot within two seconds get tasks at once while writes are delayed,
 // and the leader crashes.
 TEST(CombinedFaults, MachinesBootAtOnceWhileWritesAreDelayed) {
-  meet(8, 40, [](std::uint64_t seed) {
+  run_seeds(8, 40, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 4);
     plan.max_machines = 24;
-    Day day(plan);
-    day.world.boot_quickly(60);
-    day.world.delay_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
+    FaultRun day(plan);
+    day.cluster.boot_quickly(60);
+    day.cluster.delay_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec spec = job_of(10 + n, 10, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 40;
-      day.world.submit_job(spec, 40);
+      day.cluster.submit_job(spec, 40);
     }
-    const std::size_t machines_before = day.world.machines_in_zone(0) + day.world.machines_in_zone(1);
+    const std::size_t machines_before = day.cluster.machines_in_zone(0) + day.cluster.machines_in_zone(1);
     for (int k = 0; k < 3; ++k)
       day.at(43 + 0.5 * static_cast<double>(seed) + 9 * k, [&] { day.crash_leader(); });
     day.cancel(10, 3, 50, 0.3);
-    day.world.step(80);
+    day.cluster.step(80);
     const std::size_t rented =
-        day.world.machines_in_zone(0) + day.world.machines_in_zone(1) - machines_before;
+        day.cluster.machines_in_zone(0) + day.cluster.machines_in_zone(1) - machines_before;
     const RunReport& report = day.finish();
     EXPECT_GT(report.late_writes + report.lost_replies, 0U) << "expected delayed writes or lost answers";
     return rented;
@@ -220,28 +222,28 @@
 // 6. Old heartbeats arrive at every controller when a new leader begins, after it has acted, and after newer
 // heartbeats; some are of an earlier incarnation or attempt. They must not count for reconciliation.
 TEST(CombinedFaults, OldHeartbeatsReconcileNothing) {
-  meet(8, 400, [](std::uint64_t seed) {
+  run_seeds(8, 400, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.budget_limits = seed % 2 == 0;
-    Day day(plan);
+    FaultRun day(plan);
     day.long_arrays(6, 25);
     day.stream(150, 0.6, 0.3);
-    day.world.duplicate_heartbeats_late(0.4, 60,
-                                        seed % 3 != 0 ? SimulatedCluster::DuplicateArrival::after_election
-                                                      : SimulatedCluster::DuplicateArrival::later);
+    day.cluster.duplicate_heartbeats_late(0.4, 60,
+                                          seed % 3 != 0 ? SimulatedCluster::DuplicateArrival::after_election
+                                                        : SimulatedCluster::DuplicateArrival::later);
     day.at(52, [&] {
-      day.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
+      day.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
     });  // long enough for their incarnations to end
     day.at(60 + 0.3 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.at(85, [&] {
-      day.world.duplicate_heartbeats_late(0.4, 50,
-                                          seed % 3 == 0 ? SimulatedCluster::DuplicateArrival::after_election
-                                                        : SimulatedCluster::DuplicateArrival::later);
+      day.cluster.duplicate_heartbeats_late(0.4, 50,
+                                            seed % 3 == 0 ? SimulatedCluster::DuplicateArrival::after_election
+                                                          : SimulatedCluster::DuplicateArrival::later);
       day.crash_leader();
     });
     day.at(110, [&] { day.crash_leader(); });
     day.cancel(10, 3, 60.5, 1.5);
-    day.world.step(160);
+    day.cluster.step(160);
     const RunReport& report = day.finish();
     EXPECT_GT(report.held_heartbeats, 0U) << "expected heartbeats held back until an election";
     return report.late_heartbeats + report.held_heartbeats;
@@ -251,18 +253,18 @@
 // 7. Four one-task jobs per second for minutes, a quarter of them cancelled. The writes stay within the
 // budget of the smallest site, and only the final states of these jobs remain stored.
 TEST(CombinedFaults, OneTaskJobsFourASecond) {
-  meet(2, 800, [](std::uint64_t seed) {
+  run_seeds(2, 800, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
     plan.write_rps = 21;
-    Day day(plan);
+    FaultRun day(plan);
     day.stream(160, 0.25, 0.25);
     if (seed % 2 == 0)
       day.at(100, [&] { day.crash_leader(); });
-    day.world.step(170);
-    day.world.cancel(Day::ref(1)), day.world.cancel(Day::ref(2));
+    day.cluster.step(170);
+    day.cluster.cancel(FaultRun::ref(1)), day.cluster.cancel(FaultRun::ref(2));
     const RunReport& report = day.finish(120);
     EXPECT_LT(report.max_writes, 1.0) << "share of the write budget";
-    EXPECT_EQ(day.world.key_count("j/"), 0U)
+    EXPECT_EQ(day.cluster.key_count("j/"), 0U)
         << "expected no job records, cancellation markers or job batches to remain";
     EXPECT_GT(report.cancelled, 80U);
     return report.accepted;
@@ -271,12 +273,12 @@
 
 // 8. A command or its answer is delayed for seconds because the machine hangs; the machine then continues.
 TEST(CombinedFaults, CommandsDelayedAtMachinesThatHangAndContinue) {
-  meet(10, 10, [](std::uint64_t seed) {
-    Day day(deployed(seed, 6));
+  run_seeds(10, 10, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 6));
     for (double t = 45; t < 95; t += 3.1) {
       day.at(t, [&day, seed, t] {
-        day.world.fail_machines(SimulatedCluster::MachineFault::hung, 2,
-                                0.5 + std::fmod(t * static_cast<double>(seed), 7.0));
+        day.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 2,
+                                  0.5 + std::fmod(t * static_cast<double>(seed), 7.0));
       });
     }
     day.long_arrays(6, 15);
@@ -284,46 +286,46 @@
     day.cancel(10, 4, 47, 2.3);
     if (seed % 2 == 0)
       day.at(70, [&] { day.crash_leader(); });
-    day.world.step(110);
+    day.cluster.step(110);
     return day.finish().cancellations_confirmed;
   });
 }
 
 // 9. Transactions that got no answer are carried out after newer ones of the same controller.
 TEST(CombinedFaults, TransactionsCarriedOutLate) {
-  meet(8, 100, [](std::uint64_t seed) {
+  run_seeds(8, 100, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 5);
     plan.max_machines = 14;
-    Day day(plan);
-    day.world.poll_all_nodes(60);
-    day.world.delay_writes(0.3, 70, false);
-    day.world.boot_quickly(60);
+    FaultRun day(plan);
+    day.cluster.poll_all_nodes(60);
+    day.cluster.delay_writes(0.3, 70, false);
+    day.cluster.boot_quickly(60);
     day.long_arrays(8, 20, 6);
     day.stream(110, 0.5, 0.3, 2);
     day.at(75 + static_cast<double>(seed), [&] { day.crash_leader(); });
     if (seed % 2 == 0)
       day.at(100, [&] { day.crash_leader(); });
-    day.world.step(120);
+    day.cluster.step(120);
     return day.finish().late_writes;
   });
 }
 
 // 10. The leader crashes while machines with long tasks are unreachable, receive nothing or can send nothing.
 TEST(CombinedFaults, TheLeaderCrashesWhileMachinesAreUnreachable) {
-  meet(9, 9, [](std::uint64_t seed) {
+  run_seeds(9, 9, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.budget_limits = seed % 2 == 0;
-    Day day(plan);
+    FaultRun day(plan);
     day.long_arrays(6, 80);
-    day.world.step(58);
+    day.cluster.step(58);
     constexpr SimulatedCluster::MachineFault kinds[] = {SimulatedCluster::MachineFault::unreachable,
                                                         SimulatedCluster::MachineFault::incoming_lost,
                                                         SimulatedCluster::MachineFault::outgoing_lost};
-    day.world.fail_machines(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
+    day.cluster.fail_machines(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
     day.at(58.5 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 3, 60, 1.7);
     day.stream(90, 1, 0.3);
-    day.world.step(120);
+    day.cluster.step(120);
     const std::size_t changes = day.elections();
     day.finish();
     return changes;
@@ -332,16 +334,16 @@
 
 // 11. The leader changes ten times in two minutes, for even seeds also during an outage of the state service.
 TEST(CombinedFaults, LeadersChangeTenTimes) {
-  meet(4, 28, [](std::uint64_t seed) {
-    Day day(deployed(seed));
+  run_seeds(4, 28, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
     day.long_arrays(8, 40);
     day.stream(170, 0.7, 0.4);
     for (int k = 0; k < 10; ++k)
       day.at(50 + 12 * k, [&] { day.crash_leader(); });
     if (seed % 2 == 0)
-      day.at(80, [&] { day.world.state_outage(20); });
+      day.at(80, [&] { day.cluster.state_outage(20); });
     day.cancel(10, 6, 51, 9);
-    day.world.step(180);
+    day.cluster.step(180);
     const std::size_t n = day.elections();
     day.finish();
     return n;
@@ -351,24 +353,24 @@
 // 11. All controllers crash, twice or three times; for every third seed they stay down for 24 to 30 s,
 // longer than a lease.
 TEST(CombinedFaults, AllControllersCrashAndRestart) {
-  meet(6, 12, [](std::uint64_t seed) {
+  run_seeds(6, 12, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed);
     const bool down_long = seed % 3 == 0;
     plan.back_from = down_long ? 24 : 0.1;
     plan.back_to = down_long ? 30 : 1;
-    Day day(plan);
+    FaultRun day(plan);
     day.long_arrays(6, 40);
     day.stream(110, 0.7, 0.4);
     const auto crash_all = [&day] {
       for (std::size_t i = 0; i < 3; ++i)
-        day.world.crash(i);
+        day.cluster.crash(i);
     };
     day.at(60, crash_all);
     if (!down_long)
       day.at(61 + 0.3 * static_cast<double>(seed), crash_all);
     day.at(100, crash_all);
     day.cancel(10, 4, 59.5, 0.4);
-    day.world.step(150);
+    day.cluster.step(150);
     const std::size_t n = day.elections();
     day.finish();
     return n;
@@ -377,17 +379,17 @@
 
 // 11. A zone with workers and a controller is cut off for 35 s, longer than a lease.
 TEST(CombinedFaults, AZoneWithAControllerIsCutOffForLongerThanALease) {
-  meet(6, 6, [](std::uint64_t seed) {
-    Day day(deployed(seed));
+  run_seeds(6, 6, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
     day.long_arrays(8, 60);
     day.stream(140, 1, 0.4);
-    day.world.step(58);
-    day.world.cut_zone(seed % 2, 35, seed % 4 < 2);
+    day.cluster.step(58);
+    day.cluster.cut_zone(seed % 2, 35, seed % 4 < 2);
     day.cancel(10, 7, 57 + static_cast<double>(seed), 0.4);
     if (seed % 3 == 0)
       day.at(70, [&] { day.crash_leader(); });
-    day.world.step(150);
-    const std::size_t n = day.world.run_report().renewed_by_delegates;
+    day.cluster.step(150);
+    const std::size_t n = day.cluster.run_report().renewed_by_delegates;
     day.finish();
     return std::min<std::size_t>(n, 1);
   });
@@ -396,18 +398,18 @@
 // 12. A leader is cut off from the state service and the other controllers while workers and users still
 // reach it; jobs are cancelled through the new one.
 TEST(CombinedFaults, ALeaderCutOffFromStateAndPeers) {
-  meet(8, 8, [](std::uint64_t seed) {
-    Day day(deployed(seed));
-    day.world.poll_all_nodes(60);
+  run_seeds(8, 8, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
+    day.cluster.poll_all_nodes(60);
     day.long_arrays(8, 70);
     day.stream(110, 0.6, 0.4);
-    day.world.step(60);
-    const std::size_t old = day.world.leader().value_or(0);
-    day.world.cut_node(old, true, true, 12 + 5 * static_cast<double>(seed % 5), seed % 2 == 0);
+    day.cluster.step(60);
+    const std::size_t old = day.cluster.leader().value_or(0);
+    day.cluster.cut_node(old, true, true, 12 + 5 * static_cast<double>(seed % 5), seed % 2 == 0);
     day.cancel(10, 7, 60 + 0.8 * static_cast<double>(seed), 0.5);
-    day.world.step(75);
-    const std::size_t moved = day.world.leader().value_or(old) != old;
-    day.world.step(120);
+    day.cluster.step(75);
+    const std::size_t moved = day.cluster.leader().value_or(old) != old;
+    day.cluster.step(120);
     day.finish();
     return moved;
   });
@@ -416,18 +418,18 @@
 // 13. The tasks of a job finish far apart, with a change of leader between them; a cancellation, query or
 // repeated submission arrives just as the last task finishes.
 TEST(CombinedFaults, TasksFinishFarApartAndJobsAreCancelledAtCompletion) {
-  meet(6, 60, [](std::uint64_t seed) {
-    Day day(deployed(seed, 8));
-    day.world.slow_machines(4, 5);  // one of two tasks takes five times as long
-    day.world.poll_all_nodes(100);
-    day.world.cancel_at_completion(0.5, 100);
-    day.world.send_malformed_requests(100);
+  run_seeds(6, 60, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 8));
+    day.cluster.slow_machines(4, 5);  // one of two tasks takes five times as long
+    day.cluster.poll_all_nodes(100);
+    day.cluster.cancel_at_completion(0.5, 100);
+    day.cluster.send_malformed_requests(100);
     day.stream(120, 0.5, 0.1, 2 + static_cast<std::uint32_t>(seed % 2), 4);
     if (seed % 3 != 0) {
       for (double t = 60; t < 130; t += 17)
         day.at(t, [&] { day.crash_leader(); });
     }
-    day.world.step(140);
+    day.cluster.step(140);
     const RunReport& report = day.finish();
     EXPECT_GT(report.malformed_requests, 50U) << "expected malformed requests to be sent";
     return report.cancelled_at_end;
@@ -437,11 +439,11 @@
 // 14. Jobs and job arrays that must run in one zone lose machines there. Teams are at their limits when the
 // leader changes while some machines are unreachable, and jobs are cancelled meanwhile.
 TEST(CombinedFaults, JobsBoundToAZoneThatLosesMachines) {
-  meet(6, 6, [](std::uint64_t seed) {
+  run_seeds(6, 6, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
     plan.budget_limits = true;
     plan.max_machines = 16;
-    Day day(plan);
+    FaultRun day(plan);
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec spec = job_of(10 + n, 5, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 40;
@@ -449,15 +451,15 @@
         spec.zone = "z0";
       if (n % 4 == 1)
         spec.same_zone = true;
-      day.world.submit_job(spec, 40);
+      day.cluster.submit_job(spec, 40);
     }
-    day.world.step(56);
-    day.world.kill_in_zone(0, 2);
-    day.world.fail_machines(SimulatedCluster::MachineFault::unreachable, 2, 18);
+    day.cluster.step(56);
+    day.cluster.kill_in_zone(0, 2);
+    day.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 2, 18);
     day.at(56 + 0.8 * static_cast<double>(seed), [&] { day.crash_leader(); });
     day.cancel(10, 3, 57, 1.3);
     day.stream(90, 1, 0.3);
-    day.world.step(100);
+    day.cluster.step(100);
     const std::size_t n = day.elections() - 1;
     day.finish();
     return n;
@@ -467,22 +469,22 @@
 // 15. The state service is slow; for even seeds it also refuses the leader alone and then every controller
 // for 40 s, longer than cancel_s. Users cancel and query meanwhile.
 TEST(CombinedFaults, ASlowStateServiceWhileUsersCancelAndQuery) {
-  meet(4, 1000, [](std::uint64_t seed) {
-    Day day(deployed(seed));
-    day.world.poll_all_nodes(140);
+  run_seeds(4, 1000, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed));
+    day.cluster.poll_all_nodes(140);
     day.long_arrays(8, 60);
     day.stream(150, 0.5, 0.5);
-    day.at(50, [&] { day.world.state_slow(60); });
+    day.at(50, [&] { day.cluster.state_slow(60); });
     day.at(60, [&] {
       if (seed % 2 == 0)
-        day.world.refuse_state_service(day.world.leader().value_or(0), 10);
+        day.cluster.refuse_state_service(day.cluster.leader().value_or(0), 10);
     });
     day.at(64 + static_cast<double>(seed), [&] {
       if (seed % 2 == 0)
-        day.world.state_outage(40);
+        day.cluster.state_outage(40);
     });
     day.cancel(10, 7, 60, 0.8);
-    day.world.step(170);
+    day.cluster.step(170);
     return day.finish().burst_queries;
   });
 }
@@ -491,31 +493,31 @@
 // for longer than cancel_s. A follower whose query the leader deferred must not read the stored record and
 // answer that the job is queued (seed 1001007).
 TEST(CombinedFaults, AnOrphanedJobWhoseFinalStateCannotBeWritten) {
-  meet(8, 3, [](std::uint64_t seed) {
+  run_seeds(8, 3, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 6);
     plan.dependencies = true;
-    Day day(plan);
+    FaultRun day(plan);
     wire::JobSpec first = job_of(10, 2, "red");
-    day.world.submit_job(first, 100);
-    day.world.step(50);
+    day.cluster.submit_job(first, 100);
+    day.cluster.step(50);
     for (int n = 11; n < 14; ++n) {
       wire::JobSpec next = job_of(n, 1, "red");
-      next.depends_on = {Day::ref(n - 1)};
-      day.world.submit_job(next, 5);
-      day.world.step(day.world.now() + 2);
+      next.depends_on = {FaultRun::ref(n - 1)};
+      day.cluster.submit_job(next, 5);
+      day.cluster.step(day.cluster.now() + 2);
     }
-    day.world.cancel("req-10");
-    for (double t = day.world.now(); day.world.key_count("f/") == 0 && t < 80; t += 0.0002)
-      day.world.step(t);
-    day.world.state_outage(33);
-    const double back = day.world.now() + 33;
+    day.cluster.cancel("req-10");
+    for (double t = day.cluster.now(); day.cluster.key_count("f/") == 0 && t < 80; t += 0.0002)
+      day.cluster.step(t);
+    day.cluster.state_outage(33);
+    const double back = day.cluster.now() + 33;
     for (int n = 11; n < 14; ++n)
-      day.world.add_pollers(Day::ref(n), 60);
-    day.world.step(back);
-    day.world.delay_writes(0.7, 8, false);  // applies to reads for users too, so that some of these succeed
-    day.world.step(back + 1.4);
-    const bool unconfirmed = day.world.cancelled_at(Day::ref(13)) < 0;
-    day.world.step(back + 10);
+      day.cluster.add_pollers(FaultRun::ref(n), 60);
+    day.cluster.step(back);
+    day.cluster.delay_writes(0.7, 8, false);  // applies to reads for users too, so that some of these succeed
+    day.cluster.step(back + 1.4);
+    const bool unconfirmed = day.cluster.cancelled_at(FaultRun::ref(13)) < 0;
+    day.cluster.step(back + 10);
     const RunReport& report = day.finish();
     EXPECT_EQ(report.orphaned, 3U);
     return static_cast<std::size_t>(unconfirmed);
@@ -526,21 +528,21 @@
 // some of these get no answer. Guards against a leader that renews its lease without ever having read its
 // jobs, because the last retry finds nothing left to read.
 TEST(CombinedFaults, ANewLeaderReadsItsJobsThoughAnswersAreLost) {
-  meet(6, 12, [](std::uint64_t seed) {
+  run_seeds(6, 12, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
-    Day day(plan);
+    FaultRun day(plan);
     for (int n = 0; n < 260; ++n) {
       day.at(41 + 0.02 * (n / 20), [&day, n] {
         wire::JobSpec spec = job_of(1000 + n, 1, n % 2 == 0 ? "red" : "blue");
         spec.estimate_s = 30;
-        day.world.submit_job(spec, 30);
+        day.cluster.submit_job(spec, 30);
       });
     }
-    day.world.step(50);
-    day.world.delay_writes(0.35, 40, true);
+    day.cluster.step(50);
+    day.cluster.delay_writes(0.35, 40, true);
     for (int k = 0; k < 3; ++k)
       day.at(52 + 12 * k, [&] { day.crash_leader(); });
-    day.world.step(95);
+    day.cluster.step(95);
     const std::size_t n = day.elections();
     const RunReport& report = day.finish(500);
     EXPECT_EQ(report.lost_by_lease_expiry, 0U);
@@ -554,16 +556,16 @@
   const auto broken_by = [](const std::string& planted_fault) {
     SimulationPlan plan = deployed(3, 6);
     plan.planted_fault = planted_fault;
-    Day day(plan);
-    day.world.send_malformed_requests(20);
+    FaultRun day(plan);
+    day.cluster.send_malformed_requests(20);
     day.long_arrays(2, 30);
-    day.world.step(60);
+    day.cluster.step(60);
     day.cancel(11, 1, 61);
-    day.world.step(330);
+    day.cluster.step(330);
     std::string rules;
-    for (const auto& b : day.world.run_report().broken_rules)
+    for (const auto& b : day.cluster.run_report().broken_rules)
       rules += b.substr(0, b.find(' ')) + " ";
-    if (day.world.run_report().longest_wait_beside_capacity > 90)
+    if (day.cluster.run_report().longest_wait_beside_capacity > 90)
       rules += "beside_room";
     return rules;
   };
@@ -585,7 +587,7 @@
     SimulationPlan plan = deployed(seed, 6);
     plan.begin_within_s = within_s;
     plan.objectives = {{"finished", "batch", 30, 0.9, 1}};
-    Day day(plan);
+    FaultRun day(plan);
     for (int n = 0; n < 200; ++n) {
       for (int k = 0; k < 3; ++k) {
         day.at(45 + 2.0 * n, [&day, n, k, seed] {
@@ -593,23 +595,23 @@
           if (seed % 2 == 0)
             spec.priority = wire::Priority::high;
           spec.estimate_s = 10;
-          day.world.submit_job(spec, 10);
+          day.cluster.submit_job(spec, 10);
         });
       }
     }
-    day.world.step(60);
+    day.cluster.step(60);
     for (int n = 10; n < 14; ++n) {
       wire::JobSpec spec = job_of(n, 150, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 20;
-      day.world.submit_job(spec, 20);
+      day.cluster.submit_job(spec, 20);
     }
-    day.at(120, [&] { day.world.slow_down_links(20); });
+    day.at(120, [&] { day.cluster.slow_down_links(20); });
     day.at(150, [&] { day.crash_leader(); });
-    day.world.step(60 + 240);
+    day.cluster.step(60 + 240);
     std::size_t n = 0;
     for (int ref = 10; ref < 14; ++ref)
-      n += day.world.began_at(Day::ref(ref)) >= 0;
-    for (const auto& b : day.world.run_report().broken_rules)
+      n += day.cluster.began_at(FaultRun::ref(ref)) >= 0;
+    for (const auto& b : day.cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
     return n;
   };
--- a/tests/final_state_backlog_test.cpp
+++ b/tests/final_state_backlog_test.cpp
@@ -25,15 +25,15 @@
 };
 
 // A stream of short jobs of one task, and chains of three jobs whose first job is cancelled after 3 s.
-class BacklogScenario : public Day {
+class BacklogScenario : public FaultRun {
  public:
-  BacklogScenario(std::uint64_t seed, Faults faults) : Day(plan_of_backlog(seed)) {
+  BacklogScenario(std::uint64_t seed, Faults faults) : FaultRun(plan_of_backlog(seed)) {
     for (double time = kLoadBeginS; time < kLoadEndS; time += kJobIntervalS)
-      at(time, [this] { world.submit_job(small_job(++jobs_created_), 1); });
+      at(time, [this] { cluster.submit_job(small_job(++jobs_created_), 1); });
     for (double time = kLoadBeginS + 5; time < kLoadEndS; time += kChainIntervalS)
       at(time, [this] { submit_chain(); });
     for (double time = kLoadBeginS; time < kLoadEndS; time += 1)
-      at(time, [this] { max_unrecorded_ = std::max(max_unrecorded_, world.unrecorded_final_states()); });
+      at(time, [this] { max_unrecorded_ = std::max(max_unrecorded_, cluster.unrecorded_final_states()); });
     if (faults == Faults::incident)
       schedule_incident();
     if (faults == Faults::leader_crashes)
@@ -59,22 +59,22 @@
   void submit_chain() {
     wire::JobSpec first = small_job(++jobs_created_);
     first.tasks = 2;
-    world.submit_job(first, 200, world.now() + 3);
+    cluster.submit_job(first, 200, cluster.now() + 3);
     std::string dependency = first.ref;
     for (int link = 1; link <= 2; ++link) {
       wire::JobSpec dependent = small_job(++jobs_created_);
       dependent.depends_on = {dependency};
       dependency = dependent.ref;
-      at(world.now() + link, [this, dependent] { world.submit_job(dependent, 1); });
+      at(cluster.now() + link, [this, dependent] { cluster.submit_job(dependent, 1); });
     }
   }
   // The leader crashes, its successor is frozen for 14 s, and then all controllers crash.
   void schedule_incident() {
     at(kLoadBeginS + 50, [this] { crash_leader(); });
-    at(kLoadBeginS + 75, [this] { world.freeze(world.leader().value_or(0), 14); });
+    at(kLoadBeginS + 75, [this] { cluster.freeze(cluster.leader().value_or(0), 14); });
     at(kLoadBeginS + 110, [this] {
-      for (std::size_t i = 0; i < world.nodes(); ++i)
-        world.crash(i);
+      for (std::size_t i = 0; i < cluster.nodes(); ++i)
+        cluster.crash(i);
     });
   }
 
@@ -92,10 +92,10 @@
 
 // Runs the scenario with seeds from 1 on. COMBINED_FAULTS_WIDE=N multiplies the number of seeds by N.
 void run_seeds(Faults faults, std::uint64_t seeds) {
-  for (std::uint64_t seed = 1; seed <= seeds * static_cast<std::uint64_t>(wide()); ++seed) {
+  for (std::uint64_t seed = 1; seed <= seeds * static_cast<std::uint64_t>(seed_factor()); ++seed) {
     SCOPED_TRACE(::testing::Message() << "seed " << seed);
     BacklogScenario scenario(seed, faults);
-    scenario.world.step(kLoadEndS);
+    scenario.cluster.step(kLoadEndS);
     EXPECT_GT(scenario.max_unrecorded(), kBacklog) << "expected a backlog of final states";
     const RunReport& report = scenario.finish();
     EXPECT_GT(report.orphaned, 100U) << "expected more orphaned jobs";
@@ -121,11 +121,11 @@
 // markers.
 TEST(FinalStateBacklog, RepeatedCancellationsCostNoChangesWhileTheLeaderIsReachable) {
   BacklogScenario scenario(1, Faults::none);
-  scenario.world.step(kLoadEndS);
+  scenario.cluster.step(kLoadEndS);
   EXPECT_GT(scenario.max_unrecorded(), kBacklog) << "expected a backlog of final states";
-  EXPECT_GT(scenario.world.run_report().cancellations_deferred, 20U) << "expected late cancellations";
-  EXPECT_EQ(scenario.world.run_report().cancellation_markers, 0U) << "expected no cancellation marker";
-  EXPECT_TRUE(scenario.world.run_report().broken_rules.empty());
+  EXPECT_GT(scenario.cluster.run_report().cancellations_deferred, 20U) << "expected late cancellations";
+  EXPECT_EQ(scenario.cluster.run_report().cancellation_markers, 0U) << "expected no cancellation marker";
+  EXPECT_TRUE(scenario.cluster.run_report().broken_rules.empty());
 }
 
 // With a planted fault, the check of forgotten jobs must report a job whose queries all fail while those of
@@ -133,13 +133,13 @@
 TEST(FinalStateBacklog, CheckOfForgottenJobsDetectsAPlantedFault) {
   SimulationPlan plan = deployed(3, 6);
   plan.planted_fault = "one_unanswered";
-  Day day(plan);
+  FaultRun day(plan);
   constexpr double kFaultDurationS = 200;
-  day.world.delay_writes(0, kFaultDurationS, true);
+  day.cluster.delay_writes(0, kFaultDurationS, true);
   day.long_arrays(4, 150);
-  day.world.step(kFaultDurationS);
-  ASSERT_EQ(day.world.run_report().broken_rules.size(), 1U);
-  EXPECT_TRUE(day.world.run_report().broken_rules.front().starts_with("forgotten"));
+  day.cluster.step(kFaultDurationS);
+  ASSERT_EQ(day.cluster.run_report().broken_rules.size(), 1U);
+  EXPECT_TRUE(day.cluster.run_report().broken_rules.front().starts_with("forgotten"));
 }
 
 }  // namespace
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -9,15 +9,15 @@
 // A direct command to a healthy machine is delayed; its leader crashes, and the next
 // leader's commands arrive first.
 TEST(LateMessages, CommandsOfACrashedLeaderArriveAfterTheNextLeadersCommands) {
-  meet(10, 200, [](std::uint64_t seed) {
-    Day day(deployed(seed, 8));
+  run_seeds(10, 200, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 8));
     day.long_arrays(8, 20);
     day.stream(120, 0.4, 0.4, 2, 5);
-    day.world.delay_commands(0.4, 85);
+    day.cluster.delay_commands(0.4, 85);
     day.cancel(10, 5, 60, 1.1);
     for (double t = 52 + 0.7 * static_cast<double>(seed); t < 125; t += 13)
       day.at(t, [&] { day.crash_leader(); });
-    day.world.step(130);
+    day.cluster.step(130);
     EXPECT_GT(day.elections(), 4U) << "expected the leader to change";
     return day.finish().late_commands;
   });
@@ -26,18 +26,18 @@
 // The same for a leader that keeps running without the state service and the other controllers,
 // until another is elected.
 TEST(LateMessages, CommandsOfAReplacedLeaderArriveAfterTheNextLeadersCommands) {
-  meet(8, 100, [](std::uint64_t seed) {
-    Day day(deployed(seed, 8));
+  run_seeds(8, 100, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 8));
     day.long_arrays(8, 40);
     day.stream(120, 0.5, 0.4, 2, 5);
-    day.world.delay_commands(0.5, 80);
+    day.cluster.delay_commands(0.5, 80);
     for (double t = 55; t < 110; t += 18) {
       day.at(t + 0.2 * static_cast<double>(seed), [&day, seed] {
-        day.world.cut_node(day.world.leader().value_or(0), true, true, 9, seed % 2 == 0);
+        day.cluster.cut_node(day.cluster.leader().value_or(0), true, true, 9, seed % 2 == 0);
       });
     }
     day.cancel(10, 6, 56 + 0.3 * static_cast<double>(seed), 3);
-    day.world.step(130);
+    day.cluster.step(130);
     EXPECT_GT(day.elections(), 2U) << "expected the leader to change";
     return day.finish().late_commands;
   });
@@ -46,24 +46,24 @@
 // A command is delayed while its machine hangs, receives nothing, can send nothing or is unreachable;
 // the machine then continues.
 TEST(LateMessages, CommandsDelayedToMachinesThatFailAndContinue) {
-  meet(12, 100, [](std::uint64_t seed) {
-    Day day(deployed(seed, 7));
+  run_seeds(12, 100, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 7));
     constexpr SimulatedCluster::MachineFault kinds[] = {
         SimulatedCluster::MachineFault::hung, SimulatedCluster::MachineFault::incoming_lost,
         SimulatedCluster::MachineFault::outgoing_lost, SimulatedCluster::MachineFault::unreachable};
     day.long_arrays(8, 25);
     day.stream(120, 0.4, 0.5, 2, 4);
-    day.world.delay_commands(0.4, 80);
+    day.cluster.delay_commands(0.4, 80);
     for (double t = 50; t < 110; t += 9) {
       day.at(t, [&day, seed, t, &kinds] {
         const auto kind = static_cast<std::size_t>(t) + seed;
-        day.world.fail_machines(kinds[kind % 4], 2, 3 + std::fmod(t * static_cast<double>(seed), 20.0));
+        day.cluster.fail_machines(kinds[kind % 4], 2, 3 + std::fmod(t * static_cast<double>(seed), 20.0));
       });
     }
     day.cancel(10, 5, 53, 4.3);
     if (seed % 2 == 0)
       day.at(75, [&] { day.crash_leader(); });
-    day.world.step(130);
+    day.cluster.step(130);
     return day.finish().late_commands;
   });
 }
@@ -72,25 +72,25 @@
 // leader crashes, and the next one first gets heartbeats from before that, in any order,
 // while commands are delayed.
 TEST(LateMessages, OldHeartbeatsReachANewLeaderBeforeCurrentOnes) {
-  meet(12, 1000, [](std::uint64_t seed) {
-    Day day(deployed(seed, 8));
-    day.world.duplicate_heartbeats_late(0.7, 120, SimulatedCluster::DuplicateArrival::at_election);
+  run_seeds(12, 1000, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 8));
+    day.cluster.duplicate_heartbeats_late(0.7, 120, SimulatedCluster::DuplicateArrival::at_election);
     day.long_arrays(8, 70, 4);
     day.stream(150, 1, 0.3, 2, 8);
     day.at(48, [&] {
-      day.world.fail_machines(SimulatedCluster::MachineFault::hung, 3, 23 + static_cast<double>(seed % 5));
+      day.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 3, 23 + static_cast<double>(seed % 5));
     });
-    day.at(70, [&] { day.world.delay_commands(0.5, 80); });
+    day.at(70, [&] { day.cluster.delay_commands(0.5, 80); });
     for (double t = 78 + 0.4 * static_cast<double>(seed); t < 150; t += 16) {
       day.at(t - 1, [&day, seed] {
-        day.world.fail_machines(seed % 2 == 0 ? SimulatedCluster::MachineFault::hung
-                                              : SimulatedCluster::MachineFault::incoming_lost,
-                                2, 6);
+        day.cluster.fail_machines(seed % 2 == 0 ? SimulatedCluster::MachineFault::hung
+                                                : SimulatedCluster::MachineFault::incoming_lost,
+                                  2, 6);
       });
       day.at(t, [&] { day.crash_leader(); });
     }
     day.cancel(10, 3, 95, 7);
-    day.world.step(160);
+    day.cluster.step(160);
     EXPECT_GT(day.elections(), 3U) << "expected the leader to change";
     return day.finish().held_heartbeats;
   });
@@ -98,16 +98,16 @@
 
 // Workers can open no connection to any controller but receive commands, while the leader changes.
 TEST(LateMessages, MachinesThatCanSendNothingAndAChangeOfLeader) {
-  meet(8, 100, [](std::uint64_t seed) {
-    Day day(deployed(seed, 8));
+  run_seeds(8, 100, [](std::uint64_t seed) {
+    FaultRun day(deployed(seed, 8));
     day.long_arrays(8, 50);
     day.stream(110, 0.7, 0.4, 2, 5);
-    day.world.step(55);
-    day.world.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 4, seed % 2 == 0 ? 14 : 40,
-                            "req-10");
+    day.cluster.step(55);
+    day.cluster.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 4, seed % 2 == 0 ? 14 : 40,
+                              "req-10");
     day.at(56 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
     day.cancel(10, 4, 57, 2);
-    day.world.step(120);
+    day.cluster.step(120);
     EXPECT_GT(day.elections(), 1U) << "expected the leader to change";
     return day.finish().undelivered;
   });
@@ -116,12 +116,12 @@
 // Leaders crash shortly after one another and restart within a second; then all controllers crash, and only
 // one restarts for good at first.
 TEST(LateMessages, LeadersCrashAndRestartWithinASecond) {
-  meet(8, 24, [](std::uint64_t seed) {
+  run_seeds(8, 24, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.back_from = 0.1;
     plan.back_to = 0.6;
-    Day day(plan);
-    day.world.delay_commands(0.3, 90);
+    FaultRun day(plan);
+    day.cluster.delay_commands(0.3, 90);
     day.long_arrays(8, 30);
     day.stream(120, 0.5, 0.4, 2, 5);
     const double at = 60 + 0.1 * static_cast<double>(seed);
@@ -131,7 +131,7 @@
     }
     day.at(at + 40, [&] {
       for (std::size_t i = 0; i < 3; ++i)
-        day.world.crash(i);
+        day.cluster.crash(i);
     });
     // One controller keeps running; the others crash again and again.
     const std::size_t survivor = seed % 3;
@@ -139,12 +139,12 @@
       day.at(t, [&day, survivor] {
         for (std::size_t i = 0; i < 3; ++i) {
           if (i != survivor)
-            day.world.crash(i);
+            day.cluster.crash(i);
         }
       });
     }
     day.cancel(10, 6, at - 0.5, 7);
-    day.world.step(at + 60);
+    day.cluster.step(at + 60);
     const std::size_t n = day.elections();
     day.finish();
     return n;
@@ -162,21 +162,22 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const double after : {0.0, 0.05, 0.2}) {
       SCOPED_TRACE(::testing::Message() << "seed " << seed << ", cancelled after " << after << " s");
-      Day day(deployed(seed));
+      FaultRun day(deployed(seed));
       day.long_arrays(9, 110);
-      day.world.step(kRefusedAt);
+      day.cluster.step(kRefusedAt);
       const double down_at = kRefusedAt + 1 + 0.1 * static_cast<double>(seed % 5);
-      day.world.refuse_state_service(day.world.leader().value_or(0), 14);
+      day.cluster.refuse_state_service(day.cluster.leader().value_or(0), 14);
       day.cancel(10, kCancelled, kRefusedAt + after, 0.01);
-      day.at(down_at, [&] { day.world.state_outage(kDownFor); });
+      day.at(down_at, [&] { day.cluster.state_outage(kDownFor); });
       if (seed % 2 == 0)
-        day.world.delay_commands(0.5, 60);
-      day.world.step(down_at + kDownFor);
+        day.cluster.delay_commands(0.5, 60);
+      day.cluster.step(down_at + kDownFor);
       for (int n = 10; n < 10 + kCancelled; ++n)
-        deferred += day.world.cancelled_at(Day::ref(n)) < 0;
+        deferred += day.cluster.cancelled_at(FaultRun::ref(n)) < 0;
       day.finish();
       for (int n = 10; n < 10 + kCancelled; ++n)
-        EXPECT_GE(day.world.cancelled_at(Day::ref(n)), 0) << "expected " << Day::ref(n) << " to be confirmed";
+        EXPECT_GE(day.cluster.cancelled_at(FaultRun::ref(n)), 0)
+            << "expected " << FaultRun::ref(n) << " to be confirmed";
       if (HasFailure())
         return;
     }
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -31,7 +31,7 @@
   for (const double at : {0.5, 4.0, 15.0, 30.0, 60.0}) {
     for (const std::uint64_t seed : {1U, 2U}) {
       SCOPED_TRACE("seed " + std::to_string(seed) + ", after " + std::to_string(at));
-      lost_nothing(ride_through(
+      expect_nothing_lost(run_through_fault(
           with_peer_agreement(seed, 12),
           [at](SimulatedCluster& cluster) {
             cluster.state_outage(70);
@@ -47,7 +47,7 @@
 TEST(AllNew, CrashLoopsInAnOutageLoseNothing) {
   for (const std::uint64_t seed : {3U, 4U, 5U}) {
     SCOPED_TRACE(seed);
-    lost_nothing(ride_through(
+    expect_nothing_lost(run_through_fault(
         with_peer_agreement(seed, 12),
         [](SimulatedCluster& cluster) {
           cluster.state_outage(60);
@@ -70,7 +70,7 @@
     SCOPED_TRACE(seed);
     SimulationPlan plan = with_peer_agreement(seed, 12);
     plan.back_to = 0.06;
-    const Ride ride = ride_through(
+    const FaultOutcome ride = run_through_fault(
         plan,
         [](SimulatedCluster& cluster) {
           cluster.state_outage(65);
@@ -90,7 +90,7 @@
 TEST(AllNew, WithoutPeerAgreementAnOutageLosesRunningTasks) {
   SimulationPlan plan = with_peer_agreement(1, 12);
   plan.peer_agreement = false;
-  const Ride ride = ride_through(
+  const FaultOutcome ride = run_through_fault(
       plan,
       [](SimulatedCluster& cluster) {
         cluster.state_outage(70);
@@ -108,7 +108,7 @@
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     for (const bool leaders_zone : {false, true}) {
       SCOPED_TRACE("seed " + std::to_string(seed) + (leaders_zone ? ", the leader's zone" : ""));
-      lost_nothing(ride_through(
+      expect_nothing_lost(run_through_fault(
           with_peer_agreement(seed, 12, 4),
           [leaders_zone](SimulatedCluster& cluster) {
             for (const double at : {1.0, 6.0, 8.0, 14.0})
@@ -127,7 +127,7 @@
 // connections and messages in flight to the earlier process don't count.
 TEST(AllNew, ARestartedLeaderEndsTheLeaseOfItsEarlierProcess) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    hush();
+    configure_logging();
     SimulatedCluster cluster(with_peer_agreement(seed, 12));
     cluster.begin();
     cluster.step(30);
@@ -153,7 +153,7 @@
     for (const bool in_turn : {false, true}) {
       SCOPED_TRACE("second crash after " + std::to_string(after) + " s" +
                    (in_turn ? ", one after the other" : ""));
-      const Ride ride = ride_through(
+      const FaultOutcome ride = run_through_fault(
           with_peer_agreement(2, 24),
           [after, in_turn](SimulatedCluster& cluster) {
             crash_all(cluster);
@@ -174,7 +174,7 @@
 // The state service is down for more than five leases (110 s) while the leader keeps running: peer agreement
 // holds for the whole outage.
 TEST(AllNew, ALongOutageWithTheLeaderRunningLosesNothing) {
-  lost_nothing(ride_through(
+  expect_nothing_lost(run_through_fault(
       with_peer_agreement(6, 12), [](SimulatedCluster& cluster) { cluster.state_outage(110); }, 130));
 }
 
@@ -183,7 +183,7 @@
   for (const std::uint64_t seed : {1U, 2U}) {
     for (const bool leaders_zone : {false, true}) {
       SCOPED_TRACE("seed " + std::to_string(seed) + (leaders_zone ? ", the leader's zone" : ""));
-      lost_nothing(ride_through(
+      expect_nothing_lost(run_through_fault(
           with_peer_agreement(seed, 12, 5),
           [leaders_zone](SimulatedCluster& cluster) {
             cluster.cut_zone((cluster.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 95, true);
@@ -210,7 +210,7 @@
 void lose_zone(std::uint64_t seed, const Loss& loss) {
   SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(loss.zones) + " zones, cut for " +
                std::to_string(loss.cut_s) + " s");
-  hush();
+  configure_logging();
   SimulationPlan plan = with_peer_agreement(seed, static_cast<int>(loss.machines), 2);
   plan.zones = loss.zones;
   plan.max_machines = loss.machines * 2;
@@ -325,7 +325,7 @@
 TEST(LostZone, FlappingReturnsNoMachine) {
   for (const double period : {1.0, 5.0, 20.0, 60.0}) {
     SCOPED_TRACE("cut off for " + std::to_string(period) + " s at a time");
-    hush();
+    configure_logging();
     SimulatedCluster cluster(with_peer_agreement(7, 12, 2));
     cluster.begin();
     cluster.step(5);
@@ -350,7 +350,7 @@
 // 1.5 times the machines of the fleet sites; all controllers crash and restart at once; then a
 // zone is cut off.
 TEST(LostZone, AtEighteenHundredMachines) {
-  hush();
+  configure_logging();
   SimulationPlan plan = with_peer_agreement(11, 1800, 3);
   plan.zones = 3;
   SimulatedCluster cluster(plan);
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -68,7 +68,7 @@
   SCOPED_TRACE("seed " + std::to_string(seed) + ", " + std::to_string(flood.nodes) + " controllers, " +
                std::to_string(flood.factor) + " times the load, " +
                kFaultNames[static_cast<int>(flood.fault)]);
-  hush();
+  configure_logging();
   SimulationPlan plan = scripted(seed, 16);
   plan.fair_admission = true;
   plan.peer_agreement = true;
@@ -175,7 +175,7 @@
 // without job batches finds them.
 TEST(Overload, SwitchingAdmissionOffLeavesNoJobBatch) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
-    hush();
+    configure_logging();
     SimulationPlan plan = scripted(seed, 40);  // enough that no task is preempted
     plan.fair_admission = true;
     plan.back_from = 0.05, plan.back_to = 0.3;
@@ -217,7 +217,7 @@
 // A leader elected after some jobs of a job batch reached a final state starts none of these again.
 TEST(Overload, ANewLeaderStartsNoFinishedJobOfABatch) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
-    hush();
+    configure_logging();
     SimulationPlan plan = scripted(seed, 16);
     plan.fair_admission = true;
     plan.peer_agreement = true;  // otherwise a lease may expire between so many leaders
@@ -248,7 +248,7 @@
 // 100005 of the random fault search).
 TEST(Overload, AnOrphanedJobIsNotReportedQueuedAfterALongOutage) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
-    hush();
+    configure_logging();
     SimulationPlan plan = scripted(seed, 6);
     plan.dependencies = true;
     SimulatedCluster cluster(plan);
@@ -278,7 +278,7 @@
 // cub-meterlink-fleet: cancelled, then queued).
 TEST(Overload, AJobWhoseFinalStateIsBeingWrittenIsNotReportedLive) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
-    hush();
+    configure_logging();
     SimulationPlan plan = scripted(seed, 16);
     plan.fair_admission = seed % 2 == 0;
     SimulatedCluster cluster(plan);
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -13,7 +13,7 @@
 namespace wingtrail::simulation {
 
 /// Switches logging off, or to the level in LOG_LEVEL; `debug` logs every event of a simulated run.
-inline void hush() {
+inline void configure_logging() {
   const char* level = std::getenv("LOG_LEVEL");
   spdlog::set_level(level ? spdlog::level::from_str(level) : spdlog::level::off);
 }
@@ -46,7 +46,7 @@
 }
 
 /// What a run with one fault came to.
-struct Ride {
+struct FaultOutcome {
   RunReport verdict;
   /// Tasks started before the fault.
   std::size_t before = 0;
@@ -58,46 +58,48 @@
 
 /// Runs three services and one long array over all zones, triggers the fault at 50 s, counts restarts for
 /// `lasts` seconds, and continues until 250 s, by which the array has to be done.
-inline Ride ride_through(const SimulationPlan& plan, const std::function<void(SimulatedCluster&)>& trouble,
-                         double lasts) {
-  hush();
+inline FaultOutcome run_through_fault(const SimulationPlan& plan,
+                                      const std::function<void(SimulatedCluster&)>& trigger_fault,
+                                      double lasts) {
+  configure_logging();
   const auto machines = static_cast<std::uint32_t>(plan.machines);
-  SimulatedCluster world(plan);
-  world.begin();
-  world.step(5);
+  SimulatedCluster cluster(plan);
+  cluster.begin();
+  cluster.step(5);
   for (int n = 1; n <= 3; ++n) {
     wire::JobSpec service = job_of(n, machines, "red");
     service.shape = wire::Shape::service;
     service.spread_zones = true;
     service.allows_spot = false;
-    world.submit_job(service, 0);
+    cluster.submit_job(service, 0);
   }
   wire::JobSpec array = job_of(9, machines, "blue");
   array.estimate_s = 70;
   // Leases are delegated once no controller of an older version can have led for `cancel_s`.
-  world.step(45);
-  world.submit_job(array, 70);
-  world.step(50);
-  Ride r;
-  r.before = world.run_report().started;
-  const std::size_t moved = world.run_report().started_again;
-  trouble(world);
-  world.step(50 + lasts);
-  r.again = world.run_report().started_again - moved;
-  world.step(250);
-  r.over = world.is_done("req-9");
-  r.verdict = world.run_report();
+  cluster.step(45);
+  cluster.submit_job(array, 70);
+  cluster.step(50);
+  FaultOutcome r;
+  r.before = cluster.run_report().started;
+  const std::size_t moved = cluster.run_report().started_again;
+  trigger_fault(cluster);
+  cluster.step(50 + lasts);
+  r.again = cluster.run_report().started_again - moved;
+  cluster.step(250);
+  r.over = cluster.is_done("req-9");
+  r.verdict = cluster.run_report();
   return r;
 }
 
-inline Ride ride_through(std::uint64_t seed, int machines,
-                         const std::function<void(SimulatedCluster&)>& trouble, double lasts) {
-  return ride_through(scripted(seed, machines), trouble, lasts);
+inline FaultOutcome run_through_fault(std::uint64_t seed, int machines,
+                                      const std::function<void(SimulatedCluster&)>& trigger_fault,
+                                      double lasts) {
+  return run_through_fault(scripted(seed, machines), trigger_fault, lasts);
 }
 
 /// Expects that the fault restarted no task, that no machine was returned during the cut and no worker's
 /// lease expired, and that delegates renewed leases.
-inline void lost_nothing(const Ride& r) {
+inline void expect_nothing_lost(const FaultOutcome& r) {
   for (const auto& b : r.verdict.broken_rules)
     ADD_FAILURE() << b;
   EXPECT_GT(r.before, 20U) << "too few tasks were started before the fault";
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -102,7 +102,7 @@
         SCOPED_TRACE("seed " + std::to_string(seed) +
                      (hold ? ", messages held back" : ", connections reset") +
                      (leaders_zone ? ", the leader's zone" : ""));
-        lost_nothing(ride_through(
+        expect_nothing_lost(run_through_fault(
             seed, 12,
             [&](SimulatedCluster& cluster) {
               cluster.cut_zone((cluster.leader().value_or(0) + (leaders_zone ? 0 : 1)) % 2, 45, hold);
@@ -114,7 +114,7 @@
 }
 
 TEST(SimulatedCluster, ACutAtAThousandMachinesLosesNothing) {
-  lost_nothing(ride_through(
+  expect_nothing_lost(run_through_fault(
       5, 1000, [](SimulatedCluster& cluster) { cluster.cut_zone(1, 40, true); }, 50));
 }
 
@@ -122,7 +122,7 @@
 TEST(SimulatedCluster, AnOutageThenACrashOfAllLosesNothing) {
   for (const std::uint64_t seed : {1U, 2U, 3U, 4U}) {
     SCOPED_TRACE(seed);
-    lost_nothing(ride_through(
+    expect_nothing_lost(run_through_fault(
         seed, 12,
         [](SimulatedCluster& cluster) {
           cluster.state_outage(35);
@@ -413,7 +413,7 @@
 // A job that can no longer finish in time on any machine is placed on a slow one if there is no other. Guards
 // against such a job waiting beside an empty machine (seed 800994, and seed 2037 of several cells).
 TEST(SimulatedCluster, AJobThatIsLateAnywayIsPlacedOnASlowMachine) {
-  hush();
+  configure_logging();
   const RunReport report = SimulatedCluster(plan_of(800994)).run();
   EXPECT_EQ(report.unfinished, 0U);
   for (const auto& b : report.broken_rules)
