--- a/src/simulation/simulated_cluster.cpp
+++ b/src/simulation/simulated_cluster.cpp
@@ -38,8 +38,8 @@
   return plan;
 }
 
-SimulatedCluster::SimulatedCluster(SimulationPlan plan, ExternalProcesses outside)
-    : plan_(std::move(plan)), external_processes_(std::move(outside)), rng_(plan_.seed) {
+SimulatedCluster::SimulatedCluster(SimulationPlan plan, ExternalProcesses external_processes)
+    : plan_(std::move(plan)), external_processes_(std::move(external_processes)), rng_(plan_.seed) {
   for (std::size_t z = 0; z < plan_.zones; ++z)
     settings_.zones.push_back(std::string("z").append(std::to_string(z)));
   settings_.teams = {{"red", 32, plan_.budget_limits ? 64.0 : 0, 0, 0},
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -181,7 +181,7 @@
     std::function<std::string(const std::string&)> address;
     std::function<void(std::size_t)> boot, crash;
   };
-  explicit SimulatedCluster(SimulationPlan plan, ExternalProcesses outside = {});
+  explicit SimulatedCluster(SimulationPlan plan, ExternalProcesses external_processes = {});
   ~SimulatedCluster();
   /// Runs the whole plan.
   RunReport run();
@@ -297,8 +297,8 @@
 
   // Several cells.
 
-  void join_network(std::shared_ptr<CellNetwork> reach) {
-    cell_network_ = std::move(reach);
+  void join_network(std::shared_ptr<CellNetwork> network) {
+    cell_network_ = std::move(network);
   }
   double now() const {
     return now_;
@@ -451,7 +451,7 @@
   void send_malformed_request();
   void start_uncommanded_task(const UserJob& job);
   void release_held_heartbeats(std::size_t node);
-  void record_query();  // a user sends a query
+  void record_query();
   void record_answer(UserJob& job);
   void check_answered(UserJob& job);
   bool most_are_answered();
