--- a/src/scheduling/job_order.cpp
+++ b/src/scheduling/job_order.cpp
@@ -15,7 +15,8 @@
   if (a.origin_cell.empty() != b.origin_cell.empty())
     return a.origin_cell.empty();
   // After the loss of a zone many services lack replicas at once. Services without any replica left come
-  // first, and among these the ones with the smallest image, which is fetched soonest.
+  // first, then those that have lost the most (replica_loss_rank). At equal rank the service with the
+  // smallest image comes first, since that image is fetched soonest.
   if (zones_unstable_ && a.is_service() && b.is_service()) {
     const int rank_a = zones::replica_loss_rank(a.spec.tasks, a.placed_tasks);
     const int rank_b = zones::replica_loss_rank(b.spec.tasks, b.placed_tasks);
--- a/src/scheduling/migration.cpp
+++ b/src/scheduling/migration.cpp
@@ -141,8 +141,8 @@
     abandon_migration(migration);
     migrations_.on_finished(migration, false);
   }
-  // Running tasks stay where they are while a zone is unreachable or recovering, or a machine is
-  // not reconciled.
+  // No running task is migrated while any zone is unresponsive, unreachable, lost or recovering, or while any
+  // machine is not reconciled.
   if (slow_machines_ == 0 || !workers_.reconciled() || workers_.zones().any_unstable(out_.now()))
     return;
   for (ZoneIndex zone{0}; zone < registry_.zones.size(); ++zone) {
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -88,8 +88,8 @@
 bool Scheduler::preempt_for_job(Job& job, std::optional<double> saves_s, bool other_cells_only) {
   constexpr Seconds kNoLimit = 1e9;
   const double most_lost_s = saves_s.value_or(kNoLimit);
-  // While only tasks of the same or a higher priority run, every search fails. The limit on failed searches
-  // saves most of them; the remaining ones notice when that changes.
+  // While only tasks of the same or a higher priority run, every search fails. The limit on failed
+  // searches in a pass saves most of them; the few that remain notice when that changes.
   int& failed = failed_preemptions_[static_cast<std::size_t>(job.effective_priority)];
   if (failed >= settings_.tunables.steal_sample || !has_startable_task(job) || fails_everywhere(job))
     return false;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -204,7 +204,8 @@
   failed_preemptions_.fill(0);
   zones_unstable_ = workers_.zones().any_unstable(out_.now());
   constexpr Seconds kUpdateInterval = 1;
-  constexpr Seconds kMaxObservedTime = 2;  // a longer time since the last update is a stall of this process
+  // A longer time since the last update means that this process was stalled or did not lead.
+  constexpr Seconds kMaxObservedTime = 2;
   const bool update_due = out_.now() - last_update_at_ >= kUpdateInterval;
   if (update_due) {
     workers_.observe_spot_time(std::min(kMaxObservedTime, out_.now() - last_update_at_));
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -96,9 +96,9 @@
 }
 
 // Final states and commands to workers have precedence over admissions, and admissions over writes that only
-// a later leader needs. Without a share source, users may overdraw a controller's share of the writes for
-// some seconds: submissions come in bursts and at one controller, and the service itself still refuses
-// requests once the whole budget is used up.
+// a later leader needs. Where overdrawing is allowed (always without a share source), users may exceed a
+// controller's share of the writes for some seconds: submissions come in bursts and at one controller, and
+// the service itself still refuses requests once the whole budget is used up.
 double StateClient::write_floor(RequestPriority priority) const {
   if (may_overdraw_)
     return priority == RequestPriority::background ? 0.0 : -3.0;
--- a/src/workers/deadlines.cpp
+++ b/src/workers/deadlines.cpp
@@ -178,7 +178,8 @@
       (machine.delivery.failed_calls >= 2 ||
        (machine.delivery.failed_calls == 1 &&
         time_since_contact(machine) > kHeartbeatDueFactor * settings_.heartbeat_interval_s));
-  // After a failover a running machine answers its first call; one that does not answer two calls is lost.
+  // After a failover a running machine answers a call within a moment, so a machine that has not answered two
+  // calls is lost.
   const bool lost_after_failover = !machine.fenced && machine.delivery.failed_calls >= 2;
   if ((failing_with_others || lost_after_failover ||
        time_since_contact(machine) > unresponsive_threshold()) &&
