--- a/src/cells/offload_planner.cpp
+++ b/src/cells/offload_planner.cpp
@@ -14,7 +14,7 @@
 constexpr double kMaxOversize = 3;
 // Share of a cell's cores by which it accepts foreign jobs beyond its free cores. With a queue, cores that
 // become free are used at once; without it, only once a whole job array fits (two cells of 720 cores, a surge
-// of five times the load: 0.82 of the arrays in time instead of 0.95).
+// of five times the load: a share of 0.82 was in time instead of 0.95).
 constexpr double kQueuedShare = 0.1;
 // Share of a cell's cores up to which it accepts foreign jobs for machines still to be rented, since only the
 // cloud's reply shows how many can be.
--- a/src/cells/offload_planner.hpp
+++ b/src/cells/offload_planner.hpp
@@ -52,7 +52,7 @@
   /// Indices of waiting jobs that would start sooner in a neighbour which lacks the capacity at present. They
   /// should not start here until the next plan, since a job that has started cannot be offloaded. Hawk's late
   /// binding starts many job arrays at once, so that in a surge none would be left to offload (two cells of
-  /// 720 cores, a surge of five times the load: 0.76 of the arrays in time instead of 0.95).
+  /// 720 cores, a surge of five times the load: a share of 0.76 was in time instead of 0.95).
   std::vector<std::size_t> soon;
   /// Whether a job submitted before the next plan would start sooner in a neighbour, too.
   bool would_offload = false;
--- a/src/cells/remote_placements.cpp
+++ b/src/cells/remote_placements.cpp
@@ -147,7 +147,9 @@
       if (newly_cancelled)
         schedule_request(ref, placement, now);
       return;
-    default:  // on_written() returns a recording one that was cancelled; the others are on their way back
+    // on_written() returns a job in state `recording` if it is cancelled. In the states `returning` and
+    // `ended` no task of the job runs there any more.
+    default:
       return;
   }
 }
--- a/src/zones/zone_tracker.hpp
+++ b/src/zones/zone_tracker.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Tracks the state of each zone. Placement, scaling, migration, the detection of failed machines and the
-/// operators' log depend on it. docs/zones.md discusses the alternatives.
+/// operators' log depend on it. docs/zone-failures.md discusses the alternatives.
 ///
 /// Workers send heartbeats at a regular interval, so there is contact with a zone of many machines many
 /// times a second. If there is no contact for much longer than the zone's heartbeats are apart, the zone is
