--- a/src/jobs/completion_pages.cpp
+++ b/src/jobs/completion_pages.cpp
@@ -117,8 +117,8 @@
       continue;
     pages_.clear_due(page);
     Write write{page, take_awaiting(state.entries)};
-    // A page without covered tasks belongs to jobs that are over and need not be written. An exception is a
-    // page in a blocking relation: entries must be stored in their new page before the old one is written.
+    // A write that covers no task is skipped, as the jobs are over. But a page that blocks another page or is
+    // blocked is written, since entries must be stored in their new page before the old one is written.
     if (write.covered.empty() && state.blocks.empty() && state.blocked_by.empty())
       continue;
     transaction.require(key(page), state.version).put(key(page), std::move(*encoded.value));
--- a/src/jobs/page_values.hpp
+++ b/src/jobs/page_values.hpp
@@ -37,8 +37,9 @@
   int splits = 0;
 };
 
-/// Encodes the page. Splits it first if the estimated size of its entries exceeds `page_bytes`, or afterwards
-/// if the encoded value exceeds `limits.value_bytes`; in the latter case no value is returned.
+/// Encodes the page. Splits it first if the estimated size of its entries exceeds `page_bytes`. Splits it
+/// again if the encoded value exceeds `limits.value_bytes`, and then returns no value; a page with a single
+/// entry cannot be split, and its value is returned although it is too large.
 template <typename Entry, typename Encode>
 PageValue encode_within_limits(RecordPages<Entry>& pages, std::size_t page, std::size_t page_bytes,
                                const WriteLimits& limits, Seconds now, Encode encode) {
--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -260,9 +260,9 @@
     schedule_flush(std::max(kMinFlushDelay, at - out_.now()));
 }
 
-// True if the conflict does not show that another controller leads. Its causes are then: a job of a batch has
-// got a key of its own; a job that was to get one already has a final state, or a page has changed, because
-// an earlier transaction of this leader was applied although its reply was lost.
+// Returns false if another controller may lead, true if the conflict has one of these causes: a job of a
+// batch has got a key of its own; or an earlier transaction of this leader was applied although its reply was
+// lost, so that a job that was to get a key of its own already has a final state, or a page has changed.
 bool StateWriter::conflicts_with_own_write(const wire::Value& refusal, const Commit& commit) {
   const auto keys = wire::failed_keys(refusal);
   const auto has = [&keys](const std::string& key) {
--- a/src/scheduling/zone_loss.hpp
+++ b/src/scheduling/zone_loss.hpp
@@ -11,8 +11,8 @@
   std::size_t services_affected = 0;          ///< services that lose replicas
   std::size_t services_without_replicas = 0;  ///< services that lose all their replicas
   double cores_in_use = 0;                    ///< cores in use in the zone
-  double cores_movable = 0;         ///< of `cores_in_use`, those of tasks that may run in other zones
-  double cores_free_elsewhere = 0;  ///< free cores in other zones now
+  double cores_movable = 0;  ///< of `cores_in_use`, those of tasks that may run in other reachable zones
+  double cores_free_elsewhere = 0;  ///< cores that are free in other reachable zones now
 };
 
 /// The impact of losing the zone at the time `now`. Visits all jobs and machines.
