--- a/src/autoscaling/machine_returns.cpp
+++ b/src/autoscaling/machine_returns.cpp
@@ -33,15 +33,15 @@
 
 void MachineReturns::send(const std::function<ports::Seconds()>& not_after) {
   constexpr std::size_t kMaxMachinesPerCall = 100;
-  if (to_return_.empty() || in_flight_ || !calls_.try_take(true))
+  if (to_return_.empty() || in_flight_ || !calls_.try_take(/*urgent=*/true))
     return;
   std::vector<std::string> hosts;
-  std::vector<MachineIndex> batch;
+  std::vector<MachineIndex> sent_machines;
   for (const MachineIndex index : to_return_) {
     if (hosts.size() >= kMaxMachinesPerCall)
       break;
     hosts.push_back(workers_.machine_at(index).host);
-    batch.push_back(index);
+    sent_machines.push_back(index);
   }
   in_flight_ = true;
   ports::Call call;
@@ -51,13 +51,13 @@
   call.body = wire::return_body(hosts);
   call.timeout_s = kCloudCallTimeout;
   call.not_after = not_after();
-  out_.call(std::move(call), [this, batch, generation = generation_](const ports::Reply& reply) {
+  out_.call(std::move(call), [this, sent_machines, generation = generation_](const ports::Reply& reply) {
     if (generation != generation_)
-      return;
+      return;  // `clear` was called since
     in_flight_ = false;
     if (reply.status != 200)
-      return;  // the machines are still in to_return_, so the next call repeats their return
-    for (const MachineIndex index : batch) {
+      return;  // the machines stay in to_return_, so a later `send` repeats their return
+    for (const MachineIndex index : sent_machines) {
       to_return_.erase(index);
       ++returned_;
       workers_.mark_gone(workers_.machine_at(index));
--- a/src/cells/offload_planner.cpp
+++ b/src/cells/offload_planner.cpp
@@ -19,7 +19,7 @@
 // Share of a cell's cores up to which it accepts foreign jobs for machines still to be rented, since only the
 // cloud's reply shows how many can be.
 constexpr double kRentedShare = 0.25;
-// That limit is at least this share of the rentable cores.
+// The limit given by kRentedShare is raised to at least this share of the rentable cores.
 constexpr double kMinRentableShare = 0.1;
 }  // namespace
 
--- a/src/controller/batches.cpp
+++ b/src/controller/batches.cpp
@@ -4,8 +4,8 @@
 
 namespace wingtrail::controller {
 
-// Whether all controllers support job batches. One whose version or settings do not support them would not
-// find the jobs.
+// Whether all controllers support job batches. A controller whose version or settings do not support
+// them would not find the jobs.
 bool Controller::may_create_batches() const {
   return settings_.tunables.fair_admission > 0 && peers_.all_support_batches();
 }
--- a/src/controller/final_states.cpp
+++ b/src/controller/final_states.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Controller: final states that it has learned of, and the time up to which the leader has recorded them.
+/// Controller: handles the final states that it learns of, and the time up to which the leader has recorded
+/// final states.
 #include <algorithm>
 
 #include "controller/controller.hpp"
@@ -14,10 +15,11 @@
                                        state.ended_at ? to_steady_time(*state.ended_at) : out_.now()});
 }
 
-// Updates the time up to which all final states that follow from cancellations are recorded. Peers rely on it
-// when this leader does not answer them. After a failover it does not advance until every dependency that is
-// not live has been looked up. It never passes the time at which the oldest unrecorded final state of a
-// cancelled or orphaned job was decided, however many others are recorded before it.
+// Updates final_states_recorded_until_, the time up to which all final states that follow from cancellations
+// are recorded (those of cancelled jobs and of jobs orphaned by them). Peers rely on this time when the
+// leader does not answer them. It never passes the time since when a dependency's state is unknown, nor the
+// time at which the oldest unrecorded final state of a cancelled or orphaned job was decided, even if later
+// final states are already recorded.
 void Controller::update_final_states_recorded_until() {
   while (!unknown_dependencies_.empty() &&
          !dependencies_.awaits_unknown(unknown_dependencies_.front().second))
@@ -25,10 +27,11 @@
   Seconds recorded_until = out_.now();
   if (!unknown_dependencies_.empty()) {
     recorded_until = unknown_dependencies_.front().first;
+    // After a failover the time does not advance until every dependency that is not live has been looked up.
     if (recorded_until <= loaded_at_)
       return;
   }
-  // An orphaned job that its user also cancelled may be queued as cancelled, so both kinds count.
+  // Both kinds count, since an orphaned job that its user also cancelled may be queued under `cancelled`.
   for (const auto kind : {jobs::RecordKind::orphaned, jobs::RecordKind::cancelled})
     recorded_until = std::min(recorded_until, state_writer_.oldest_unrecorded(kind).value_or(recorded_until));
   final_states_recorded_until_ = recorded_until;
--- a/src/controller/job_cancellation.cpp
+++ b/src/controller/job_cancellation.cpp
@@ -106,8 +106,8 @@
   cancel(*job);
 }
 
-// One entry without a user remains until the job's final state is recorded. Each request of a user has an
-// entry of its own, which ends after kMaxStopWait at the latest.
+// Adds an entry without a user to `pending_`, which remains until the job's final state is recorded. Each
+// request of a user has an entry of its own, which ends after kMaxStopWait at the latest.
 void JobCancellation::cancel(jobs::Job& job) {
   if (job.is_open() && !job.cancelling) {
     job.cancelling = true;
--- a/src/controller/job_lookup.cpp
+++ b/src/controller/job_lookup.cpp
@@ -52,11 +52,12 @@
     return lookup.then({LookupOutcome::absent});
   if (reply.status != 409)
     return lookup.then({reply.status == 429 ? LookupOutcome::throttled : LookupOutcome::unavailable});
-  // The reply names which of the two keys exists, so whether the job was live or over at that moment.
+  // The reply names which of the two keys existed, and so shows whether the job was live or had a final state
+  // at that moment.
   const auto existing = wire::failed_keys(reply.body);
-  const bool is_over =
+  const bool has_final_state =
       std::find(existing.begin(), existing.end(), jobs::kFinalStatePrefix + lookup.ref) != existing.end();
-  if (is_over || existing.empty())
+  if (has_final_state || existing.empty())
     return read_final_state(lookup);
   if (lookup.detail == LookupDetail::phase)
     return lookup.then({LookupOutcome::found, wire::Phase::queued});
--- a/src/controller/offload_planning.cpp
+++ b/src/controller/offload_planning.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t kMaxJobsConsidered = 3000;
 }  // namespace
 
-// Only whole job arrays and gangs of this cell's own, of which no task is placed or done, and none can have
-// been started by an earlier leader (the job is reconciled). A task that may have been started counts as
-// placed.
+// Whether the job may be offloaded. It must be a job array or a gang that was submitted in this cell. None of
+// its tasks may be placed or done, or can have been started by an earlier leader (the job is reconciled). A
+// task that may have been started counts as placed.
 bool Controller::may_be_offloaded(const jobs::Job& job) const {
   return job.is_open() && !job.is_held() && !job.is_service() && job.origin_cell.empty() &&
          job.placed_tasks == 0 && job.done_tasks == 0 && job.zone == jobs::kNoIndex &&
--- a/src/controller/offloading.cpp
+++ b/src/controller/offloading.cpp
@@ -27,7 +27,8 @@
   return settings.value_bytes() * 3 / 4;
 }
 
-// As leader, a peer of an older version would start jobs that are placed remotely.
+// Whether all peers support cells. If a peer of an older version became leader, it would start jobs that are
+// placed remotely.
 bool Controller::peers_support_cells() const {
   return peers_.all_have_level(peer::kLevelCells);
 }
--- a/src/controller/overload_monitor.cpp
+++ b/src/controller/overload_monitor.cpp
@@ -19,11 +19,11 @@
       overloaded_since_ = now;
       std::string team;
       std::string job_class;
-      std::uint64_t most = 0;
+      std::uint64_t highest_count = 0;
       for (const auto& [team_and_class, count] : queue.deferred_by_class()) {
-        if (count <= most)
+        if (count <= highest_count)
           continue;
-        most = count;
+        highest_count = count;
         team = team_and_class.first;
         job_class = team_and_class.second;
       }
@@ -34,6 +34,7 @@
   }
   if (overloaded_ && now > last_deferral_at_ + kRecoveryTime) {
     overloaded_ = false;
+    // The logged duration ends with the last deferral, so it leaves out kRecoveryTime.
     spdlog::info("admission: overload ended after_s={:.0f} deferred_total={}",
                  last_deferral_at_ - overloaded_since_, deferred);
   }
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -273,10 +273,10 @@
                   });
 }
 
-// For a job that has neither a live record nor a final state here. A delayed or duplicate offer might still
-// be accepted while the origin cell is about to start the job. The tombstone, a final state, keeps the job
-// from being created here. Until it is certainly recorded, requests about the job are answered with `none`,
-// since a creation in a job batch does not exclude the final state.
+// Writes a tombstone for a job that has neither a live record nor a final state here. A delayed or duplicate
+// offer might still be accepted while the origin cell is about to start the job. The tombstone, a final
+// state, keeps the job from being created here. Until it is certainly recorded, requests about the job are
+// answered with `none`, since a creation in a job batch does not exclude the final state.
 void Controller::put_tombstone(const std::string& ref) {
   if (registry_.find(ref) || final_states_.contains(ref) || !tombstones_in_progress_.insert(ref).second)
     return;
--- a/src/filters/zone_filter.cpp
+++ b/src/filters/zone_filter.cpp
@@ -3,12 +3,13 @@
 namespace wingtrail::filters {
 
 bool ZoneFilter::admits_zone(ZoneIndex zone, const Job& job) const {
-  const std::uint32_t placed_here = zone < job.placed_by_zone.size() ? job.placed_by_zone[zone] : 0;
-  // All placed tasks must be in this zone. Late heartbeats of machines that are gone can make tasks appear
-  // in two zones at once. Then neither zone is certain, and both are refused.
-  if (job.spec.same_zone && placed_here != job.placed_tasks)
+  const std::uint32_t placed_in_zone = zone < job.placed_by_zone.size() ? job.placed_by_zone[zone] : 0;
+  // With `same_zone`, the zone must hold every task that is placed. A late heartbeat of a machine that was
+  // already marked as gone can make the job's tasks appear in two zones. Then every zone is refused, since it
+  // is uncertain in which one the tasks run.
+  if (job.spec.same_zone && placed_in_zone != job.placed_tasks)
     return false;
-  return !job.spec.spread_zones || placed_here + 1 <= (job.spec.tasks + 1) / 2;
+  return !job.spec.spread_zones || placed_in_zone + 1 <= (job.spec.tasks + 1) / 2;
 }
 
 }  // namespace wingtrail::filters
--- a/src/scheduling/eligibility.cpp
+++ b/src/scheduling/eligibility.cpp
@@ -46,9 +46,9 @@
   return out_.now() + run_s * machine.slowdown <= deadline || out_.now() + run_s > deadline;
 }
 
-// Whether the job fails on every machine, presumably because it was submitted with a mistake. It is retried
-// after a back-off, but no task is preempted for it: such jobs, retried every minute, could keep a job whose
-// tasks run longer than that from ever finishing.
+// Whether the job fails on every machine, presumably because of a mistake in its submission. Such a job is
+// retried after a back-off, but no task is preempted for it: retried every minute, such jobs could keep a job
+// whose tasks run longer than that from ever finishing.
 bool Scheduler::fails_everywhere(const Job& job) const {
   constexpr unsigned kMinErrors = 3;
   return !job.is_service() && !job.has_succeeded && job.error_count >= kMinErrors;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -23,11 +23,11 @@
     return std::nullopt;
   Endpoint endpoint;
   endpoint.host = raw.substr(0, colon);
-  in_addr ignored{};
+  in_addr parsed_address{};
   unsigned port = 0;
   const auto [end, error] = std::from_chars(raw.data() + colon + 1, raw.data() + raw.size(), port);
   if (error != std::errc() || end != raw.data() + raw.size() || port < 1 || port > 65535 ||
-      inet_pton(AF_INET, endpoint.host.c_str(), &ignored) != 1)
+      inet_pton(AF_INET, endpoint.host.c_str(), &parsed_address) != 1)
     return std::nullopt;
   endpoint.port = static_cast<std::uint16_t>(port);
   return endpoint;
@@ -90,7 +90,8 @@
     }
     return values;
   }
-  // Calls `each` with a reader for every table of the list. An absent list counts as empty.
+  // Calls `each` with a reader for every table of the list. An absent list counts as empty, whereas an absent
+  // list in texts() is an error.
   template <typename F>
   void tables(const char* key, F each) {
     const toml::node* node = table_.get(key);
@@ -189,6 +190,8 @@
     } limits[] = {{"rps", 1, 0}, {"write_rps", 1, 0}, {"value_kb", 1, 0}, {"txn_ops", 4, 0}};
     for (auto& limit : limits)
       limit.value = state.number(limit.key, limit.lowest, 1e6);
+    // `next` holds limits that will replace the present ones at a time that is not announced, so the lower of
+    // both applies from the start.
     state.optional_table("next", [&](TomlReader next) {
       for (auto& limit : limits)
         limit.value = std::min(limit.value, next.number(limit.key, limit.lowest, 1e6, limit.value));
@@ -229,7 +232,8 @@
   root.table("params", [&](TomlReader params) { read_params(params, settings); });
 }
 
-// A numeric tunable and its range. Either `real` or `whole` is set: the field that holds it.
+// A numeric tunable and its range. `real` or `whole`, whichever is not null, points to the field that holds
+// the value.
 struct Tunable {
   const char* key;
   double Tunables::*real;
--- a/src/wire/heartbeat_reader.cpp
+++ b/src/wire/heartbeat_reader.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads heartbeats straight from CBOR, without a tree of values between: they are most of what a leader
-/// reads.
+/// Reads heartbeats directly from CBOR, without building a tree of values first, because most of the messages
+/// that a leader reads are heartbeats.
 #include <cmath>
 #include <span>
 
@@ -21,7 +21,7 @@
     {"mates_gone", ExitCause::stopped}, {"incomplete", ExitCause::stopped}, {"no_room", ExitCause::no_room},
     {"busy", ExitCause::busy},          {"unknown", ExitCause::unknown}};
 
-// The fields that are read; `other` is any that is passed over.
+// The fields that are read; `other` stands for every field that is skipped.
 enum class Field : std::uint8_t {
   host,
   address,
@@ -96,15 +96,15 @@
 // Depths in the message: the heartbeat's map, the list of tasks in it, and a task's map in that.
 constexpr int kHeartbeatDepth = 1, kTaskListDepth = 2, kTaskDepth = 3;
 
-// Takes the parser's events in. Unknown fields are passed over, however deep they are nested; a known one
-// that occurs twice or is not what it should be makes the whole heartbeat malformed. Every event returns
-// whether to go on.
+// Processes the parser's events. Unknown fields are skipped, however deep they are nested. A known field that
+// occurs twice or has the wrong type makes the whole heartbeat malformed. Every event returns whether to
+// continue parsing.
 class HeartbeatReader : public nlohmann::json_sax<Value> {
  public:
   Heartbeat heartbeat;
   std::string problem;
 
-  // Whether the parsed message is whole; if not, `problem` says why.
+  // Whether the parsed message has all required fields; if not, `problem` says why.
   bool complete() {
     if (problem.empty() && (depth_ != 0 || !seen_.contains(kRequired)))
       problem = "host, addr, flavour, hall, tenure and counter are needed";
@@ -148,7 +148,7 @@
   bool in_task() const {
     return depth_ == kTaskDepth && in_task_list_;
   }
-  // Whether the value at hand belongs to a field that is read. Fails for a value where a map must be.
+  // Whether the current value belongs to a field that is read. Fails for a value in place of a map.
   bool in_known_field() {
     if (depth_ == 0 || (in_task_list_ && depth_ == kTaskListDepth))
       return !fail();
@@ -166,7 +166,7 @@
     task_.task = parsed->task;
     return true;
   }
-  // Notes the first problem and ends the parse.
+  // Records the first problem and ends the parse.
   bool fail() {
     if (problem.empty())
       problem = "a field is malformed";
@@ -214,7 +214,7 @@
     heartbeat.preemption_in_s = value;
     return true;
   }
-  // A sender in a language without integers may write 4.0.
+  // Senders written in a language without integers may encode 4 as 4.0.
   if (value < 0 || value > kMaxExactInteger || std::floor(value) != value)
     return fail();
   return number_unsigned(static_cast<number_unsigned_t>(value));
@@ -235,7 +235,7 @@
     case Field::task_name:
       return read_task_name(value);
     case Field::phase:
-      // A phase that only a later worker has is taken for one that holds its resources.
+      // An unknown phase, as of a newer worker version, is treated as one that holds its resources.
       task_.phase = enum_by_name(kTaskPhases, value).value_or(TaskPhase::fetching);
       return true;
     case Field::cause:
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -11,8 +11,8 @@
 
 namespace wingtrail::workers {
 namespace {
-// As a share of elapsed time: the controller's and the worker's clock may each be off by 0.05 %,
-// in opposite directions.
+// Maximum drift between two clocks, as a share of the elapsed time: the controller's and the worker's clock
+// may each drift by 0.05 %, in opposite directions.
 constexpr double kMaxClockDrift = 0.001;
 // A worker notices the end of its lease with a delay, as its timers advance in steps.
 constexpr Seconds kWorkerTimerMargin = 0.5;
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -123,8 +123,8 @@
 }
 
 // A leader that crashes and restarts before its leader lease expires finds its earlier process recorded as
-// leader. It ends that lease, so that a controller leads again within a second instead of three. Workers'
-// connections and messages in flight to the earlier process don't count.
+// leader. The new process ends that lease, so that a controller leads again within a second instead of three.
+// Workers' connections and messages in flight to the earlier process don't count.
 TEST(AllNew, ARestartedLeaderEndsTheLeaseOfItsEarlierProcess) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     configure_logging();
