--- a/src/admission/fair_queue.cpp
+++ b/src/admission/fair_queue.cpp
@@ -70,7 +70,7 @@
     }
     for (const auto& [class_index, class_queue] : team_queue.classes) {
       const auto& waiting = class_queue.waiting;
-      // Counted from the end of the class, since most entries are added there.
+      // The position is counted from the end of the class, since most entries are added there.
       if (class_index == job_class)
         ahead_in_class =
             static_cast<double>(waiting.size()) -
--- a/src/admission/first_attempts.cpp
+++ b/src/admission/first_attempts.cpp
@@ -26,7 +26,8 @@
   std::uint64_t hash = 0xcbf29ce484222325;
   for (const char c : ref)
     hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3;
-  // Mixes, so that references that differ only in their last digits do not get neighbouring hashes.
+  // The bits are mixed so that references that differ only in their last digits do not get neighbouring
+  // hashes.
   hash ^= hash >> 32;
   hash *= 0xd6e8feb86659fd93;
   hash ^= hash >> 32;
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -45,7 +45,7 @@
   returns_.clear();
   listing_.clear();
   restricted_job_requested_at_.clear();
-  // These refer to machines of a leadership that is over, whose records may be freed.
+  // The following members refer to machines of the leadership that has ended, whose records may be freed.
   capacity_.clear();
   draining_machines_.clear();
   faulty_machines_.clear();
--- a/src/cells/offload_planner.cpp
+++ b/src/cells/offload_planner.cpp
@@ -4,7 +4,8 @@
 
 namespace wingtrail::cells {
 namespace {
-// From the decision until the other cell's leader may start the job: a write here, an offer, a write there.
+// Time from the decision until the other cell's leader may start the job: a write here, an offer, a write
+// there.
 constexpr Seconds kTransferDelay = 1.5;
 // Margin for wrong estimates of the waiting work. A single estimate is often wrong by half (PROTOCOL); the
 // sum over many jobs less so.
--- a/src/controller/dependency_lookup.cpp
+++ b/src/controller/dependency_lookup.cpp
@@ -29,7 +29,7 @@
     ++stats_.orphaned;
     spdlog::info("dependencies: orphaned ref={}", job->spec.ref);
     state_writer_.record_orphan(*job);
-    // Tasks of it run only if a leader with a version without dependencies started them.
+    // The job can have running tasks only if a leader whose version lacks dependencies started them.
     workers_.cancel_job(*job);
   }
   for (std::string& ref : dependencies_.take_unknown()) {
--- a/src/controller/job_queries.cpp
+++ b/src/controller/job_queries.cpp
@@ -27,8 +27,8 @@
     return answer_fresh(origin, ref, ReplyDetail::progress);
   }
   if (origin.by_peer) {
-    // The peer takes this controller for the leader and would pass the reply on as the leader's, so the reply
-    // must hold even if the leader deferred the query.
+    // The peer regards this controller as the leader and would pass the reply on as the leader's, so the
+    // reply must hold even if the leader deferred the query.
     if (collaborators_.store.healthy())
       return answer_fresh(origin, ref, ReplyDetail::progress, true);
     return defer(origin, ref, DeferralReason::not_leading);
@@ -52,8 +52,8 @@
   return true;
 }
 
-// Whether a job that it depends on is cancelled, or may be, as far as the leader knows. The job is then
-// cancelled too. Until that final state is recorded, neither it nor "queued" may be answered.
+// Whether, as far as the leader knows, a dependency of the job is or may be cancelled. The job is then
+// cancelled too. Until that final state is recorded, neither that state nor "queued" may be answered.
 bool JobQueries::may_be_orphaned(const jobs::Job& job) const {
   return job.orphaned || collaborators_.dependencies.has_undecided_dependency(job);
 }
@@ -84,7 +84,7 @@
                           : wire::job_progress(job.spec.ref, job.phase(), job.done_tasks, job.running_tasks));
 }
 
-// Progress as last reported by the cell that holds the job.
+// Returns the progress that the holding cell reported last.
 wire::Value JobQueries::remote_progress(const jobs::Job& job) const {
   const cells::RemotePlacements::RemotePlacement* placement =
       collaborators_.remote_placements.find(job.spec.ref);
--- a/src/controller/remote_jobs.cpp
+++ b/src/controller/remote_jobs.cpp
@@ -12,7 +12,7 @@
 
 namespace wingtrail::controller {
 namespace {
-constexpr Seconds kReplyWithin = 0.4;  // what takes longer to look up is answered to the repeated request
+constexpr Seconds kReplyWithin = 0.4;  // a lookup that takes longer is answered when the request is repeated
 constexpr Seconds kRelayTimeout = kCellCallTimeout - 0.3;
 constexpr Seconds kRetryDelay = 0.3;
 constexpr double kUnlimitedCores = 1e9;  // reported for a team without a quota
@@ -145,7 +145,7 @@
   if (const jobs::Job* job = registry_.find(message.ref)) {
     if (job->origin_cell != from)
       return reply->set_verb(i, JobVerb::cancelled);  // a job of this cell's own with the same reference
-    // If its final state is being recorded, `held` would soon be outdated.
+    // If the job's final state is being recorded, `held` would soon be outdated.
     if (!job->is_open() || job->final_state_sent)
       return reply->set_verb(i, JobVerb::none);
     message.done_tasks = job->done_tasks;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,7 +15,7 @@
 using ports::Seconds;
 namespace {
 
-// Longer than all the calls that the controller makes, one after another, to answer a request.
+// Exceeds the total time of all the calls that the controller makes, one after another, to answer a request.
 constexpr Seconds kAnswerTimeoutS = 8;
 // Range reads and watch replies of the state service may be larger than other messages.
 constexpr std::size_t kMaxReplyBytes = 8U << 20;
@@ -169,7 +169,7 @@
     } else if (auto body = wire::decode_cbor(outcome.body)) {
       reply.body = std::move(*body);
     } else if (outcome.status == 200) {
-      // Treated as no reply: the request may have been executed.
+      // This counts as no reply: the request may have been executed.
       spdlog::warn("daemon: reply is not CBOR method={} path={}", call.method, call.path);
       reply.status = 0;
     }
--- a/src/jobs/inventory_pages.cpp
+++ b/src/jobs/inventory_pages.cpp
@@ -148,7 +148,7 @@
   return true;
 }
 
-// When the page is due by its urgency, without regard to pages that block it.
+// Returns when the page is due by its urgency, without regard to pages that block it.
 Seconds InventoryPages::due_at(std::size_t page) const {
   const auto& state = pages_[page];
   if (state.urgency == PageUrgency::now)
--- a/src/jobs/state_writer.cpp
+++ b/src/jobs/state_writer.cpp
@@ -328,7 +328,7 @@
 // later, so that it does not block the others.
 void StateWriter::on_commit_malformed(const Commit& commit) {
   ++malformed_commits_;
-  spdlog::error("state-writer: transaction refused status=malformed changes={} records={}",
+  spdlog::error("state_writer: transaction refused status=malformed changes={} records={}",
                 commit.change_count, commit.record_count());
   if (commit.record_count() > 1) {
     limits_.changes = std::max(kMaxFinalStateChanges, commit.change_count / 2);
@@ -345,7 +345,7 @@
     lower_page_limit(inventory_pages_.on_refused(write, retry_at));
   for (const JobIndex index : commit.selection.final_states) {
     Job& job = *registry_.job_at(index);
-    spdlog::error("state-writer: final state refused job={}", job.spec.ref);
+    spdlog::error("state_writer: final state refused job={}", job.spec.ref);
     final_states_.move_to_back(job, out_.now());
   }
 }
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -75,7 +75,8 @@
   const Job* job = registry_.job_at(allocation.job);
   if (!job || allocation.running_since <= 0)
     return true;
-  // Until the task starts again. Even in a fully used cluster tasks end all the time and free capacity.
+  // Expected time until the stopped task starts again. It is short, since tasks end and free capacity all the
+  // time, even in a fully used cluster.
   constexpr Seconds kRestartDelay = 10;
   const Seconds run_s = estimated_run_time(*job);
   const Seconds undisturbed_end = allocation.running_since + run_s;
@@ -176,20 +177,20 @@
   // Tasks end all the time, and the capacity that becomes free goes to jobs within their guarantee first,
   // whereas stopping a task discards its work. So a job first waits for a share of the time that it can spare
   // before its next deadline.
-  constexpr Seconds kMinPatience = 3;
-  // With a small share the same tasks are stopped again and again, for jobs that have most of their
-  // time left.
-  const double patience_share = balancing_enabled_ ? 0.4 : 0.1;
+  constexpr Seconds kMinWait = 3;
+  // With a small share, the same tasks would be stopped again and again for jobs that have most of their time
+  // left.
+  const double wait_share = balancing_enabled_ ? 0.4 : 0.1;
   // Jobs of teams that use more than their guarantee, in the reverse order of service.
   std::optional<std::vector<Job*>> victims;
   for (const JobIndex index : std::vector<JobIndex>(waiting_jobs_)) {
     Job* job = registry_.job_at(index);
     if (!job || !within_guarantee(*job) || !has_startable_task(*job) ||
-        out_.now() - job->eligible_since < kMinPatience)
+        out_.now() - job->eligible_since < kMinWait)
       continue;
     const Seconds spare_s =
         objectives_.next_deadline(*job, 0) - job->eligible_since - estimated_run_time(*job);
-    if (!job->is_service() && out_.now() - job->eligible_since < patience_share * spare_s)
+    if (!job->is_service() && out_.now() - job->eligible_since < wait_share * spare_s)
       continue;
     if (fails_everywhere(*job))
       continue;
--- a/src/scheduling/service_objectives.cpp
+++ b/src/scheduling/service_objectives.cpp
@@ -28,8 +28,9 @@
   return *objectives;
 }
 
-// When the job must end to meet the objective. The job's own deadline counts from its submission, even if it
-// had to wait for other jobs; the other objectives count from when it became eligible to start.
+// Returns when the job must end to meet the objective. The job's own deadline counts from its submission,
+// even if it had to wait for other jobs; the other objectives count from when the job became eligible to
+// start.
 Seconds ServiceObjectives::deadline(const Job& job, const Objective& objective) const {
   switch (objective.kind) {
     case Objective::Kind::finished:
--- a/src/simulation/state_service.cpp
+++ b/src/simulation/state_service.cpp
@@ -206,8 +206,8 @@
       return reply(404, {{"ledgerRev", revision_}});
     return reply(200, {{"path", it->first}, {"data", it->second.value}, {"stamp", it->second.version}});
   }
-  // A controller that knows of lower limits to come keeps to them from its start. Transactions that were sent
-  // before may be executed late.
+  // A controller whose settings announce lower limits must respect them from its start. Transactions that
+  // were sent before that start may be executed late.
   if (path == "/txn" && !executing_late_write_ &&
       exceeds_limits(body, controllers_[node]->runs_former_version ? settings_before_upgrade_ : settings_, 1))
     report_violation("protocol", "a transaction over the limits: " + body.dump().substr(0, 300));
--- a/src/simulation/users.cpp
+++ b/src/simulation/users.cpp
@@ -137,8 +137,8 @@
     return;
   submit_random_job();
   add_event_after(random_between(plan_.arrival_s / 12, plan_.arrival_s), [this] { schedule_submissions(); });
-  // Several submissions at once, so that job batches hold more than one job; spread-out submissions rarely
-  // meet in a batch.
+  // Submits several jobs at once, so that job batches hold more than one job; submissions that are spread out
+  // rarely share a batch.
   if (plan_.fair_admission && random_bool(0.15)) {
     for (std::size_t n = 1 + random_index(6); n > 0; --n)
       submit_random_job();
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -74,7 +74,7 @@
 }
 
 // Admissions use the changes that final states and commands leave, and otherwise a small reserved part.
-// Without it, a leader that records final states for a minute on end would admit no jobs in that time.
+// Without it, a leader that records final states for a whole minute would admit no jobs in that time.
 bool StateClient::take_writes(Seconds now, double writes, RequestPriority priority) {
   if (writes <= 0 || writes_bucket_.try_take(now, writes, write_floor(priority)))
     return true;
--- a/src/wire/value.cpp
+++ b/src/wire/value.cpp
@@ -141,7 +141,7 @@
     return value->get<std::uint64_t>();
   if (value->is_number_integer() && value->get<std::int64_t>() >= 0)
     return value->get<std::uint64_t>();
-  // A sender in a language without integers may write 4.0.
+  // Senders written in a language without integers may encode 4 as 4.0.
   if (value->is_number_float()) {
     const double number = value->get<double>();
     if (number >= 0 && number <= kMaxExactInteger && std::floor(number) == number)
--- a/src/workers/allocations.cpp
+++ b/src/workers/allocations.cpp
@@ -141,7 +141,7 @@
   const std::uint32_t task = allocation.task;
   const bool was_placed = job && allocation.occupies_machine;
   release_allocation(machine, allocation);
-  // Erased before unplace_task() looks for a stray instance, so that it does not find this allocation.
+  // The allocation is erased before unplace_task() looks for a stray instance, so that it is not found.
   machine.allocations.erase(machine.allocations.begin() + static_cast<std::ptrdiff_t>(position));
   if (was_placed)
     unplace_task(*job, task, machine);
--- a/src/workers/commands.cpp
+++ b/src/workers/commands.cpp
@@ -34,8 +34,8 @@
   Allocation allocation;
   allocation.job = job.index;
   allocation.task = task;
-  // Unique without a write to the state service: no other leadership has the same fencing token, and the
-  // counter only grows within a leadership.
+  // The attempt number is unique without a write to the state service: no other leadership has the same
+  // fencing token, and the counter only grows within a leadership.
   allocation.attempt = (leadership_.strict_cancellations() ? delegation::kStrictCancellationFlag : 0) +
                        (leadership_.fencing_token() << delegation::kFencingTokenShift) + ++attempt_counter_;
   // The tasks of a gang recognize each other by their attempt, so all tasks that start together share one.
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -227,8 +227,7 @@
         auto event = events.extract(events.begin());
         event.mapped()();
       }
-      // Once the key has expired, a controller is elected. The leader counts its lease from before its
-      // request.
+      // Once the key has expired, a controller is elected. Its lease counts from a time before its request.
       if (simulation.now >= key_expires_at) {
         holder = simulation.rng(static_cast<std::uint32_t>(count));
         for (auto& controller : simulation.controllers)
--- a/tests/cells_simulation_test.cpp
+++ b/tests/cells_simulation_test.cpp
@@ -120,7 +120,7 @@
     cells.duplicate_share = 0.1;
     cells.begin();
     cells.step(15);
-    // The first job fills the origin cell's machines for a minute. Later jobs are offloaded, and some
+    // The first job fills the origin cell's machines for a minute. Later jobs are offloaded, and some are
     // cancelled.
     cells[0].submit_job(job_in_cell(0, 1, 12, 60), 60);
     cells.step(18);
@@ -168,9 +168,8 @@
 INSTANTIATE_TEST_SUITE_P(Each, HandOver, testing::Range(0, static_cast<int>(Fault::count)),
                          [](const auto& instance) { return std::string(kFaultNames[instance.param]); });
 
-// While the holding cell cannot be reached, the cancellation of a remote job is deferred, and the
-// cancellation is not confirmed to the user. Once the cell is reachable, the job ends there and its final
-// state is recorded.
+// While the holding cell cannot be reached, the cancellation of a remote job is deferred and not confirmed to
+// the user. Once the cell is reachable, the job ends there and its final state is recorded.
 TEST(Cells, ACancellationIsRecordedOnlyAfterTheRemoteJobHasEnded) {
   configure_logging();
   SimulatedCells cells({cell_plan(5, 2), cell_plan(6, 6)}, 3);
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,4 +1,4 @@
-// Simulated runs in which two faults fall together. docs/combined-faults.md has a row for each combination;
+// Simulated runs in which two faults coincide. docs/combined-faults.md has a row for each combination;
 // the numbers below are the numbers of its rows.
 #include "combined_faults.hpp"
 
@@ -114,16 +114,16 @@
 // cancel at once. No controller may answer with an older state than one answered before.
 TEST(CombinedFaults, QueriesAtAllControllersWithinMilliseconds) {
   run_seeds(4, 3000, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.cluster.poll_all_nodes(90);
-    day.long_arrays(4, 20);
-    day.stream(120, 0.4, 0.4);
+    FaultRun fault_run(deployed(seed));
+    fault_run.cluster.poll_all_nodes(90);
+    fault_run.long_arrays(4, 20);
+    fault_run.stream(120, 0.4, 0.4);
     if (seed % 2 == 0)
-      day.at(60, [&] { day.cluster.state_slow(20); });
+      fault_run.at(60, [&] { fault_run.cluster.state_slow(20); });
     for (double t = 70; t < 120; t += 18)
-      day.at(t, [&] { day.crash_leader(); });
-    day.cluster.step(130);
-    return day.finish(200).burst_queries;
+      fault_run.at(t, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(130);
+    return fault_run.finish(200).burst_queries;
   });
 }
 
@@ -131,15 +131,15 @@
 // read what was written.
 TEST(CombinedFaults, OnlyTheAnswerIsLost) {
   run_seeds(6, 100, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.cluster.poll_all_nodes(80);
-    day.cluster.delay_writes(seed % 2 == 0 ? 0.25 : 0.6, 60, true);
-    day.long_arrays(4, 20);
-    day.stream(110, 0.5, 0.4);
-    day.at(60 + static_cast<double>(seed), [&] { day.crash_leader(); });
-    day.at(90, [&] { day.crash_leader(); });
-    day.cluster.step(130);
-    return day.finish(240).lost_replies;
+    FaultRun fault_run(deployed(seed));
+    fault_run.cluster.poll_all_nodes(80);
+    fault_run.cluster.delay_writes(seed % 2 == 0 ? 0.25 : 0.6, 60, true);
+    fault_run.long_arrays(4, 20);
+    fault_run.stream(110, 0.5, 0.4);
+    fault_run.at(60 + static_cast<double>(seed), [&] { fault_run.crash_leader(); });
+    fault_run.at(90, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(130);
+    return fault_run.finish(240).lost_replies;
   });
 }
 
@@ -149,21 +149,21 @@
   run_seeds(8, 8, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 14);
     plan.budget_limits = true;
-    FaultRun day(plan);
+    FaultRun fault_run(plan);
     for (int n = 0; n < 10; ++n) {
       wire::JobSpec spec = job_of(10 + n, 8, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 50;
-      day.cluster.submit_job(spec, 50);
+      fault_run.cluster.submit_job(spec, 50);
     }
-    day.cluster.step(55);
+    fault_run.cluster.step(55);
     const auto fault =
         seed % 2 == 0 ? SimulatedCluster::MachineFault::unreachable : SimulatedCluster::MachineFault::hung;
-    day.cluster.fail_machines(fault, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
-    day.cancel(10, 6, 55.1, 0.2);
-    day.at(55 + 0.7 * static_cast<double>(seed), [&] { day.crash_leader(); });
-    day.cluster.step(60);
-    const std::size_t elections = day.elections();
-    day.finish();
+    fault_run.cluster.fail_machines(fault, 5, 12 + 7 * static_cast<double>(seed % 4), "req-10");
+    fault_run.cancel(10, 6, 55.1, 0.2);
+    fault_run.at(55 + 0.7 * static_cast<double>(seed), [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(60);
+    const std::size_t elections = fault_run.elections();
+    fault_run.finish();
     return elections;
   });
 }
@@ -172,22 +172,22 @@
 // from the state service.
 TEST(CombinedFaults, CancelledDuringAFailover) {
   run_seeds(12, 12, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.long_arrays(9, 70);
-    day.stream(80, 0.3, 0.5);
-    day.cluster.step(58);
-    const std::size_t elections_before = day.elections(), old = day.cluster.leader().value_or(0);
+    FaultRun fault_run(deployed(seed));
+    fault_run.long_arrays(9, 70);
+    fault_run.stream(80, 0.3, 0.5);
+    fault_run.cluster.step(58);
+    const std::size_t elections_before = fault_run.elections(), old = fault_run.cluster.leader().value_or(0);
     const double shift = 0.5 * static_cast<double>(seed % 12);
     if (seed % 3 == 0)
-      day.at(60, [&] { day.cluster.crash(old); });
+      fault_run.at(60, [&] { fault_run.cluster.crash(old); });
     if (seed % 3 == 1)
-      day.at(60, [&] { day.cluster.freeze(old, 7); });
+      fault_run.at(60, [&] { fault_run.cluster.freeze(old, 7); });
     if (seed % 3 == 2)
-      day.at(60, [&] { day.cluster.cut_node(old, true, false, 12, seed % 2 == 0); });
-    day.cancel(10, 8, 59 + shift, 0.1);
-    day.cluster.step(80);
-    const std::size_t changes = day.elections() - elections_before;
-    day.finish();
+      fault_run.at(60, [&] { fault_run.cluster.cut_node(old, true, false, 12, seed % 2 == 0); });
+    fault_run.cancel(10, 8, 59 + shift, 0.1);
+    fault_run.cluster.step(80);
+    const std::size_t changes = fault_run.elections() - elections_before;
+    fault_run.finish();
     return changes;
   });
 }
@@ -198,22 +198,23 @@
   run_seeds(8, 40, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 4);
     plan.max_machines = 24;
-    FaultRun day(plan);
-    day.cluster.boot_quickly(60);
-    day.cluster.delay_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
+    FaultRun fault_run(plan);
+    fault_run.cluster.boot_quickly(60);
+    fault_run.cluster.delay_writes(seed % 2 == 0 ? 0.3 : 0.6, 40, seed % 4 < 2);
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec spec = job_of(10 + n, 10, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 40;
-      day.cluster.submit_job(spec, 40);
+      fault_run.cluster.submit_job(spec, 40);
     }
-    const std::size_t machines_before = day.cluster.machines_in_zone(0) + day.cluster.machines_in_zone(1);
+    const std::size_t machines_before =
+        fault_run.cluster.machines_in_zone(0) + fault_run.cluster.machines_in_zone(1);
     for (int k = 0; k < 3; ++k)
-      day.at(43 + 0.5 * static_cast<double>(seed) + 9 * k, [&] { day.crash_leader(); });
-    day.cancel(10, 3, 50, 0.3);
-    day.cluster.step(80);
+      fault_run.at(43 + 0.5 * static_cast<double>(seed) + 9 * k, [&] { fault_run.crash_leader(); });
+    fault_run.cancel(10, 3, 50, 0.3);
+    fault_run.cluster.step(80);
     const std::size_t rented =
-        day.cluster.machines_in_zone(0) + day.cluster.machines_in_zone(1) - machines_before;
-    const RunReport& report = day.finish();
+        fault_run.cluster.machines_in_zone(0) + fault_run.cluster.machines_in_zone(1) - machines_before;
+    const RunReport& report = fault_run.finish();
     EXPECT_GT(report.late_writes + report.lost_replies, 0U) << "expected delayed writes or lost answers";
     return rented;
   });
@@ -225,26 +226,28 @@
   run_seeds(8, 400, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.budget_limits = seed % 2 == 0;
-    FaultRun day(plan);
-    day.long_arrays(6, 25);
-    day.stream(150, 0.6, 0.3);
-    day.cluster.duplicate_heartbeats_late(0.4, 60,
-                                          seed % 3 != 0 ? SimulatedCluster::DuplicateArrival::after_election
-                                                        : SimulatedCluster::DuplicateArrival::later);
-    day.at(52, [&] {
-      day.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
+    FaultRun fault_run(plan);
+    fault_run.long_arrays(6, 25);
+    fault_run.stream(150, 0.6, 0.3);
+    fault_run.cluster.duplicate_heartbeats_late(0.4, 60,
+                                                seed % 3 != 0
+                                                    ? SimulatedCluster::DuplicateArrival::after_election
+                                                    : SimulatedCluster::DuplicateArrival::later);
+    fault_run.at(52, [&] {
+      fault_run.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 3, 26);
     });  // long enough for their incarnations to end
-    day.at(60 + 0.3 * static_cast<double>(seed), [&] { day.crash_leader(); });
-    day.at(85, [&] {
-      day.cluster.duplicate_heartbeats_late(0.4, 50,
-                                            seed % 3 == 0 ? SimulatedCluster::DuplicateArrival::after_election
-                                                          : SimulatedCluster::DuplicateArrival::later);
-      day.crash_leader();
+    fault_run.at(60 + 0.3 * static_cast<double>(seed), [&] { fault_run.crash_leader(); });
+    fault_run.at(85, [&] {
+      fault_run.cluster.duplicate_heartbeats_late(0.4, 50,
+                                                  seed % 3 == 0
+                                                      ? SimulatedCluster::DuplicateArrival::after_election
+                                                      : SimulatedCluster::DuplicateArrival::later);
+      fault_run.crash_leader();
     });
-    day.at(110, [&] { day.crash_leader(); });
-    day.cancel(10, 3, 60.5, 1.5);
-    day.cluster.step(160);
-    const RunReport& report = day.finish();
+    fault_run.at(110, [&] { fault_run.crash_leader(); });
+    fault_run.cancel(10, 3, 60.5, 1.5);
+    fault_run.cluster.step(160);
+    const RunReport& report = fault_run.finish();
     EXPECT_GT(report.held_heartbeats, 0U) << "expected heartbeats held back until an election";
     return report.late_heartbeats + report.held_heartbeats;
   });
@@ -256,15 +259,15 @@
   run_seeds(2, 800, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
     plan.write_rps = 21;
-    FaultRun day(plan);
-    day.stream(160, 0.25, 0.25);
+    FaultRun fault_run(plan);
+    fault_run.stream(160, 0.25, 0.25);
     if (seed % 2 == 0)
-      day.at(100, [&] { day.crash_leader(); });
-    day.cluster.step(170);
-    day.cluster.cancel(FaultRun::ref(1)), day.cluster.cancel(FaultRun::ref(2));
-    const RunReport& report = day.finish(120);
+      fault_run.at(100, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(170);
+    fault_run.cluster.cancel(FaultRun::ref(1)), fault_run.cluster.cancel(FaultRun::ref(2));
+    const RunReport& report = fault_run.finish(120);
     EXPECT_LT(report.max_writes, 1.0) << "share of the write budget";
-    EXPECT_EQ(day.cluster.key_count("j/"), 0U)
+    EXPECT_EQ(fault_run.cluster.key_count("j/"), 0U)
         << "expected no job records, cancellation markers or job batches to remain";
     EXPECT_GT(report.cancelled, 80U);
     return report.accepted;
@@ -274,20 +277,20 @@
 // 8. A command or its answer is delayed for seconds because the machine hangs; the machine then continues.
 TEST(CombinedFaults, CommandsDelayedAtMachinesThatHangAndContinue) {
   run_seeds(10, 10, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 6));
+    FaultRun fault_run(deployed(seed, 6));
     for (double t = 45; t < 95; t += 3.1) {
-      day.at(t, [&day, seed, t] {
-        day.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 2,
-                                  0.5 + std::fmod(t * static_cast<double>(seed), 7.0));
+      fault_run.at(t, [&fault_run, seed, t] {
+        fault_run.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 2,
+                                        0.5 + std::fmod(t * static_cast<double>(seed), 7.0));
       });
     }
-    day.long_arrays(6, 15);
-    day.stream(100, 0.4, 0.5);
-    day.cancel(10, 4, 47, 2.3);
+    fault_run.long_arrays(6, 15);
+    fault_run.stream(100, 0.4, 0.5);
+    fault_run.cancel(10, 4, 47, 2.3);
     if (seed % 2 == 0)
-      day.at(70, [&] { day.crash_leader(); });
-    day.cluster.step(110);
-    return day.finish().cancellations_confirmed;
+      fault_run.at(70, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(110);
+    return fault_run.finish().cancellations_confirmed;
   });
 }
 
@@ -296,17 +299,17 @@
   run_seeds(8, 100, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 5);
     plan.max_machines = 14;
-    FaultRun day(plan);
-    day.cluster.poll_all_nodes(60);
-    day.cluster.delay_writes(0.3, 70, false);
-    day.cluster.boot_quickly(60);
-    day.long_arrays(8, 20, 6);
-    day.stream(110, 0.5, 0.3, 2);
-    day.at(75 + static_cast<double>(seed), [&] { day.crash_leader(); });
+    FaultRun fault_run(plan);
+    fault_run.cluster.poll_all_nodes(60);
+    fault_run.cluster.delay_writes(0.3, 70, false);
+    fault_run.cluster.boot_quickly(60);
+    fault_run.long_arrays(8, 20, 6);
+    fault_run.stream(110, 0.5, 0.3, 2);
+    fault_run.at(75 + static_cast<double>(seed), [&] { fault_run.crash_leader(); });
     if (seed % 2 == 0)
-      day.at(100, [&] { day.crash_leader(); });
-    day.cluster.step(120);
-    return day.finish().late_writes;
+      fault_run.at(100, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(120);
+    return fault_run.finish().late_writes;
   });
 }
 
@@ -315,19 +318,19 @@
   run_seeds(9, 9, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 8);
     plan.budget_limits = seed % 2 == 0;
-    FaultRun day(plan);
-    day.long_arrays(6, 80);
-    day.cluster.step(58);
+    FaultRun fault_run(plan);
+    fault_run.long_arrays(6, 80);
+    fault_run.cluster.step(58);
     constexpr SimulatedCluster::MachineFault kinds[] = {SimulatedCluster::MachineFault::unreachable,
                                                         SimulatedCluster::MachineFault::incoming_lost,
                                                         SimulatedCluster::MachineFault::outgoing_lost};
-    day.cluster.fail_machines(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
-    day.at(58.5 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
-    day.cancel(10, 3, 60, 1.7);
-    day.stream(90, 1, 0.3);
-    day.cluster.step(120);
-    const std::size_t changes = day.elections();
-    day.finish();
+    fault_run.cluster.fail_machines(kinds[seed % 3], 3, seed % 2 == 0 ? 15 : 45, "req-10");
+    fault_run.at(58.5 + static_cast<double>(seed % 4), [&] { fault_run.crash_leader(); });
+    fault_run.cancel(10, 3, 60, 1.7);
+    fault_run.stream(90, 1, 0.3);
+    fault_run.cluster.step(120);
+    const std::size_t changes = fault_run.elections();
+    fault_run.finish();
     return changes;
   });
 }
@@ -335,17 +338,17 @@
 // 11. The leader changes ten times in two minutes, for even seeds also during an outage of the state service.
 TEST(CombinedFaults, LeadersChangeTenTimes) {
   run_seeds(4, 28, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.long_arrays(8, 40);
-    day.stream(170, 0.7, 0.4);
+    FaultRun fault_run(deployed(seed));
+    fault_run.long_arrays(8, 40);
+    fault_run.stream(170, 0.7, 0.4);
     for (int k = 0; k < 10; ++k)
-      day.at(50 + 12 * k, [&] { day.crash_leader(); });
+      fault_run.at(50 + 12 * k, [&] { fault_run.crash_leader(); });
     if (seed % 2 == 0)
-      day.at(80, [&] { day.cluster.state_outage(20); });
-    day.cancel(10, 6, 51, 9);
-    day.cluster.step(180);
-    const std::size_t n = day.elections();
-    day.finish();
+      fault_run.at(80, [&] { fault_run.cluster.state_outage(20); });
+    fault_run.cancel(10, 6, 51, 9);
+    fault_run.cluster.step(180);
+    const std::size_t n = fault_run.elections();
+    fault_run.finish();
     return n;
   });
 }
@@ -358,21 +361,21 @@
     const bool down_long = seed % 3 == 0;
     plan.back_from = down_long ? 24 : 0.1;
     plan.back_to = down_long ? 30 : 1;
-    FaultRun day(plan);
-    day.long_arrays(6, 40);
-    day.stream(110, 0.7, 0.4);
-    const auto crash_all = [&day] {
+    FaultRun fault_run(plan);
+    fault_run.long_arrays(6, 40);
+    fault_run.stream(110, 0.7, 0.4);
+    const auto crash_all = [&fault_run] {
       for (std::size_t i = 0; i < 3; ++i)
-        day.cluster.crash(i);
+        fault_run.cluster.crash(i);
     };
-    day.at(60, crash_all);
+    fault_run.at(60, crash_all);
     if (!down_long)
-      day.at(61 + 0.3 * static_cast<double>(seed), crash_all);
-    day.at(100, crash_all);
-    day.cancel(10, 4, 59.5, 0.4);
-    day.cluster.step(150);
-    const std::size_t n = day.elections();
-    day.finish();
+      fault_run.at(61 + 0.3 * static_cast<double>(seed), crash_all);
+    fault_run.at(100, crash_all);
+    fault_run.cancel(10, 4, 59.5, 0.4);
+    fault_run.cluster.step(150);
+    const std::size_t n = fault_run.elections();
+    fault_run.finish();
     return n;
   });
 }
@@ -380,17 +383,17 @@
 // 11. A zone with workers and a controller is cut off for 35 s, longer than a lease.
 TEST(CombinedFaults, AZoneWithAControllerIsCutOffForLongerThanALease) {
   run_seeds(6, 6, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.long_arrays(8, 60);
-    day.stream(140, 1, 0.4);
-    day.cluster.step(58);
-    day.cluster.cut_zone(seed % 2, 35, seed % 4 < 2);
-    day.cancel(10, 7, 57 + static_cast<double>(seed), 0.4);
+    FaultRun fault_run(deployed(seed));
+    fault_run.long_arrays(8, 60);
+    fault_run.stream(140, 1, 0.4);
+    fault_run.cluster.step(58);
+    fault_run.cluster.cut_zone(seed % 2, 35, seed % 4 < 2);
+    fault_run.cancel(10, 7, 57 + static_cast<double>(seed), 0.4);
     if (seed % 3 == 0)
-      day.at(70, [&] { day.crash_leader(); });
-    day.cluster.step(150);
-    const std::size_t n = day.cluster.run_report().renewed_by_delegates;
-    day.finish();
+      fault_run.at(70, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(150);
+    const std::size_t n = fault_run.cluster.run_report().renewed_by_delegates;
+    fault_run.finish();
     return std::min<std::size_t>(n, 1);
   });
 }
@@ -399,18 +402,18 @@
 // reach it; jobs are cancelled through the new one.
 TEST(CombinedFaults, ALeaderCutOffFromStateAndPeers) {
   run_seeds(8, 8, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.cluster.poll_all_nodes(60);
-    day.long_arrays(8, 70);
-    day.stream(110, 0.6, 0.4);
-    day.cluster.step(60);
-    const std::size_t old = day.cluster.leader().value_or(0);
-    day.cluster.cut_node(old, true, true, 12 + 5 * static_cast<double>(seed % 5), seed % 2 == 0);
-    day.cancel(10, 7, 60 + 0.8 * static_cast<double>(seed), 0.5);
-    day.cluster.step(75);
-    const std::size_t moved = day.cluster.leader().value_or(old) != old;
-    day.cluster.step(120);
-    day.finish();
+    FaultRun fault_run(deployed(seed));
+    fault_run.cluster.poll_all_nodes(60);
+    fault_run.long_arrays(8, 70);
+    fault_run.stream(110, 0.6, 0.4);
+    fault_run.cluster.step(60);
+    const std::size_t old = fault_run.cluster.leader().value_or(0);
+    fault_run.cluster.cut_node(old, true, true, 12 + 5 * static_cast<double>(seed % 5), seed % 2 == 0);
+    fault_run.cancel(10, 7, 60 + 0.8 * static_cast<double>(seed), 0.5);
+    fault_run.cluster.step(75);
+    const std::size_t moved = fault_run.cluster.leader().value_or(old) != old;
+    fault_run.cluster.step(120);
+    fault_run.finish();
     return moved;
   });
 }
@@ -419,18 +422,18 @@
 // repeated submission arrives just as the last task finishes.
 TEST(CombinedFaults, TasksFinishFarApartAndJobsAreCancelledAtCompletion) {
   run_seeds(6, 60, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 8));
-    day.cluster.slow_machines(4, 5);  // one of two tasks takes five times as long
-    day.cluster.poll_all_nodes(100);
-    day.cluster.cancel_at_completion(0.5, 100);
-    day.cluster.send_malformed_requests(100);
-    day.stream(120, 0.5, 0.1, 2 + static_cast<std::uint32_t>(seed % 2), 4);
+    FaultRun fault_run(deployed(seed, 8));
+    fault_run.cluster.slow_machines(4, 5);  // one of two tasks takes five times as long
+    fault_run.cluster.poll_all_nodes(100);
+    fault_run.cluster.cancel_at_completion(0.5, 100);
+    fault_run.cluster.send_malformed_requests(100);
+    fault_run.stream(120, 0.5, 0.1, 2 + static_cast<std::uint32_t>(seed % 2), 4);
     if (seed % 3 != 0) {
       for (double t = 60; t < 130; t += 17)
-        day.at(t, [&] { day.crash_leader(); });
+        fault_run.at(t, [&] { fault_run.crash_leader(); });
     }
-    day.cluster.step(140);
-    const RunReport& report = day.finish();
+    fault_run.cluster.step(140);
+    const RunReport& report = fault_run.finish();
     EXPECT_GT(report.malformed_requests, 50U) << "expected malformed requests to be sent";
     return report.cancelled_at_end;
   });
@@ -443,7 +446,7 @@
     SimulationPlan plan = deployed(seed, 12);
     plan.budget_limits = true;
     plan.max_machines = 16;
-    FaultRun day(plan);
+    FaultRun fault_run(plan);
     for (int n = 0; n < 8; ++n) {
       wire::JobSpec spec = job_of(10 + n, 5, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 40;
@@ -451,17 +454,17 @@
         spec.zone = "z0";
       if (n % 4 == 1)
         spec.same_zone = true;
-      day.cluster.submit_job(spec, 40);
+      fault_run.cluster.submit_job(spec, 40);
     }
-    day.cluster.step(56);
-    day.cluster.kill_in_zone(0, 2);
-    day.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 2, 18);
-    day.at(56 + 0.8 * static_cast<double>(seed), [&] { day.crash_leader(); });
-    day.cancel(10, 3, 57, 1.3);
-    day.stream(90, 1, 0.3);
-    day.cluster.step(100);
-    const std::size_t n = day.elections() - 1;
-    day.finish();
+    fault_run.cluster.step(56);
+    fault_run.cluster.kill_in_zone(0, 2);
+    fault_run.cluster.fail_machines(SimulatedCluster::MachineFault::unreachable, 2, 18);
+    fault_run.at(56 + 0.8 * static_cast<double>(seed), [&] { fault_run.crash_leader(); });
+    fault_run.cancel(10, 3, 57, 1.3);
+    fault_run.stream(90, 1, 0.3);
+    fault_run.cluster.step(100);
+    const std::size_t n = fault_run.elections() - 1;
+    fault_run.finish();
     return n;
   });
 }
@@ -470,22 +473,22 @@
 // for 40 s, longer than cancel_s. Users cancel and query meanwhile.
 TEST(CombinedFaults, ASlowStateServiceWhileUsersCancelAndQuery) {
   run_seeds(4, 1000, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed));
-    day.cluster.poll_all_nodes(140);
-    day.long_arrays(8, 60);
-    day.stream(150, 0.5, 0.5);
-    day.at(50, [&] { day.cluster.state_slow(60); });
-    day.at(60, [&] {
+    FaultRun fault_run(deployed(seed));
+    fault_run.cluster.poll_all_nodes(140);
+    fault_run.long_arrays(8, 60);
+    fault_run.stream(150, 0.5, 0.5);
+    fault_run.at(50, [&] { fault_run.cluster.state_slow(60); });
+    fault_run.at(60, [&] {
       if (seed % 2 == 0)
-        day.cluster.refuse_state_service(day.cluster.leader().value_or(0), 10);
+        fault_run.cluster.refuse_state_service(fault_run.cluster.leader().value_or(0), 10);
     });
-    day.at(64 + static_cast<double>(seed), [&] {
+    fault_run.at(64 + static_cast<double>(seed), [&] {
       if (seed % 2 == 0)
-        day.cluster.state_outage(40);
+        fault_run.cluster.state_outage(40);
     });
-    day.cancel(10, 7, 60, 0.8);
-    day.cluster.step(170);
-    return day.finish().burst_queries;
+    fault_run.cancel(10, 7, 60, 0.8);
+    fault_run.cluster.step(170);
+    return fault_run.finish().burst_queries;
   });
 }
 
@@ -496,29 +499,30 @@
   run_seeds(8, 3, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 6);
     plan.dependencies = true;
-    FaultRun day(plan);
+    FaultRun fault_run(plan);
     wire::JobSpec first = job_of(10, 2, "red");
-    day.cluster.submit_job(first, 100);
-    day.cluster.step(50);
+    fault_run.cluster.submit_job(first, 100);
+    fault_run.cluster.step(50);
     for (int n = 11; n < 14; ++n) {
       wire::JobSpec next = job_of(n, 1, "red");
       next.depends_on = {FaultRun::ref(n - 1)};
-      day.cluster.submit_job(next, 5);
-      day.cluster.step(day.cluster.now() + 2);
+      fault_run.cluster.submit_job(next, 5);
+      fault_run.cluster.step(fault_run.cluster.now() + 2);
     }
-    day.cluster.cancel("req-10");
-    for (double t = day.cluster.now(); day.cluster.key_count("f/") == 0 && t < 80; t += 0.0002)
-      day.cluster.step(t);
-    day.cluster.state_outage(33);
-    const double back = day.cluster.now() + 33;
+    fault_run.cluster.cancel("req-10");
+    for (double t = fault_run.cluster.now(); fault_run.cluster.key_count("f/") == 0 && t < 80; t += 0.0002)
+      fault_run.cluster.step(t);
+    fault_run.cluster.state_outage(33);
+    const double back = fault_run.cluster.now() + 33;
     for (int n = 11; n < 14; ++n)
-      day.cluster.add_pollers(FaultRun::ref(n), 60);
-    day.cluster.step(back);
-    day.cluster.delay_writes(0.7, 8, false);  // applies to reads for users too, so that some of these succeed
-    day.cluster.step(back + 1.4);
-    const bool unconfirmed = day.cluster.cancelled_at(FaultRun::ref(13)) < 0;
-    day.cluster.step(back + 10);
-    const RunReport& report = day.finish();
+      fault_run.cluster.add_pollers(FaultRun::ref(n), 60);
+    fault_run.cluster.step(back);
+    fault_run.cluster.delay_writes(0.7, 8,
+                                   false);  // applies to reads for users too, so that some of these succeed
+    fault_run.cluster.step(back + 1.4);
+    const bool unconfirmed = fault_run.cluster.cancelled_at(FaultRun::ref(13)) < 0;
+    fault_run.cluster.step(back + 10);
+    const RunReport& report = fault_run.finish();
     EXPECT_EQ(report.orphaned, 3U);
     return static_cast<std::size_t>(unconfirmed);
   });
@@ -530,21 +534,21 @@
 TEST(CombinedFaults, ANewLeaderReadsItsJobsThoughAnswersAreLost) {
   run_seeds(6, 12, [](std::uint64_t seed) {
     SimulationPlan plan = deployed(seed, 12);
-    FaultRun day(plan);
+    FaultRun fault_run(plan);
     for (int n = 0; n < 260; ++n) {
-      day.at(41 + 0.02 * (n / 20), [&day, n] {
+      fault_run.at(41 + 0.02 * (n / 20), [&fault_run, n] {
         wire::JobSpec spec = job_of(1000 + n, 1, n % 2 == 0 ? "red" : "blue");
         spec.estimate_s = 30;
-        day.cluster.submit_job(spec, 30);
+        fault_run.cluster.submit_job(spec, 30);
       });
     }
-    day.cluster.step(50);
-    day.cluster.delay_writes(0.35, 40, true);
+    fault_run.cluster.step(50);
+    fault_run.cluster.delay_writes(0.35, 40, true);
     for (int k = 0; k < 3; ++k)
-      day.at(52 + 12 * k, [&] { day.crash_leader(); });
-    day.cluster.step(95);
-    const std::size_t n = day.elections();
-    const RunReport& report = day.finish(500);
+      fault_run.at(52 + 12 * k, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(95);
+    const std::size_t n = fault_run.elections();
+    const RunReport& report = fault_run.finish(500);
     EXPECT_EQ(report.lost_by_lease_expiry, 0U);
     EXPECT_GT(report.batched, 100U) << "expected most jobs to be admitted in job batches";
     return n;
@@ -556,16 +560,16 @@
   const auto broken_by = [](const std::string& planted_fault) {
     SimulationPlan plan = deployed(3, 6);
     plan.planted_fault = planted_fault;
-    FaultRun day(plan);
-    day.cluster.send_malformed_requests(20);
-    day.long_arrays(2, 30);
-    day.cluster.step(60);
-    day.cancel(11, 1, 61);
-    day.cluster.step(330);
+    FaultRun fault_run(plan);
+    fault_run.cluster.send_malformed_requests(20);
+    fault_run.long_arrays(2, 30);
+    fault_run.cluster.step(60);
+    fault_run.cancel(11, 1, 61);
+    fault_run.cluster.step(330);
     std::string rules;
-    for (const auto& b : day.cluster.run_report().broken_rules)
+    for (const auto& b : fault_run.cluster.run_report().broken_rules)
       rules += b.substr(0, b.find(' ')) + " ";
-    if (day.cluster.run_report().longest_wait_beside_capacity > 90)
+    if (fault_run.cluster.run_report().longest_wait_beside_capacity > 90)
       rules += "beside_room";
     return rules;
   };
@@ -587,31 +591,31 @@
     SimulationPlan plan = deployed(seed, 6);
     plan.begin_within_s = within_s;
     plan.objectives = {{"finished", "batch", 30, 0.9, 1}};
-    FaultRun day(plan);
+    FaultRun fault_run(plan);
     for (int n = 0; n < 200; ++n) {
       for (int k = 0; k < 3; ++k) {
-        day.at(45 + 2.0 * n, [&day, n, k, seed] {
+        fault_run.at(45 + 2.0 * n, [&fault_run, n, k, seed] {
           wire::JobSpec spec = job_of(1000 + 3 * n + k, 10, k % 2 == 0 ? "red" : "blue");
           if (seed % 2 == 0)
             spec.priority = wire::Priority::high;
           spec.estimate_s = 10;
-          day.cluster.submit_job(spec, 10);
+          fault_run.cluster.submit_job(spec, 10);
         });
       }
     }
-    day.cluster.step(60);
+    fault_run.cluster.step(60);
     for (int n = 10; n < 14; ++n) {
       wire::JobSpec spec = job_of(n, 150, n % 2 == 0 ? "red" : "blue");
       spec.estimate_s = 20;
-      day.cluster.submit_job(spec, 20);
+      fault_run.cluster.submit_job(spec, 20);
     }
-    day.at(120, [&] { day.cluster.slow_down_links(20); });
-    day.at(150, [&] { day.crash_leader(); });
-    day.cluster.step(60 + 240);
+    fault_run.at(120, [&] { fault_run.cluster.slow_down_links(20); });
+    fault_run.at(150, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(60 + 240);
     std::size_t n = 0;
     for (int ref = 10; ref < 14; ++ref)
-      n += day.cluster.began_at(FaultRun::ref(ref)) >= 0;
-    for (const auto& b : day.cluster.run_report().broken_rules)
+      n += fault_run.cluster.began_at(FaultRun::ref(ref)) >= 0;
+    for (const auto& b : fault_run.cluster.run_report().broken_rules)
       ADD_FAILURE() << b;
     return n;
   };
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -82,8 +82,8 @@
   EXPECT_EQ(graph.node_count(), 0U);
 }
 
-// An unknown dependency is not taken for done: it may be live and not seen yet, or over before this
-// leadership.
+// An unknown dependency does not count as done: it may be live and not seen yet, or may have become final
+// before this leadership.
 TEST_F(DependencyGraphTest, UnknownDependencyIsLookedUpOnceAndHoldsTheJob) {
   Job& dependent = add(2, {1});
   add(3, {1});
--- a/tests/final_state_backlog_test.cpp
+++ b/tests/final_state_backlog_test.cpp
@@ -133,13 +133,13 @@
 TEST(FinalStateBacklog, CheckOfForgottenJobsDetectsAPlantedFault) {
   SimulationPlan plan = deployed(3, 6);
   plan.planted_fault = "one_unanswered";
-  FaultRun day(plan);
+  FaultRun fault_run(plan);
   constexpr double kFaultDurationS = 200;
-  day.cluster.delay_writes(0, kFaultDurationS, true);
-  day.long_arrays(4, 150);
-  day.cluster.step(kFaultDurationS);
-  ASSERT_EQ(day.cluster.run_report().broken_rules.size(), 1U);
-  EXPECT_TRUE(day.cluster.run_report().broken_rules.front().starts_with("forgotten"));
+  fault_run.cluster.delay_writes(0, kFaultDurationS, true);
+  fault_run.long_arrays(4, 150);
+  fault_run.cluster.step(kFaultDurationS);
+  ASSERT_EQ(fault_run.cluster.run_report().broken_rules.size(), 1U);
+  EXPECT_TRUE(fault_run.cluster.run_report().broken_rules.front().starts_with("forgotten"));
 }
 
 }  // namespace
--- a/tests/late_messages_test.cpp
+++ b/tests/late_messages_test.cpp
@@ -10,16 +10,16 @@
 // leader's commands arrive first.
 TEST(LateMessages, CommandsOfACrashedLeaderArriveAfterTheNextLeadersCommands) {
   run_seeds(10, 200, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 8));
-    day.long_arrays(8, 20);
-    day.stream(120, 0.4, 0.4, 2, 5);
-    day.cluster.delay_commands(0.4, 85);
-    day.cancel(10, 5, 60, 1.1);
+    FaultRun fault_run(deployed(seed, 8));
+    fault_run.long_arrays(8, 20);
+    fault_run.stream(120, 0.4, 0.4, 2, 5);
+    fault_run.cluster.delay_commands(0.4, 85);
+    fault_run.cancel(10, 5, 60, 1.1);
     for (double t = 52 + 0.7 * static_cast<double>(seed); t < 125; t += 13)
-      day.at(t, [&] { day.crash_leader(); });
-    day.cluster.step(130);
-    EXPECT_GT(day.elections(), 4U) << "expected the leader to change";
-    return day.finish().late_commands;
+      fault_run.at(t, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(130);
+    EXPECT_GT(fault_run.elections(), 4U) << "expected the leader to change";
+    return fault_run.finish().late_commands;
   });
 }
 
@@ -27,19 +27,19 @@
 // until another is elected.
 TEST(LateMessages, CommandsOfAReplacedLeaderArriveAfterTheNextLeadersCommands) {
   run_seeds(8, 100, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 8));
-    day.long_arrays(8, 40);
-    day.stream(120, 0.5, 0.4, 2, 5);
-    day.cluster.delay_commands(0.5, 80);
+    FaultRun fault_run(deployed(seed, 8));
+    fault_run.long_arrays(8, 40);
+    fault_run.stream(120, 0.5, 0.4, 2, 5);
+    fault_run.cluster.delay_commands(0.5, 80);
     for (double t = 55; t < 110; t += 18) {
-      day.at(t + 0.2 * static_cast<double>(seed), [&day, seed] {
-        day.cluster.cut_node(day.cluster.leader().value_or(0), true, true, 9, seed % 2 == 0);
+      fault_run.at(t + 0.2 * static_cast<double>(seed), [&fault_run, seed] {
+        fault_run.cluster.cut_node(fault_run.cluster.leader().value_or(0), true, true, 9, seed % 2 == 0);
       });
     }
-    day.cancel(10, 6, 56 + 0.3 * static_cast<double>(seed), 3);
-    day.cluster.step(130);
-    EXPECT_GT(day.elections(), 2U) << "expected the leader to change";
-    return day.finish().late_commands;
+    fault_run.cancel(10, 6, 56 + 0.3 * static_cast<double>(seed), 3);
+    fault_run.cluster.step(130);
+    EXPECT_GT(fault_run.elections(), 2U) << "expected the leader to change";
+    return fault_run.finish().late_commands;
   });
 }
 
@@ -47,24 +47,25 @@
 // the machine then continues.
 TEST(LateMessages, CommandsDelayedToMachinesThatFailAndContinue) {
   run_seeds(12, 100, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 7));
+    FaultRun fault_run(deployed(seed, 7));
     constexpr SimulatedCluster::MachineFault kinds[] = {
         SimulatedCluster::MachineFault::hung, SimulatedCluster::MachineFault::incoming_lost,
         SimulatedCluster::MachineFault::outgoing_lost, SimulatedCluster::MachineFault::unreachable};
-    day.long_arrays(8, 25);
-    day.stream(120, 0.4, 0.5, 2, 4);
-    day.cluster.delay_commands(0.4, 80);
+    fault_run.long_arrays(8, 25);
+    fault_run.stream(120, 0.4, 0.5, 2, 4);
+    fault_run.cluster.delay_commands(0.4, 80);
     for (double t = 50; t < 110; t += 9) {
-      day.at(t, [&day, seed, t, &kinds] {
+      fault_run.at(t, [&fault_run, seed, t, &kinds] {
         const auto kind = static_cast<std::size_t>(t) + seed;
-        day.cluster.fail_machines(kinds[kind % 4], 2, 3 + std::fmod(t * static_cast<double>(seed), 20.0));
+        fault_run.cluster.fail_machines(kinds[kind % 4], 2,
+                                        3 + std::fmod(t * static_cast<double>(seed), 20.0));
       });
     }
-    day.cancel(10, 5, 53, 4.3);
+    fault_run.cancel(10, 5, 53, 4.3);
     if (seed % 2 == 0)
-      day.at(75, [&] { day.crash_leader(); });
-    day.cluster.step(130);
-    return day.finish().late_commands;
+      fault_run.at(75, [&] { fault_run.crash_leader(); });
+    fault_run.cluster.step(130);
+    return fault_run.finish().late_commands;
   });
 }
 
@@ -73,43 +74,44 @@
 // while commands are delayed.
 TEST(LateMessages, OldHeartbeatsReachANewLeaderBeforeCurrentOnes) {
   run_seeds(12, 1000, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 8));
-    day.cluster.duplicate_heartbeats_late(0.7, 120, SimulatedCluster::DuplicateArrival::at_election);
-    day.long_arrays(8, 70, 4);
-    day.stream(150, 1, 0.3, 2, 8);
-    day.at(48, [&] {
-      day.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 3, 23 + static_cast<double>(seed % 5));
+    FaultRun fault_run(deployed(seed, 8));
+    fault_run.cluster.duplicate_heartbeats_late(0.7, 120, SimulatedCluster::DuplicateArrival::at_election);
+    fault_run.long_arrays(8, 70, 4);
+    fault_run.stream(150, 1, 0.3, 2, 8);
+    fault_run.at(48, [&] {
+      fault_run.cluster.fail_machines(SimulatedCluster::MachineFault::hung, 3,
+                                      23 + static_cast<double>(seed % 5));
     });
-    day.at(70, [&] { day.cluster.delay_commands(0.5, 80); });
+    fault_run.at(70, [&] { fault_run.cluster.delay_commands(0.5, 80); });
     for (double t = 78 + 0.4 * static_cast<double>(seed); t < 150; t += 16) {
-      day.at(t - 1, [&day, seed] {
-        day.cluster.fail_machines(seed % 2 == 0 ? SimulatedCluster::MachineFault::hung
-                                                : SimulatedCluster::MachineFault::incoming_lost,
-                                  2, 6);
+      fault_run.at(t - 1, [&fault_run, seed] {
+        fault_run.cluster.fail_machines(seed % 2 == 0 ? SimulatedCluster::MachineFault::hung
+                                                      : SimulatedCluster::MachineFault::incoming_lost,
+                                        2, 6);
       });
-      day.at(t, [&] { day.crash_leader(); });
+      fault_run.at(t, [&] { fault_run.crash_leader(); });
     }
-    day.cancel(10, 3, 95, 7);
-    day.cluster.step(160);
-    EXPECT_GT(day.elections(), 3U) << "expected the leader to change";
-    return day.finish().held_heartbeats;
+    fault_run.cancel(10, 3, 95, 7);
+    fault_run.cluster.step(160);
+    EXPECT_GT(fault_run.elections(), 3U) << "expected the leader to change";
+    return fault_run.finish().held_heartbeats;
   });
 }
 
 // Workers can open no connection to any controller but receive commands, while the leader changes.
 TEST(LateMessages, MachinesThatCanSendNothingAndAChangeOfLeader) {
   run_seeds(8, 100, [](std::uint64_t seed) {
-    FaultRun day(deployed(seed, 8));
-    day.long_arrays(8, 50);
-    day.stream(110, 0.7, 0.4, 2, 5);
-    day.cluster.step(55);
-    day.cluster.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 4, seed % 2 == 0 ? 14 : 40,
-                              "req-10");
-    day.at(56 + static_cast<double>(seed % 4), [&] { day.crash_leader(); });
-    day.cancel(10, 4, 57, 2);
-    day.cluster.step(120);
-    EXPECT_GT(day.elections(), 1U) << "expected the leader to change";
-    return day.finish().undelivered;
+    FaultRun fault_run(deployed(seed, 8));
+    fault_run.long_arrays(8, 50);
+    fault_run.stream(110, 0.7, 0.4, 2, 5);
+    fault_run.cluster.step(55);
+    fault_run.cluster.fail_machines(SimulatedCluster::MachineFault::outgoing_lost, 4, seed % 2 == 0 ? 14 : 40,
+                                    "req-10");
+    fault_run.at(56 + static_cast<double>(seed % 4), [&] { fault_run.crash_leader(); });
+    fault_run.cancel(10, 4, 57, 2);
+    fault_run.cluster.step(120);
+    EXPECT_GT(fault_run.elections(), 1U) << "expected the leader to change";
+    return fault_run.finish().undelivered;
   });
 }
 
@@ -120,33 +122,33 @@
     SimulationPlan plan = deployed(seed, 8);
     plan.back_from = 0.1;
     plan.back_to = 0.6;
-    FaultRun day(plan);
-    day.cluster.delay_commands(0.3, 90);
-    day.long_arrays(8, 30);
-    day.stream(120, 0.5, 0.4, 2, 5);
+    FaultRun fault_run(plan);
+    fault_run.cluster.delay_commands(0.3, 90);
+    fault_run.long_arrays(8, 30);
+    fault_run.stream(120, 0.5, 0.4, 2, 5);
     const double at = 60 + 0.1 * static_cast<double>(seed);
     for (int k = 0; k < 4; ++k) {
-      day.at(at + 8 * k, [&] { day.crash_leader(); });
-      day.at(at + 8 * k + 3.2, [&] { day.crash_leader(); });  // the new leader, just elected
+      fault_run.at(at + 8 * k, [&] { fault_run.crash_leader(); });
+      fault_run.at(at + 8 * k + 3.2, [&] { fault_run.crash_leader(); });  // the new leader, just elected
     }
-    day.at(at + 40, [&] {
+    fault_run.at(at + 40, [&] {
       for (std::size_t i = 0; i < 3; ++i)
-        day.cluster.crash(i);
+        fault_run.cluster.crash(i);
     });
     // One controller keeps running; the others crash again and again.
     const std::size_t survivor = seed % 3;
     for (double t = at + 40.3; t < at + 52; t += 0.4) {
-      day.at(t, [&day, survivor] {
+      fault_run.at(t, [&fault_run, survivor] {
         for (std::size_t i = 0; i < 3; ++i) {
           if (i != survivor)
-            day.cluster.crash(i);
+            fault_run.cluster.crash(i);
         }
       });
     }
-    day.cancel(10, 6, at - 0.5, 7);
-    day.cluster.step(at + 60);
-    const std::size_t n = day.elections();
-    day.finish();
+    fault_run.cancel(10, 6, at - 0.5, 7);
+    fault_run.cluster.step(at + 60);
+    const std::size_t n = fault_run.elections();
+    fault_run.finish();
     return n;
   });
 }
@@ -162,21 +164,21 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const double after : {0.0, 0.05, 0.2}) {
       SCOPED_TRACE(::testing::Message() << "seed " << seed << ", cancelled after " << after << " s");
-      FaultRun day(deployed(seed));
-      day.long_arrays(9, 110);
-      day.cluster.step(kRefusedAt);
+      FaultRun fault_run(deployed(seed));
+      fault_run.long_arrays(9, 110);
+      fault_run.cluster.step(kRefusedAt);
       const double down_at = kRefusedAt + 1 + 0.1 * static_cast<double>(seed % 5);
-      day.cluster.refuse_state_service(day.cluster.leader().value_or(0), 14);
-      day.cancel(10, kCancelled, kRefusedAt + after, 0.01);
-      day.at(down_at, [&] { day.cluster.state_outage(kDownFor); });
+      fault_run.cluster.refuse_state_service(fault_run.cluster.leader().value_or(0), 14);
+      fault_run.cancel(10, kCancelled, kRefusedAt + after, 0.01);
+      fault_run.at(down_at, [&] { fault_run.cluster.state_outage(kDownFor); });
       if (seed % 2 == 0)
-        day.cluster.delay_commands(0.5, 60);
-      day.cluster.step(down_at + kDownFor);
+        fault_run.cluster.delay_commands(0.5, 60);
+      fault_run.cluster.step(down_at + kDownFor);
       for (int n = 10; n < 10 + kCancelled; ++n)
-        deferred += day.cluster.cancelled_at(FaultRun::ref(n)) < 0;
-      day.finish();
+        deferred += fault_run.cluster.cancelled_at(FaultRun::ref(n)) < 0;
+      fault_run.finish();
       for (int n = 10; n < 10 + kCancelled; ++n)
-        EXPECT_GE(day.cluster.cancelled_at(FaultRun::ref(n)), 0)
+        EXPECT_GE(fault_run.cluster.cancelled_at(FaultRun::ref(n)), 0)
             << "expected " << FaultRun::ref(n) << " to be confirmed";
       if (HasFailure())
         return;
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -26,7 +26,8 @@
 
 // The state service is down for longer than a lease and a delegation grant, and every controller restarts
 // meanwhile: none can read the state, and none remembers a grant. Guards against healthy machines losing
-// their tasks to expired leases (day of cub-meterlink-fleet at 1.5 times the load, simulated: 4,265 tasks).
+// their tasks to expired leases (simulated run of the deployment cub-meterlink-fleet at 1.5 times the load:
+// 4,265 tasks).
 TEST(AllNew, RestartsInAnOutageLoseNothing) {
   for (const double at : {0.5, 4.0, 15.0, 30.0, 60.0}) {
     for (const std::uint64_t seed : {1U, 2U}) {
@@ -70,19 +71,19 @@
     SCOPED_TRACE(seed);
     SimulationPlan plan = with_peer_agreement(seed, 12);
     plan.back_to = 0.06;
-    const FaultOutcome ride = run_through_fault(
+    const FaultOutcome outcome = run_through_fault(
         plan,
         [](SimulatedCluster& cluster) {
           cluster.state_outage(65);
-          // Out of phase with the workers' retry interval of 1 s.
+          // The crashes are out of phase with the workers' retry interval of 1 s.
           for (int i = 0; i < 60; ++i)
             cluster.schedule_after(1 + i + 0.15 * (i % 4), [&cluster] { crash_all(cluster); });
         },
         90);
-    for (const auto& b : ride.verdict.broken_rules)
+    for (const auto& b : outcome.verdict.broken_rules)
       ADD_FAILURE() << b;
-    EXPECT_LE(ride.verdict.lost_by_lease_expiry, ride.before / 5);
-    EXPECT_TRUE(ride.over) << "expected the job array to be done";
+    EXPECT_LE(outcome.verdict.lost_by_lease_expiry, outcome.before / 5);
+    EXPECT_TRUE(outcome.over) << "expected the job array to be done";
   }
 }
 
@@ -90,16 +91,16 @@
 TEST(AllNew, WithoutPeerAgreementAnOutageLosesRunningTasks) {
   SimulationPlan plan = with_peer_agreement(1, 12);
   plan.peer_agreement = false;
-  const FaultOutcome ride = run_through_fault(
+  const FaultOutcome outcome = run_through_fault(
       plan,
       [](SimulatedCluster& cluster) {
         cluster.state_outage(70);
         cluster.schedule_after(4, [&cluster] { crash_all(cluster); });
       },
       90);
-  for (const auto& b : ride.verdict.broken_rules)
+  for (const auto& b : outcome.verdict.broken_rules)
     ADD_FAILURE() << b;
-  EXPECT_GT(ride.verdict.lost_by_lease_expiry, 10U) << "expected tasks to be lost without peer agreement";
+  EXPECT_GT(outcome.verdict.lost_by_lease_expiry, 10U) << "expected tasks to be lost without peer agreement";
 }
 
 // All controllers crash repeatedly, and a zone is cut off before any process has run for cancel_s. The marker
@@ -153,7 +154,7 @@
     for (const bool in_turn : {false, true}) {
       SCOPED_TRACE("second crash after " + std::to_string(after) + " s" +
                    (in_turn ? ", one after the other" : ""));
-      const FaultOutcome ride = run_through_fault(
+      const FaultOutcome outcome = run_through_fault(
           with_peer_agreement(2, 24),
           [after, in_turn](SimulatedCluster& cluster) {
             crash_all(cluster);
@@ -162,11 +163,11 @@
                                      [&cluster, i] { cluster.crash(i); });
           },
           60);
-      for (const auto& b : ride.verdict.broken_rules)
+      for (const auto& b : outcome.verdict.broken_rules)
         ADD_FAILURE() << b;
-      EXPECT_EQ(ride.again, 0U) << "expected no running task to be started again";
-      EXPECT_EQ(ride.verdict.lost_by_lease_expiry, 0U);
-      EXPECT_TRUE(ride.over) << "expected the job array to be done";
+      EXPECT_EQ(outcome.again, 0U) << "expected no running task to be started again";
+      EXPECT_EQ(outcome.verdict.lost_by_lease_expiry, 0U);
+      EXPECT_TRUE(outcome.over) << "expected the job array to be done";
     }
   }
 }
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -107,7 +107,8 @@
   tally.calm_in_time += cluster.accepted_within_share("calm", 1, kFrom, kTo);
   EXPECT_GE(cluster.accepted_within_share("calm", 30, kFrom, kTo), 0.95) << "accepted within 30 s";
   EXPECT_GE(cluster.accepted_within_share("flood", 30, kFrom, kTo), 0.5) << "accepted within 30 s";
-  // Normal again 30 s after the flood, although the deferred submissions are still being repeated.
+  // From 30 s after the flood, submissions must be accepted within 1 s again, although the deferred ones are
+  // still being repeated.
   for (const char* job_class : {"calm", "flood"}) {
     tally.after += 1;
     tally.after_in_time += cluster.accepted_within_share(job_class, 1, kTo + 30, kEnd - 2);
--- a/tests/process_limits_test.cpp
+++ b/tests/process_limits_test.cpp
@@ -204,8 +204,8 @@
   EXPECT_GT(program.descriptors(), kSockets / 2) << "expected the callers to use most of the sockets";
   EXPECT_LT(program.status("VmHWM") / 1024, kMemoryMb / 2);
   EXPECT_LE(program.status("Threads"), 4);
-  // Every caller gets a response or a closed connection within 3 s; the latter sends
-  // it to another controller.
+  // Every caller gets a response or a closed connection within 3 s. A caller whose connection is closed tries
+  // another controller.
   int answered = 0, refused = 0, with_retry_after = 0;
   for (const Caller& c : callers) {
     if (c.answered_s < 0)
--- a/tests/random_fault_search.cpp
+++ b/tests/random_fault_search.cpp
@@ -12,14 +12,14 @@
   int broken = 0, unfinished = 0;
   std::size_t guests = 0;
   for (int seed = first; seed < first + count; ++seed) {
-    const auto day = wingtrail::simulation::run_random_cells(static_cast<std::uint64_t>(seed));
-    for (const auto& b : day.broken_rules)
+    const auto report = wingtrail::simulation::run_random_cells(static_cast<std::uint64_t>(seed));
+    for (const auto& b : report.broken_rules)
       std::cout << b << " (cells, seed " << seed << ")\n";
-    if (day.unfinished > 0)
-      std::cout << "seed " << seed << ": " << day.unfinished << " unfinished\n";
-    broken += !day.broken_rules.empty();
-    unfinished += day.unfinished > 0;
-    guests += day.remote_tasks_started;
+    if (report.unfinished > 0)
+      std::cout << "seed " << seed << ": " << report.unfinished << " unfinished\n";
+    broken += !report.broken_rules.empty();
+    unfinished += report.unfinished > 0;
+    guests += report.remote_tasks_started;
   }
   std::cout << broken << " of " << count << " seeds of several cells broke a rule, " << unfinished
             << " left work undone; " << guests << " tasks began in another cell than their home\n";
--- a/tests/simulated_cluster_test.cpp
+++ b/tests/simulated_cluster_test.cpp
@@ -94,7 +94,8 @@
 
 // A zone, the leader's or another, is cut off for longer than a lease: no machine is returned, no task is
 // lost and none is started twice. Guards against returning the zone's machines as silent, which ends all
-// tasks there (zone day of cub-meterlink-fleet, simulated: 231 machines within 6 s).
+// tasks there (simulated run of the deployment cub-meterlink-fleet with zone failures: 231
+// machines within 6 s).
 TEST(SimulatedCluster, AZoneThatIsCutOffLosesNothing) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     for (const bool hold : {false, true}) {
@@ -294,7 +295,7 @@
 
 // The fleet is full of job arrays, with more waiting; then services are submitted whose images other services
 // already use. Guards against every machine with such an image being full of services, so that each new
-// service has to fetch its image (busy day of roamkvitto-core-fleet).
+// service has to fetch its image (seen on a busy day of the deployment roamkvitto-core-fleet).
 TEST(LoadBalancing, ServicesStartWithoutAnImageFetchOnAFullFleet) {
   spdlog::set_level(spdlog::level::off);
   const auto late_services = [](std::uint64_t seed, bool load_balancing) {
