--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -41,7 +41,7 @@
   }
   /// Reads the cloud's list, rents and returns machines, each when it is due.
   void tick();
-  /// Cores of one largest request to each pool that has not refused a request lately.
+  /// Cores of one largest request to each pool that is available; see RentalRequests::is_unavailable().
   double rentable_cores() const;
   /// Boot time in seconds of the machine type that boots fastest.
   Seconds typical_boot_s() const {
--- a/src/controller/overload_monitor.hpp
+++ b/src/controller/overload_monitor.hpp
@@ -14,7 +14,7 @@
 class OverloadMonitor {
  public:
   /// Must be called periodically.
-  /// @param write_share this controller's share of the state service's write budget, 0 to 1
+  /// @param write_share this controller's share of the state service's write budget, 0 to 1 (only logged)
   void update(Seconds now, const admission::CreationQueue& queue, double write_share);
   bool is_overloaded() const {
     return overloaded_;
--- a/src/ports/outbox.hpp
+++ b/src/ports/outbox.hpp
@@ -38,14 +38,14 @@
 };
 
 struct Reply {
-  int status = 0;         // 0: no answer
-  bool delivered = true;  // false: it is certain that nothing reached the other side
+  int status = 0;         ///< 0: no answer
+  bool delivered = true;  ///< false: it is certain that nothing reached the other side
   wire::Value body;
-  std::string heartbeat;  // what a worker answered, as it came
+  std::string heartbeat;  ///< the body of a worker's reply, unparsed
   std::optional<peer::Frame> frame;
 };
 
-// The answer to a request that came in.
+/// The reply to a received request.
 struct Answer {
   std::uint64_t request = 0;
   int status = 200;
@@ -81,7 +81,7 @@
     timers_.emplace(now_ + delay, std::move(then));
   }
 
-  // ---- for whoever drives the decision code
+  // ---- for the caller that drives the decision code
   void set_now(Seconds now) {
     now_ = now;
   }
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,4 +1,4 @@
-// The platform's settings (TOML) and the operators' own tunables (YAML).
+/// @file settings.hpp The platform's settings (TOML) and the operators' tunables (YAML).
 #pragma once
 
 #include <cstdint>
@@ -22,50 +22,50 @@
 
 struct Team {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0: no guarantee, no limit
+  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  ///< 0: no guarantee, no limit.
 };
 
 struct Objective {
   std::string kind, job_class;
   double within_s = 0, share = 0;
-  double times = 1;  // of a job's own deadline
+  double times = 1;  ///< Factor on the job's own deadline.
 };
 
-// Operators' choices. Defaults hold for any deployment; docs/operations.md describes each.
+/// The operators' tunables. The defaults suit any deployment; docs/operations.md describes each.
 struct Tunables {
-  double leader_lease_s = 3.0;      // how long a silent leader keeps its office
-  double delegation_leases = 2.0;   // how long a custodian may go on, in leases of workers; 0: no custody
-  int peer_agreement = 0;           // 1: nodes agree on custody while nobody leads, see docs/custody.md
-  int zone_tracking = 0;            // 1: the decisions of docs/zones.md
-  int fair_admission = 0;           // 1: sheets, turns and shares, see docs/admission.md
-  double long_job_cutoff_s = 60.0;  // Hawk: estimates above this are long
-  double begin_within_s = 0;        // an array gets a first task in time to begin within that; 0: no promise
-  double reservations_per_task = 2.0;     // Hawk: probe ratio
-  int steal_sample = 10;                  // Hawk: machines an idle one looks at
-  double short_partition = 0.10;          // Hawk: share of machines that refuse long tasks
-  double silent_heartbeats = 1.7;         // report intervals without a report until a machine is suspected
-  double idle_return_s = 60.0;            // idle time after which a machine may be returned
-  double replica_migration_rate = 0.005;  // of all replicas, how many may move in a second to empty machines
-  double headroom = 0.15;                 // spare capacity, as a share of the load
-  int load_balancing = 0;                 // 1: the decisions of docs/spread.md
-  double migrations_per_machine = 0.05;   // tasks that may move at once, per machine
-  double surge_headroom = 1.2;    // of the load of arrays, what is kept for a surge where room is guaranteed
-  double progress_flush_s = 1.0;  // how often completed tasks are persisted
+  double leader_lease_s = 3.0;     ///< Duration of the leader lease.
+  double delegation_leases = 2.0;  ///< Longest delegated lease renewal, in worker leases; 0: no delegation.
+  int peer_agreement = 0;  ///< 1: with no leader, delegation by peer agreement; docs/lease-delegation.md.
+  int zone_tracking = 0;   ///< 1: decisions by zone state; docs/zone-failures.md.
+  int fair_admission = 0;  ///< 1: job batches, fair queue and budget shares; docs/admission.md.
+  double long_job_cutoff_s = 60.0;  ///< Jobs with a longer estimate are scheduled as long (Hawk's cutoff).
+  double begin_within_s = 0;  ///< Time within which a job array should start its first task; 0: no limit.
+  double reservations_per_task = 2.0;     ///< Machines sampled per task of a short job (Hawk's probe ratio).
+  int steal_sample = 10;                  ///< Machines that an idle one samples to steal a reservation.
+  double short_partition = 0.10;          ///< Share of the machines that accept no long tasks (Hawk).
+  double silent_heartbeats = 1.7;         ///< Heartbeat intervals of silence until a machine is suspected.
+  double idle_return_s = 60.0;            ///< Idle time after which a machine may be returned.
+  double replica_migration_rate = 0.005;  ///< Share of all replicas that may migrate per second for scale-in.
+  double headroom = 0.15;                 ///< Spare capacity, as a share of the load.
+  int load_balancing = 0;                 ///< 1: load balancing; docs/load-balancing.md.
+  double migrations_per_machine = 0.05;   ///< Limit on concurrent migrations, per machine of the cluster.
+  double surge_headroom = 1.2;    ///< As headroom, for arrays where capacity is guaranteed: room for a surge.
+  double progress_flush_s = 1.0;  ///< How often completed tasks are persisted.
 };
 
-// Another deployment of ours that work may spill over to; docs/cells.md.
+/// A neighbouring cell that jobs may be offloaded to; see docs/cells.md.
 struct Neighbour {
   std::string name;
-  std::vector<Endpoint> nodes;  // where its controllers listen to peers
+  std::vector<Endpoint> nodes;  ///< Peer endpoints of its controllers.
 };
 
-// This deployment as one of several.
+/// This deployment as one of several cells.
 struct Cells {
-  std::string name;  // of this one; empty: it has no neighbours
+  std::string name;  ///< Name of this cell; empty: no neighbours.
   std::vector<Neighbour> neighbours;
-  int max_remote_jobs = 500;                // jobs that others may hold for this cell at a time
-  bool drain = false;                       // whatever waits is handed on, and nothing is taken in
-  std::vector<std::string> decommissioned;  // neighbours that never come back, on the operators' word
+  int max_remote_jobs = 500;  ///< Limit on jobs of this cell in other cells; not while draining.
+  bool drain = false;         ///< Waiting jobs are offloaded, no foreign jobs accepted.
+  std::vector<std::string> decommissioned;  ///< Neighbours declared permanently gone by the operators.
   bool enabled() const {
     return !name.empty() && !neighbours.empty();
   }
@@ -79,8 +79,8 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double heartbeat_interval_s = 3, worker_lease_s = 30, cancellation_limit_s = 60;
-  // Of the limits that hold now and those that will hold from some moment on (`state.next`), the lesser:
-  // nobody announces that moment.
+  /// Limits of the state service: the lower of the present limit and that of `state.next`, which takes
+  /// effect at an unannounced time.
   double state_requests_per_s = 100, state_writes_per_s = 30, state_value_kb = 8;
   int max_transaction_changes = 12;
   std::size_t value_bytes() const {
@@ -93,7 +93,7 @@
   Cells cells;
 };
 
-// Either settings, or what is wrong with them, one line each.
+/// The settings, and the problems found, one line each. The settings are valid if there are none.
 struct LoadResult {
   Settings settings;
   std::vector<std::string> problems;
--- a/src/simulation/simulated_cluster.hpp
+++ b/src/simulation/simulated_cluster.hpp
@@ -70,7 +70,7 @@
   bool one_without_fair_admission = false;
   /// Enables the tracking of zone states.
   bool zone_tracking = false;
-  /// Enables fair admission: job batches, turns and budget shares.
+  /// Enables fair admission: job batches, the fair queue and budget shares.
   bool fair_admission = false;
   /// Enables lease delegation by peer agreement.
   bool peer_agreement = false;
@@ -81,7 +81,7 @@
   std::vector<settings::Objective> objectives;
   /// Number of this cell, from 0, and the number of cells; see simulated_cells.hpp.
   std::size_t cell = 0, cells = 1;
-  /// The cell is drained: its jobs have to leave it.
+  /// The cell is drained: its waiting jobs are offloaded.
   bool drain = false;
   /// Half of the random faults are combined faults: transactions without an answer, late heartbeats, machines
   /// that lose what is sent to them or what they send, many cancellations at once and cancellations at a
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -21,7 +21,7 @@
   double gpus = 0;
   /// Memory, in GB.
   double memory_gb = 0;
-  /// The room for images, in GB.
+  /// The capacity for cached images, in GB.
   double cache_gb = 0;
   /// How fast images are fetched.
   double fetch_gb_per_s = 0;
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -58,7 +58,7 @@
 /// Reads a heartbeat from its CBOR form (heartbeat_reader.cpp).
 Result<Heartbeat> parse_heartbeat(std::string_view cbor);
 
-/// What the leader tells a worker to do with a task.
+/// What the leader commands a worker to do with a task.
 struct Command {
   /// Start it; stop it; or drop an exited one from the reports.
   enum class Verb : std::uint8_t { start, stop, forget };
--- a/tests/scenarios.hpp
+++ b/tests/scenarios.hpp
@@ -41,11 +41,11 @@
   plan.machines = machines;
   plan.max_machines = static_cast<std::size_t>(machines);
   plan.scripted = true;
-  plan.idle_return_s = 1e4;  // replicas are moved only because of the fault
+  plan.idle_return_s = 1e4;  // replicas migrate only because of the fault
   return plan;
 }
 
-/// What a run with one fault came to.
+/// Result of a run with one fault.
 struct FaultOutcome {
   RunReport verdict;
   /// Tasks started before the fault.
