--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the scheduler exchanges with the cloud that it rents machines from.
+/// Messages between the scheduler and the cloud that it rents machines from.
 #pragma once
 
 #include <cstdint>
@@ -11,76 +11,76 @@
 
 namespace wingtrail::wire {
 
-/// A type of machine in the cloud's catalog. Prices are per hour of one machine.
+/// A machine type of the cloud's catalog. Amounts that the catalog lacks are 0.
 struct MachineType {
   /// The name of the type.
   std::string name;
-  /// CPUs.
+  /// The CPUs of one machine.
   double cpus = 0;
-  /// GPUs.
+  /// The GPUs of one machine.
   double gpus = 0;
-  /// Memory, in GB.
+  /// The memory of one machine, in GB.
   double memory_gb = 0;
-  /// The capacity for cached images, in GB.
+  /// The capacity of the image cache, in GB.
   double cache_gb = 0;
-  /// How fast images are fetched.
+  /// The rate at which a machine fetches images, in GB per second.
   double fetch_gb_per_s = 0;
-  /// The price.
+  /// The price per hour of one machine.
   double price = 0;
-  /// The current price as a spot machine.
+  /// The current price per hour as a spot machine; `price` if the catalog does not give it.
   double spot_price = 0;
-  /// The usual time from the rental to the first heartbeat, in seconds.
+  /// The usual time from the rental request to the machine's first heartbeat, in seconds.
   double boot_s = 0;
-  /// The zones that offer it.
+  /// The zones in which the type can be rented.
   std::vector<std::string> zones;
 };
-/// Reads the catalog.
+/// Reads the catalog. A type without a name, CPUs or memory makes the whole catalog malformed.
 Result<std::vector<MachineType>> parse_catalog(const Value& map);
 
-/// A machine as the cloud lists it.
+/// A rented machine in the cloud's list.
 struct ListedMachine {
-  /// Where the cloud sees it in its life.
+  /// The state of a rented machine in the cloud.
   enum class State : std::uint8_t { booting, running, failed };
   /// The machine's name.
   std::string host;
-  /// Where its worker takes commands; empty: not known yet.
+  /// The HOST:PORT at which its worker accepts commands; empty: not known yet.
   std::string address;
-  /// The machine type.
+  /// The name of its machine type.
   std::string type;
-  /// The zone.
+  /// The zone that it runs in.
   std::string zone;
   /// Whether it is a spot machine.
   bool spot = false;
-  /// Its state.
+  /// The machine's state.
   State state = State::booting;
-  /// Since it was rented, in seconds.
+  /// The time since it was rented, in seconds.
   double age_s = 0;
 };
 /// One page of the cloud's list of machines.
 struct MachineList {
   /// The machines.
   std::vector<ListedMachine> machines;
-  /// Further machines follow the last one.
+  /// Whether the list continues on a further page.
   bool more = false;
 };
-/// Reads a page of the list.
+/// Reads a page of the list. One malformed entry makes the whole page malformed.
 Result<MachineList> parse_machine_list(const Value& map);
-/// Where the page that follows `after` is; empty: the first page.
+/// The path and query of the page of at most `limit` machines after the host `after`; empty: the first page.
 std::string machine_list_path(const std::string& after, int limit);
 
-/// Asks for `machine_count` machines. The cloud rents them once, however often the same `request` is sent.
+/// The body of a rental of `machine_count` machines. Repeats with the same `request` ID rent nothing further.
 Value rental_body(const std::string& request, const std::string& type, const std::string& zone, bool spot,
                   int machine_count);
-/// Gives machines back.
+/// The body of a request that returns machines to the cloud.
 Value return_body(const std::vector<std::string>& hosts);
-/// The machines that the cloud has rented out on a request.
+/// Reads the reply to a rental: the names of the rented machines.
 Result<std::vector<std::string>> parse_rented(const Value& map);
 
-/// Where the catalog is.
+/// The path of the catalog.
 inline constexpr const char* kCatalogPath = "/catalog";
-/// Where machines are listed and rented.
+/// The path at which machines are listed (GET) and rented (POST).
 inline constexpr const char* kMachinesPath = "/machines";
-/// Where machines are given back.
+/// The path at which machines are returned.
 inline constexpr const char* kReturnPath = "/machines/return";
 
 }  // namespace wingtrail::wire
--- a/src/wire/field_names.hpp
+++ b/src/wire/field_names.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The public protocol's own names for the fields of its messages, each beside the term that the rest of the
-/// code uses. Private to this package.
+/// The field names of the public protocol. Each constant is named after the term that the rest of the code
+/// uses for the field. Private to this package.
 #pragma once
 
 namespace wingtrail::wire::field {
@@ -31,7 +31,7 @@
 inline constexpr const char* kDoneTasks = "done";
 inline constexpr const char* kRunningTasks = "running";
 
-// Records of jobs in the state service.
+// Records of jobs in the state service, in addition to the fields above.
 inline constexpr const char* kSubmittedAt = "submittedAt";
 inline constexpr const char* kFinalTasks = "tasks";
 inline constexpr const char* kEndedAt = "at";
--- a/src/wire/heartbeat_reader.cpp
+++ b/src/wire/heartbeat_reader.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads heartbeats directly from CBOR, without building a tree of values first, because most of the messages
-/// that a leader reads are heartbeats.
+/// Reads heartbeats directly from CBOR. Most of the messages that a leader reads are heartbeats, so they are
+/// read without building a tree of values first.
 #include <cmath>
 #include <span>
 
@@ -21,7 +21,7 @@
     {"mates_gone", ExitCause::stopped}, {"incomplete", ExitCause::stopped}, {"no_room", ExitCause::no_room},
     {"busy", ExitCause::busy},          {"unknown", ExitCause::unknown}};
 
-// The fields that are read; `other` stands for every field that is skipped.
+// The fields that are read. `other` is any field that is skipped.
 enum class Field : std::uint8_t {
   host,
   address,
@@ -93,25 +93,27 @@
 constexpr FieldSet kRequiredOfTask = {Field::task_name, Field::attempt};
 constexpr FieldSet kAllOfTask = {Field::task_name, Field::attempt, Field::phase, Field::cause};
 
-// Depths in the message: the heartbeat's map, the list of tasks in it, and a task's map in that.
+// Nesting depths in the message: the heartbeat's map contains the list of tasks, which contains a map per
+// task.
 constexpr int kHeartbeatDepth = 1, kTaskListDepth = 2, kTaskDepth = 3;
 
-// Processes the parser's events. Unknown fields are skipped, however deep they are nested. A known field that
-// occurs twice or has the wrong type makes the whole heartbeat malformed. Every event returns whether to
-// continue parsing.
+// Handles the events of the CBOR parser. Unknown fields are skipped with everything that they contain. A
+// known field that occurs twice or has the wrong type makes the whole heartbeat malformed. Every event
+// handler returns whether to continue parsing.
 class HeartbeatReader : public nlohmann::json_sax<Value> {
  public:
   Heartbeat heartbeat;
   std::string problem;
 
-  // Whether the parsed message has all required fields; if not, `problem` says why.
+  // Whether the parsed message is valid and has all required fields. If not, `problem` is the reason.
   bool complete() {
     if (problem.empty() && (depth_ != 0 || !seen_.contains(kRequired)))
       problem = "host, addr, flavour, hall, tenure and counter are needed";
     return problem.empty();
   }
 
-  bool null() override {  // the same as a missing field
+  // A null field counts as missing.
+  bool null() override {
     if (in_known_field())
       seen_.remove(field_);
     return problem.empty();
@@ -148,7 +150,8 @@
   bool in_task() const {
     return depth_ == kTaskDepth && in_task_list_;
   }
-  // Whether the current value belongs to a field that is read. Fails for a value in place of a map.
+  // Whether the current value belongs to a field that is read. Fails if the message itself, or an item of the
+  // list of tasks, is not a map.
   bool in_known_field() {
     if (depth_ == 0 || (in_task_list_ && depth_ == kTaskListDepth))
       return !fail();
@@ -166,19 +169,19 @@
     task_.task = parsed->task;
     return true;
   }
-  // Records the first problem and ends the parse.
+  // Records a problem, unless there is one already, and ends the parsing.
   bool fail() {
     if (problem.empty())
       problem = "a field is malformed";
     return false;
   }
 
-  Field field_ = Field::other;
-  int depth_ = 0;
+  Field field_ = Field::other;  // the field whose key was read last
+  int depth_ = 0;               // the number of maps and lists around the current value
   bool in_task_list_ = false;
-  FieldSet seen_ = {};
-  TaskStatus task_;
-  ExitCause cause_ = ExitCause::error;
+  FieldSet seen_ = {};                  // fields of the heartbeat and of the current task
+  TaskStatus task_;                     // the current task
+  ExitCause cause_ = ExitCause::error;  // its `cause`, which counts only if the task has exited
 };
 
 bool HeartbeatReader::number_unsigned(number_unsigned_t value) {
@@ -235,7 +238,8 @@
     case Field::task_name:
       return read_task_name(value);
     case Field::phase:
-      // An unknown phase, as of a newer worker version, is treated as one that holds its resources.
+      // A newer worker version may send an unknown phase. The task is then treated as fetching, a phase in
+      // which it occupies its resources.
       task_.phase = enum_by_name(kTaskPhases, value).value_or(TaskPhase::fetching);
       return true;
     case Field::cause:
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -9,6 +9,7 @@
 namespace wingtrail::wire {
 namespace {
 
+// The largest amount accepted, in the unit of the field.
 constexpr double kMaxAmount = 1e9;
 constexpr std::size_t kMaxRefBytes = 40;
 
@@ -27,8 +28,8 @@
   return amount && *amount >= 0 && *amount <= kMaxAmount;
 }
 
-// Each of the following reads a group of fields and returns what is wrong with the first bad one. Users are
-// answered with that text, so the order of the groups and of the fields in them is part of the protocol.
+// Each of the following functions reads a group of fields and returns the error of the first malformed field.
+// Users receive that error, so the order of the groups and of the fields in each is part of the protocol.
 using Problem = std::optional<ParseError>;
 
 Problem read_names(const Value& map, JobSpec& spec) {
@@ -147,8 +148,7 @@
   constexpr std::string_view kPrefix = "req-";
   if (!ref.starts_with(kPrefix) || ref.size() == kPrefix.size() || ref.size() > kMaxRefBytes)
     return false;
-  return std::all_of(ref.begin() + kPrefix.size(), ref.end(),
-                     [](char digit) { return digit >= '0' && digit <= '9'; });
+  return std::all_of(ref.begin() + kPrefix.size(), ref.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
 Result<JobSpec> parse_job(const Value& map) {
--- a/src/wire/parse_result.hpp
+++ b/src/wire/parse_result.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How the parsers of this package report what they cannot read.
+/// How the parsers of this package report malformed messages.
 #pragma once
 
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace wingtrail::wire {
 
-/// Why a message was refused.
+/// The reason why a message was refused.
 struct ParseError {
-  /// The field's name in the protocol; empty if the message as a whole is malformed.
+  /// The malformed field's name in the protocol; empty if the message as a whole is malformed.
   std::string field;
-  /// What was expected of it.
+  /// What is wrong, or what was expected instead.
   std::string problem;
 
-  /// The form that users and logs get: `field: problem`.
+  /// The error as users and logs get it: `field: problem`.
   std::string text() const {
     return field.empty() ? problem : field + ": " + problem;
   }
 };
 
-/// A parsed message, or why there is none.
+/// A parsed message, or the reason why it was refused.
 template <typename T>
 using Result = tl::expected<T, ParseError>;
 
--- a/src/wire/parsing.hpp
+++ b/src/wire/parsing.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the parsers of all messages share. Private to this package.
+/// Functions that the parsers of all messages share. Private to this package.
 #pragma once
 
 #include <optional>
@@ -11,11 +11,11 @@
 
 namespace wingtrail::wire {
 
-/// The longest text that is taken for a name, in bytes.
+/// The longest text that is accepted as a name, in bytes.
 inline constexpr std::size_t kMaxNameBytes = 200;
 
-/// One row of a table that gives an enumerator its name in the protocol. Several names may stand for one
-/// enumerator; the first is the one that is sent.
+/// One row of a table that maps the protocol's names to enumerators. Several names may map to one enumerator;
+/// the first of them is sent.
 template <typename E>
 struct EnumName {
   /// The name in the protocol.
@@ -24,7 +24,7 @@
   E value;
 };
 
-/// The enumerator of that name; none if there is no name or the table lacks it.
+/// The enumerator with that name; none if there is no name or the table lacks it.
 template <typename E, std::size_t N>
 std::optional<E> enum_by_name(const EnumName<E> (&table)[N], const std::optional<std::string>& name) {
   if (!name)
@@ -36,7 +36,7 @@
   return std::nullopt;
 }
 
-/// The enumerator's name in the protocol. The names are literals, so the result ends with a zero byte.
+/// The enumerator's name in the protocol. The table's names are literals, so the result is null-terminated.
 template <typename E, std::size_t N>
 const char* enum_name(const EnumName<E> (&table)[N], E value) {
   for (const auto& row : table) {
@@ -46,13 +46,13 @@
   return "";
 }
 
-/// The list's texts; none if it is not a list or holds anything else.
+/// The texts of a list; none if the value is not a list or an item is not a text.
 std::optional<std::vector<std::string>> text_list(const Value& list);
 
-/// Whether the text is there, not empty and at most kMaxNameBytes long.
+/// Whether the text is present, not empty and at most kMaxNameBytes long.
 bool is_valid_name(const std::optional<std::string>& name);
 
-/// Percent-encodes a key or host name for a query.
+/// Percent-encodes a key or host name for the query of a URL; a slash stays as it is.
 std::string escape_query(const std::string& text);
 
 }  // namespace wingtrail::wire
--- a/src/wire/state_messages.hpp
+++ b/src/wire/state_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the scheduler exchanges with the state service: a versioned key-value store with compare-and-swap
+/// Messages between the scheduler and the state service, a versioned key-value store with compare-and-swap
 /// transactions, leases and watches.
 #pragma once
 
@@ -13,25 +13,25 @@
 
 namespace wingtrail::wire {
 
-/// A key with its value, and the version of the last change to it.
+/// A key, its value and its version.
 struct Item {
   /// The key.
   std::string key;
-  /// Its value.
+  /// The value; may be null.
   Value value;
-  /// The version of its last change.
+  /// The key's version, which identifies the last change to it.
   std::uint64_t version = 0;
 };
-/// One page of the keys with a prefix.
+/// One page of a list of all keys with a prefix.
 struct Range {
-  /// The keys, in their order.
+  /// The keys with their values, sorted by key.
   std::vector<Item> items;
-  /// Further keys follow the last one.
+  /// Whether the list continues on a further page.
   bool more = false;
-  /// The store's revision that the page was read at.
+  /// The store's revision at which the page was read.
   std::uint64_t revision = 0;
 };
-/// One change that a watch reports. A deletion has no value.
+/// One change that a watch reports.
 struct Change {
   /// Whether the key was deleted.
   bool deleted = false;
@@ -39,34 +39,34 @@
   std::string key;
   /// Its new value; null after a deletion.
   Value value;
-  /// Its new version.
+  /// Its new version; 0 if the event has none.
   std::uint64_t version = 0;
 };
-/// A watch's answer: the changes up to a revision of the store, in their order.
+/// The answer to a watch: the changes up to a revision of the store.
 struct Changes {
-  /// The revision up to which all changes are listed.
+  /// The revision up to which the list is complete.
   std::uint64_t revision = 0;
   /// The changes, oldest first.
   std::vector<Change> events;
 };
 
-/// A compare-and-swap transaction under construction: all its changes happen, or none if a condition fails.
+/// Builds a compare-and-swap transaction: all its changes are made, or none of them if a condition fails.
 class Transaction {
  public:
   Transaction();
-  /// Adds the condition that the key has this version; 0: it does not exist.
+  /// Adds the condition that the key has this version; 0: that it does not exist.
   Transaction& require(const std::string& key, std::uint64_t version);
-  /// Adds a write; a `lease` other than 0 makes the key live as long as the lease.
+  /// Adds a write. With a `lease` other than 0, the state service deletes the key when the lease ends.
   Transaction& put(const std::string& key, Value value, std::uint64_t lease = 0);
-  /// Adds a deletion.
+  /// Adds a deletion of the key.
   Transaction& erase(const std::string& key);
-  /// How many writes and deletions were added, which the state service limits.
+  /// The number of writes and deletions added so far; the state service limits it.
   int change_count() const {
     return change_count_;
   }
-  /// How many conditions were added.
+  /// The number of conditions added so far.
   int condition_count() const;
-  /// The message; the transaction is empty afterwards.
+  /// Moves the message out, after which the transaction is empty and nothing may be added to it.
   Value take() {
     return std::move(body_);
   }
@@ -76,28 +76,28 @@
   int change_count_ = 0;
 };
 
-/// The store's revision in any answer of the state service.
+/// The store's revision in an answer of the state service; none if it has none.
 std::optional<std::uint64_t> revision(const Value& answer);
-/// The keys whose conditions failed, of a transaction that was refused for that.
+/// The keys whose conditions failed, from the answer to a refused transaction.
 std::vector<std::string> failed_keys(const Value& answer);
-/// The lease in the answer to its creation.
+/// The ID of a new lease, from the answer to its creation; none if it is missing.
 std::optional<std::uint64_t> lease_id(const Value& answer);
-/// Asks for a lease of that many milliseconds.
+/// The body of a request for a lease that lasts `ttl_ms` milliseconds unless it is renewed.
 Value lease_body(int ttl_ms);
-/// Reads the answer to a read of one key.
+/// Reads one key with its value and version.
 Result<Item> parse_item(const Value& map);
 /// Reads a page of keys.
 Result<Range> parse_range(const Value& map);
-/// Reads a watch's answer.
+/// Reads the answer to a watch.
 Result<Changes> parse_changes(const Value& map);
 
-/// Where a key is.
+/// The path of a key.
 std::string key_path(const std::string& key);
-/// Where the page of keys that follows `after` is; empty: the first page.
+/// The path and query of the page of at most `limit` keys after the key `after`; empty: the first page.
 std::string range_path(const std::string& prefix, const std::string& after, int limit);
-/// Where the changes after a revision are, answered at the latest after `wait_ms`.
+/// The path and query of a watch for changes after the revision `after`; answered within `wait_ms` ms.
 std::string watch_path(const std::string& prefix, std::uint64_t after, int wait_ms);
-/// Where a lease is renewed.
+/// The path at which a lease is renewed.
 std::string renew_path(std::uint64_t lease);
 
 }  // namespace wingtrail::wire
--- a/src/wire/value.cpp
+++ b/src/wire/value.cpp
@@ -6,8 +6,9 @@
 namespace wingtrail::wire {
 namespace {
 
-// Builds the value while it checks what the library's own builder lets pass: depth, duplicate keys, binary
-// strings, NaN and infinity. Returning false ends the parse at once, which bounds the recursion.
+// Builds a value, and rejects what the builder of nlohmann::json accepts: deep nesting, duplicate keys,
+// binary strings, NaN and infinity. An event handler that returns false ends the parsing at once, which
+// bounds the recursion.
 class StrictBuilder : public nlohmann::json_sax<Value> {
  public:
   explicit StrictBuilder(Value& root) : root_(root) {}
@@ -71,6 +72,7 @@
     stack_.pop_back();
     return true;
   }
+  // Stores the value as the root, or in the innermost list or map being read. Returns where it is stored.
   Value* place(Value value) {
     if (stack_.empty()) {
       root_ = std::move(value);
@@ -87,8 +89,8 @@
   }
 
   Value& root_;
-  std::vector<Value*> stack_;
-  std::string key_;
+  std::vector<Value*> stack_;  // the lists and maps being read, outermost first
+  std::string key_;            // the key of the next value in a map
 };
 
 }  // namespace
@@ -107,16 +109,16 @@
 }
 
 std::string encode_cbor(const Value& value) {
-  std::string out;
-  Value::to_cbor(value, nlohmann::detail::output_adapter<char>(out));
-  return out;
+  std::string bytes;
+  Value::to_cbor(value, nlohmann::detail::output_adapter<char>(bytes));
+  return bytes;
 }
 
 const Value* find(const Value& map, const char* key) {
   if (!map.is_object())
     return nullptr;
-  auto it = map.find(key);
-  return it == map.end() || it->is_null() ? nullptr : &*it;
+  const auto member = map.find(key);
+  return member == map.end() || member->is_null() ? nullptr : &*member;
 }
 
 std::optional<std::string> text(const Value& map, const char* key) {
--- a/src/wire/value.hpp
+++ b/src/wire/value.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The value type that every public message is made of, its CBOR form, and access to the fields of maps.
+/// The value type of all public messages, its CBOR form, and access to the fields of maps.
 #pragma once
 
 #include <cstddef>
@@ -11,34 +11,34 @@
 
 namespace wingtrail::wire {
 
-/// Any value of a message: null, boolean, number, text, list or map.
+/// A message or a part of one: null, boolean, number, text, list or map.
 using Value = nlohmann::json;
 
-/// Nesting beyond this is refused: no message of the protocol is deeper than five, and the decoder recurses.
+/// The deepest nesting accepted, because the decoder recurses. The protocol needs at most 5 levels.
 inline constexpr int kMaxDepth = 24;
-/// The largest body of a request, in bytes.
+/// The largest body of a request that is accepted, in bytes.
 inline constexpr std::size_t kMaxBody = 64UL * 1024;
-/// 2^53: a double holds every integer up to it exactly.
+/// 2^53. A double represents every integer up to this one exactly.
 inline constexpr double kMaxExactInteger = 9007199254740992.0;
 
-/// Decodes one value strictly: no trailing bytes, binary strings, duplicate keys, NaN or infinity. None if
-/// the bytes are anything else.
+/// Decodes one value. Returns none if the bytes are malformed, or contain trailing bytes, binary strings,
+/// duplicate keys, NaN, infinity or more than kMaxDepth levels.
 std::optional<Value> decode_cbor(std::string_view bytes);
-/// The value's CBOR form.
+/// Encodes the value as CBOR.
 std::string encode_cbor(const Value& value);
 
-// Field access. A null, a missing field and a `map` that is none are alike; a field of a wrong type is
-// absent.
+// Access to fields. A field counts as absent if it is missing or null, if its type is wrong, or if `map` is
+// not a map. For an absent field, the functions return none.
 
-/// The field's value, owned by the map; null if it is absent.
+/// The field's value of any type, owned by the map; nullptr if it is absent.
 const Value* find(const Value& map, const char* key);
-/// A text field.
+/// The value of a text field.
 std::optional<std::string> text(const Value& map, const char* key);
-/// A field with a number of any kind.
+/// The value of a number field.
 std::optional<double> amount(const Value& map, const char* key);
-/// A field with a whole number of at least 0, which may be coded as a double.
+/// The value of a field with an integer of at least 0, which may be encoded as a double.
 std::optional<std::uint64_t> count(const Value& map, const char* key);
-/// A field with a truth value.
+/// The value of a boolean field.
 std::optional<bool> flag(const Value& map, const char* key);
 
 }  // namespace wingtrail::wire
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What workers and the scheduler exchange: heartbeats with the state of tasks, and commands.
+/// Messages between workers and the scheduler: heartbeats with the states of tasks, and commands.
 #pragma once
 
 #include <cstdint>
@@ -18,69 +18,69 @@
 /// Why a task exited; `none` while it has not.
 enum class ExitCause : std::uint8_t { none, done, stopped, error, no_room, busy, unknown };
 
-/// One task as its worker reports it.
+/// The state of one task in a heartbeat.
 struct TaskStatus {
   /// The task's job.
   std::string ref;
-  /// The task's number in it, from 0.
+  /// The task's number in the job, from 0.
   std::uint32_t task = 0;
-  /// Which start of the task this is.
+  /// The attempt: which start of the task this is.
   std::uint64_t attempt = 0;
-  /// Its phase.
+  /// The task's phase.
   TaskPhase phase = TaskPhase::fetching;
-  /// Why it exited, if it has.
+  /// Why the task exited.
   ExitCause cause = ExitCause::none;
 };
 
-/// A worker's report on its machine and all its tasks.
+/// A worker's periodic message about its machine and all its tasks.
 struct Heartbeat {
   /// The machine's name in the cloud.
   std::string host;
-  /// Where the worker takes commands, as HOST:PORT.
+  /// The HOST:PORT at which the worker accepts commands.
   std::string address;
-  /// The machine type.
+  /// The name of the machine type.
   std::string type;
-  /// The zone.
+  /// The machine's zone.
   std::string zone;
-  /// Whether it is a spot machine.
+  /// Whether the machine is a spot machine.
   bool spot = false;
   /// At least 1; increases each time the worker's lease expires.
   std::uint64_t incarnation = 0;
-  /// Increases with every report; of two, the one with the larger (incarnation, sequence) is the newer.
+  /// Increases with every heartbeat. Of two heartbeats, the larger (incarnation, sequence) is newer.
   std::uint64_t sequence = 0;
   /// The highest fencing token that the worker has seen.
   std::uint64_t fencing_token = 0;
-  /// How soon the cloud takes the machine back, in seconds; none: nothing is announced.
+  /// The time until the cloud reclaims the spot machine, in seconds; none: no preemption notice.
   std::optional<double> preemption_in_s;
-  /// All tasks of the worker.
+  /// All tasks of the worker, including exited ones that the leader has not acknowledged.
   std::vector<TaskStatus> tasks;
 };
-/// Reads a heartbeat from its CBOR form (heartbeat_reader.cpp).
+/// Reads a heartbeat from its CBOR form (implemented in heartbeat_reader.cpp).
 Result<Heartbeat> parse_heartbeat(std::string_view cbor);
 
-/// What the leader commands a worker to do with a task.
+/// A command of the leader to a worker, for one attempt of a task.
 struct Command {
-  /// Start it; stop it; or drop an exited one from the reports.
+  /// Start the task; stop it; or acknowledge its exit, after which heartbeats no longer contain it.
   enum class Verb : std::uint8_t { start, stop, forget };
-  /// What to do.
+  /// What the worker does.
   Verb verb;
   /// The task's name, such as `req-000412/3`.
   std::string task;
-  /// The start of the task that is meant.
+  /// The attempt that the command applies to.
   std::uint64_t attempt;
-  /// With a stop: the time for a last checkpoint, in seconds.
+  /// For a stop: the time that the task has for a last checkpoint, in seconds.
   double grace_s = 0;
 };
-/// The leader's answer to a heartbeat.
+/// The leader's answer to a heartbeat: its fencing token and commands.
 Value heartbeat_reply(std::uint64_t token, const std::vector<Command>& commands);
-/// Commands sent to a worker without waiting for its heartbeat; `incarnation` is the one they are meant for.
+/// The body of commands sent to a worker without waiting for its heartbeat, for that incarnation only.
 Value commands_body(std::uint64_t token, std::uint64_t incarnation, const std::vector<Command>& commands);
-/// The answer of a node that may not answer heartbeats; `node` is the leader, empty if none is known.
+/// The answer of a controller that may not answer heartbeats; `node` names the leader, empty if unknown.
 Value leader_redirect(const std::string& node);
 
-/// Where workers send heartbeats.
+/// The path to which workers send heartbeats.
 inline constexpr const char* kHeartbeatPath = "/agent/beat";
-/// Where a worker takes commands.
+/// The path at which a worker accepts commands.
 inline constexpr const char* kCommandsPath = "/commands";
 
 }  // namespace wingtrail::wire
